--- a/tests/drive.py
+++ b/tests/drive.py
@@ -24,10 +24,25 @@
 from wheathill.policy import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-USUAL = dict(zone=0, proxies=2, report_names=["x0"], may_probe=True, must_ask=False, ask_every=10_000.0,
-             drain_grace=500.0, sized=True, start_share=0.2, cold_for=10_000.0,
-             cold_multiple=3.0, cold_window=1000.0, most_dials=3, longest_wait=1000.0,
-             crossing_price=0.0, move_price=0.0, passes_through=True)
+USUAL = dict(
+    zone=0,
+    proxies=2,
+    report_names=["x0"],
+    may_probe=True,
+    must_ask=False,
+    ask_every=10_000.0,
+    drain_grace=500.0,
+    sized=True,
+    start_share=0.2,
+    cold_for=10_000.0,
+    cold_multiple=3.0,
+    cold_window=1000.0,
+    most_dials=3,
+    longest_wait=1000.0,
+    crossing_price=0.0,
+    move_price=0.0,
+    passes_through=True,
+)
 
 
 class Drive:
@@ -42,7 +57,7 @@
         self.names = {}
         self.servers = {}
         self.probes = 0
-        self.delays = {}        # name -> ms until a probe is answered
+        self.delays = {}  # name -> ms until a probe is answered
         self.answers = True
         self.loud = True
         self.balancer = Balancer(self, random.Random(seed), **{**USUAL, **settings})
@@ -69,7 +84,9 @@
         if not self.answers:
             return
         if server.name in self.delays:
-            self.alarms.append((self.now + self.delays[server.name], len(self.alarms), server))
+            self.alarms.append(
+                (self.now + self.delays[server.name], len(self.alarms), server)
+            )
         else:
             self.answer(server)
 
@@ -92,8 +109,12 @@
         found = []
         for entry in entries:
             name, what = entry if isinstance(entry, tuple) else (entry, Phase.READY)
-            phase, started = (what, None) if isinstance(what, Phase) else (Phase.READY, what)
-            server = self.servers.setdefault(name, Server(name, zone=len(self.servers) % 2))
+            phase, started = (
+                (what, None) if isinstance(what, Phase) else (Phase.READY, what)
+            )
+            server = self.servers.setdefault(
+                name, Server(name, zone=len(self.servers) % 2)
+            )
             found.append((server, phase, 1.0, started))
         self.balancer.on_list(self.now, kind, found)
 
@@ -102,7 +123,9 @@
         self.balancer.on_hand(self.now, name, out, self.servers.get(name))
 
     def session(self, name, listener=None, key=None, left=2000.0, **more):
-        sess = Session(listener or Listener("any"), key or name, self.now + left, **more)
+        sess = Session(
+            listener or Listener("any"), key or name, self.now + left, **more
+        )
         self.names[sess] = name
         self.balancer.on_session(self.now, sess)
         return sess
@@ -145,7 +168,9 @@
     def shares(self):
         table = self.balancer.table
         for name, server in sorted(self.servers.items()):
-            self.say(f"{name}: {table.current.count(server)} slots, {table.new.count(server)} to come")
+            self.say(
+                f"{name}: {table.current.count(server)} slots, {table.new.count(server)} to come"
+            )
 
 
 class Peer:
@@ -154,7 +179,9 @@
     def __init__(self, rig, name, sock):
         self.rig, self.name, self.sock, self.rest = rig, name, sock, b""
         sock.settimeout(8.0)
-        rig.peers.append(self)      # or it would be closed when a scenario no longer names it
+        rig.peers.append(
+            self
+        )  # or it would be closed when a scenario no longer names it
 
     def say(self, text, end="\r\n"):
         self.sock.sendall((text + end).encode())
@@ -213,10 +240,18 @@
 class Rig:
     """A proxy as a program, with plain sockets in the place of its servers, discovery and clients."""
 
-    def __init__(self, names=("a", "b"), known=True, mode="pass", settings=None, inherited=False, **limits):
+    def __init__(
+        self,
+        names=("a", "b"),
+        known=True,
+        mode="pass",
+        settings=None,
+        inherited=False,
+        **limits,
+    ):
         self.lines = []
         self.peers = []
-        self.seen = Counter()       # lines of the log, by event
+        self.seen = Counter()  # lines of the log, by event
         self.servers = {name: listener() for name in names}
         self.discovery = listener()
         self.seq = 0
@@ -226,29 +261,47 @@
         if not inherited:
             self.door.close()
         self.config = {
-            "name": "n0", "seed": "5eed", "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.getsockname(), "limits": {"sockets": 256, **limits},
+            "name": "n0",
+            "seed": "5eed",
+            "listen": "%s:%d" % self.address,
+            "discovery": "%s:%d" % self.discovery.getsockname(),
+            "limits": {"sockets": 256, **limits},
             "known": self.list(*names) if known else {},
-            "settings": {"listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 2.0}],
-                         "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
-                         "familyInfo": {"mode": mode}, "dcs": ["x", "y"], "tenants": [{"name": "t"}],
-                         "obligations": {"drainGraceS": 0.5}, **(settings or {})}}
+            "settings": {
+                "listeners": [
+                    {"name": "any", "repeat": "retryable", "dialTimeoutS": 2.0}
+                ],
+                "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
+                "familyInfo": {"mode": mode},
+                "dcs": ["x", "y"],
+                "tenants": [{"name": "t"}],
+                "obligations": {"drainGraceS": 0.5},
+                **(settings or {}),
+            },
+        }
         self.folder = tempfile.TemporaryDirectory()
         path = self.path = pathlib.Path(self.folder.name) / "config.json"
         path.write_text(json.dumps(self.config))
         self.watch = None
-        self.old = []           # processes that another was started beside
+        self.old = []  # processes that another was started beside
         self.begin()
 
     def begin(self):
         """Starts the program, the second time beside the one that runs; each has a door for operators."""
         self.admin = "127.0.0.1", free_port()
-        told = {"NODE_CONFIG": str(self.path), "NODE_ADMIN_ADDR": "%s:%d" % self.admin, "TMPDIR": self.folder.name}
+        told = {
+            "NODE_CONFIG": str(self.path),
+            "NODE_ADMIN_ADDR": "%s:%d" % self.admin,
+            "TMPDIR": self.folder.name,
+        }
         if self.inherited:
             told["NODE_FD"] = str(self.door.fileno())
-        self.process = subprocess.Popen([sys.executable, "-m", "wheathill"], stdout=subprocess.PIPE,
-                                        pass_fds=[self.door.fileno()] if self.inherited else [],
-                                        env={**os.environ, **told})
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "wheathill"],
+            stdout=subprocess.PIPE,
+            pass_fds=[self.door.fileno()] if self.inherited else [],
+            env={**os.environ, **told},
+        )
 
     def begin_beside(self):
         self.old.append(self.process)
@@ -280,14 +333,20 @@
         for line in self.process.stdout:
             found = json.loads(line)
             self.seen[found["event"]] += 1
-            if found["event"] in event if isinstance(event, tuple) else found["event"] == event:
+            if (
+                found["event"] in event
+                if isinstance(event, tuple)
+                else found["event"] == event
+            ):
                 return found
         raise AssertionError(f"ended without a line {event}")
 
     def process_says(self, process, event, within=2.0):
         """Whether it logs that event soon; what it had logged before is passed over."""
         until = time.monotonic() + within
-        while (left := until - time.monotonic()) > 0 and select.select([process.stdout], [], [], left)[0]:
+        while (left := until - time.monotonic()) > 0 and select.select(
+            [process.stdout], [], [], left
+        )[0]:
             line = process.stdout.readline()
             if not line:
                 return False
@@ -297,15 +356,27 @@
 
     def list(self, *names, whole=True, **changed):
         self.seq += 1
-        hosts = [{"host": name, "dial": "%s:%d" % self.servers[name].getsockname(), "site": "x", "class": "m",
-                  "block": 1, "health": "ready", "share": 1.0, "born_ms": 0, **changed} for name in names]
+        hosts = [
+            {
+                "host": name,
+                "dial": "%s:%d" % self.servers[name].getsockname(),
+                "site": "x",
+                "class": "m",
+                "block": 1,
+                "health": "ready",
+                "share": 1.0,
+                "born_ms": 0,
+                **changed,
+            }
+            for name in names
+        ]
         return {"seq": self.seq, "whole": whole, "hosts": hosts}
 
     def watched(self, *names, **changed):
         """Takes the proxy's watch in and sends it a first list."""
         self.watch = Peer(self, "discovery", self.discovery.accept()[0])
         request = self.watch.hear()
-        while self.watch.hear() != "(end)":     # an empty line: the request is whole
+        while self.watch.hear() != "(end)":  # an empty line: the request is whole
             pass
         del self.lines[-4:]
         self.watch.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n")
@@ -324,7 +395,10 @@
         """A client that sent its line."""
         client = self.client(name)
         values = {"c": "any", "t": "t", "d": 2000, **values}
-        client.say(f"OPEN id-{key} {key} " + ",".join(f"{name}={value}" for name, value in values.items()))
+        client.say(
+            f"OPEN id-{key} {key} "
+            + ",".join(f"{name}={value}" for name, value in values.items())
+        )
         return client
 
     def taken(self, names):
@@ -351,7 +425,10 @@
 
     def sockets(self):
         """What the system says that the program holds, without its two listening ones and the loop's own two."""
-        links = [os.readlink(path) for path in pathlib.Path(f"/proc/{self.process.pid}/fd").iterdir()]
+        links = [
+            os.readlink(path)
+            for path in pathlib.Path(f"/proc/{self.process.pid}/fd").iterdir()
+        ]
         return sum(link.startswith("socket:") for link in links) - 4
 
     def stop(self):
@@ -368,8 +445,19 @@
 
 if __name__ == "__main__":
     sys.path.insert(0, str(pathlib.Path(__file__).parent))
-    for module in ("test_policy", "test_net", "test_proxy", "test_lab", "test_worlds", "test_members", "test_store",
-                   "test_journal", "test_operations", "test_rare_lists",
-                   "test_rare_dials", "test_rare_stops"):
+    for module in (
+        "test_policy",
+        "test_net",
+        "test_proxy",
+        "test_lab",
+        "test_worlds",
+        "test_members",
+        "test_store",
+        "test_journal",
+        "test_operations",
+        "test_rare_lists",
+        "test_rare_dials",
+        "test_rare_stops",
+    ):
         for scenario, run in importlib.import_module(module).SCENARIOS.items():
             (TRACES / f"{scenario}.txt").write_text("\n".join(run()) + "\n")
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -24,17 +24,30 @@
         self.loads = dict.fromkeys(WARM, 0.0) | {"d": 0.1}
         self.more = more
         self.dials = deque()
-        self.weights = [self.rng.lognormvariate(0.0, 1.2 if skewed else 0.0) for _ in range(count)]
+        self.weights = [
+            self.rng.lognormvariate(0.0, 1.2 if skewed else 0.0) for _ in range(count)
+        ]
         self.now, self.started, self.sessions = 0.0, None, 0
         self.processes = [self.begin(number) for number in range(count)]
 
     def begin(self, number):
-        process = Drive(self.rng.random(), self.loads, proxies=self.count, number=number, cold_for=COLD_FOR,
-                        start_share=SHARE, cold_multiple=MULTIPLE, cold_window=WINDOW, **self.more)
+        process = Drive(
+            self.rng.random(),
+            self.loads,
+            proxies=self.count,
+            number=number,
+            cold_for=COLD_FOR,
+            start_share=SHARE,
+            cold_multiple=MULTIPLE,
+            cold_window=WINDOW,
+            **self.more,
+        )
         process.loud = False
         process.now = self.now
         process.balancer.on_start(self.now)
-        process.list(*WARM, *([("d", self.started)] if self.started is not None else []))
+        process.list(
+            *WARM, *([("d", self.started)] if self.started is not None else [])
+        )
         return process
 
     def session(self, process):
@@ -49,7 +62,7 @@
         held, every = dict.fromkeys(WARM, 0), until / (0.6 * self.borne * len(WARM))
         while self.now < until:
             self.now += every
-            process, = self.rng.choices(self.processes, self.weights)
+            (process,) = self.rng.choices(self.processes, self.weights)
             process.until(self.now)
             sess = self.session(process)
             if sess.accepted is not None:
@@ -67,7 +80,12 @@
     def start_cold(self, late):
         """A server starts; each process is told by itself, up to `late` ms after."""
         self.started = self.now
-        told = sorted(((self.now + self.rng.uniform(0.0, late), number) for number in range(self.count)))
+        told = sorted(
+            (
+                (self.now + self.rng.uniform(0.0, late), number)
+                for number in range(self.count)
+            )
+        )
         for when, number in told:
             process = self.processes[number]
             process.now = when
@@ -79,8 +97,10 @@
         by ones that know nothing of what was sent."""
         self.loads.update(dict.fromkeys(WARM, 1.5))
         order = list(range(self.count))
-        again = {number: self.now + self.rng.uniform(0.0, 1000.0)
-                 for number in self.rng.sample(order, int(restarted * self.count))}
+        again = {
+            number: self.now + self.rng.uniform(0.0, 1000.0)
+            for number in self.rng.sample(order, int(restarted * self.count))
+        }
         began = self.now
         while self.now < began + span:
             self.rng.shuffle(order)
@@ -125,17 +145,23 @@
 
 
 CASES = {
-    "alike": {}, "some get most": {"skewed": True}, "half start anew": {"restarted": 0.5},
-    "told late": {"late": 1900.0}, "larger servers": {"borne": 300.0},
-    "all at once": {"skewed": True, "restarted": 0.5, "late": 1900.0}}
+    "alike": {},
+    "some get most": {"skewed": True},
+    "half start anew": {"restarted": 0.5},
+    "told late": {"late": 1900.0},
+    "larger servers": {"borne": 300.0},
+    "all at once": {"skewed": True, "restarted": 0.5, "late": 1900.0},
+}
 
 
 @pytest.mark.parametrize("case", CASES)
-@pytest.mark.parametrize("count, seeds", [(2, 12), (4, 12), (8, 12), (20, 12), (30, 12), (200, 2)])
+@pytest.mark.parametrize(
+    "count, seeds", [(2, 12), (4, 12), (8, 12), (20, 12), (30, 12), (200, 2)]
+)
 def test_a_cold_server_bears_the_sum_over_all_processes(count, seeds, case):
     found = [played(count, seed, **CASES[case]) for seed in range(seeds)]
     assert max(over for over, _ in found) <= 0.0
-    assert sum(sent for _, sent in found) >= seeds      # nor does it stay empty
+    assert sum(sent for _, sent in found) >= seeds  # nor does it stay empty
 
 
 @pytest.mark.parametrize("count", [2, 4, 8])
@@ -157,7 +183,11 @@
     for number, budget in enumerate(budgets):
         budget.number, budget.proxies = number, count
     for _ in range(300):
-        server, part, now = Server("s", started=0.0), rng.uniform(0.0, 0.5), rng.uniform(0.0, COLD_FOR)
+        server, part, now = (
+            Server("s", started=0.0),
+            rng.uniform(0.0, 0.5),
+            rng.uniform(0.0, COLD_FOR),
+        )
         server.draws = [rng.getrandbits(32)]
         having = sum(budget.turn(now, server) < part for budget in budgets)
         assert abs(having - count * part) < 3.0
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -64,7 +64,9 @@
         self.turns.until(lambda: not self.proxy.clients and not self.proxy.silent)
         for peer in peers:
             peer.sock.close()
-        self.turns.until(lambda: not self.turns.carrier.sockets and not self.turns.carrier.parting)
+        self.turns.until(
+            lambda: not self.turns.carrier.sockets and not self.turns.carrier.parting
+        )
 
     # Of a session that was up
 
@@ -137,12 +139,14 @@
         self.turns.for_ms(2 * self.proxy.limits.sweep)
         client.sock.close()
         self.over(client, server)
-        for server in self.proxy.servers.values():      # which keeps one such session until it says something
+        for server in (
+            self.proxy.servers.values()
+        ):  # which keeps one such session until it says something
             self.proxy.heard(server)
 
     def handed_over(self):
         client, server = self.up()
-        (sess, machine), = self.proxy.clients.items()
+        ((sess, machine),) = self.proxy.clients.items()
         handles = self.proxy.hand_over(sess, machine)
         del sess, machine
         self.turns.turn(3)
@@ -151,7 +155,7 @@
 
     def taken_over(self):
         client, server = self.up()
-        (sess, machine), = self.proxy.clients.items()
+        ((sess, machine),) = self.proxy.clients.items()
         told = told_session(machine, machine.dial)
         handles = self.proxy.hand_over(sess, machine)
         del sess, machine
@@ -189,7 +193,10 @@
         client, server = self.dialled()
         server.say("ERR")
         server.sock.close()
-        while not self.turns.until(lambda: self.turns.dialled() or not self.proxy.clients) or self.proxy.clients:
+        while (
+            not self.turns.until(lambda: self.turns.dialled() or not self.proxy.clients)
+            or self.proxy.clients
+        ):
             server = self.turns.taken()
             self.turns.hears(server)
             server.say("ERR")
@@ -308,16 +315,29 @@
 
 
 KINDS = (Wire, Client, Dialled, ProbeLink, Watch, Call, Session)
-SETTLED = 100.0     # longer than any alarm holds what it is for
-SHORT = {"linger": 60.0, "line_in": 80.0, "sweep": 25.0, "unanswered": 40.0, "second_answer": 5.0, "probe": 60.0}
+SETTLED = 100.0  # longer than any alarm holds what it is for
+SHORT = {
+    "linger": 60.0,
+    "line_in": 80.0,
+    "sweep": 25.0,
+    "unanswered": 40.0,
+    "second_answer": 5.0,
+    "probe": 60.0,
+}
 
 
 def turned(**more):
     return Turns(limits=SHORT, dial=0.5, **more)
 
 
-@pytest.mark.parametrize("how", [name for name in vars(Ends) if name not in ("open", "dialled", "up", "over")
-                                 and not name.startswith("_")])
+@pytest.mark.parametrize(
+    "how",
+    [
+        name
+        for name in vars(Ends)
+        if name not in ("open", "dialled", "up", "over") and not name.startswith("_")
+    ],
+)
 def test_no_session_is_left_to_the_collector(how):
     with turned(discovery=False) as turns:
         turns.until(lambda: turns.proxy.ready)
@@ -335,10 +355,13 @@
             client = ends.open()
             turns.hears(client)
             ends.over(client)
+
         assert not left_to_the_collector(turns, dial)
 
 
-@pytest.mark.parametrize("answer", ("PONG util=0.5", "nonsense", "PONG util=0.5 reset", "reset", None))
+@pytest.mark.parametrize(
+    "answer", ("PONG util=0.5", "nonsense", "PONG util=0.5 reset", "reset", None)
+)
 def test_no_probe_is_left_to_the_collector(answer):
     with turned(discovery=False) as turns:
         turns.until(lambda: turns.proxy.ready)
@@ -361,6 +384,7 @@
                 link.end(None)
             at.sock.close()
             turns.until(lambda: not turns.carrier.sockets)
+
         assert not left_to_the_collector(turns, ask)
 
 
@@ -370,6 +394,7 @@
     patience = {"list_silence": 60.0, "list_again": 40.0} if ends == "silent" else {}
     with Turns(limits={"list_retry": 20.0, **patience}) as turns:
         turns.proxy.leave_watch()
+
         def answer():
             turns.proxy.open_watch()
             watch, _ = turns.watch()
@@ -377,7 +402,12 @@
                 watch.say("what?")
             elif ends != "silent":
                 turns.head(watch)
-                turns.chunk(watch, "[}\n" if ends == "no list" else json.dumps(turns.list("a", "b")) + "\n")
+                turns.chunk(
+                    watch,
+                    "[}\n"
+                    if ends == "no list"
+                    else json.dumps(turns.list("a", "b")) + "\n",
+                )
             turns.for_ms(10)
             if ends == "left":
                 turns.proxy.open_watch()
@@ -389,6 +419,7 @@
             turns.watches.clear()
             while turns.discovery_waits():
                 turns.discovery.accept()[0].close()
+
         assert not left_to_the_collector(turns, answer)
 
 
@@ -407,23 +438,31 @@
                     turns.for_ms(30)
                     assert sock.recv(65536)
             turns.until(lambda: not turns.carrier.sockets)
+
         assert not left_to_the_collector(turns, ask)
         listens.close()
 
 
 # Collections while much is open
 
+
 class Walked:
     """How many objects each full collection walks over, from now on; the settings are put back at the end."""
 
     def __enter__(self):
-        self.counts, self.callbacks, self.thresholds = [], list(gc.callbacks), gc.get_threshold()
+        self.counts, self.callbacks, self.thresholds = (
+            [],
+            list(gc.callbacks),
+            gc.get_threshold(),
+        )
         gc.callbacks.append(self.note)
         return self
 
     def note(self, phase, told):
         if phase == "start" and told["generation"] == 2:
-            self.counts.append(sum(len(gc.get_objects(generation)) for generation in range(3)))
+            self.counts.append(
+                sum(len(gc.get_objects(generation)) for generation in range(3))
+            )
 
     def __exit__(self, *_):
         gc.callbacks[:] = self.callbacks
@@ -460,8 +499,15 @@
         seen.append(gc.get_freeze_count() - seen[0])
         del kept
 
-    node = node_of({"name": "n0", "listen": "127.0.0.1:1", "discovery": False, "seed": "5eed",
-                    "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]}})
+    node = node_of(
+        {
+            "name": "n0",
+            "listen": "127.0.0.1:1",
+            "discovery": False,
+            "seed": "5eed",
+            "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]},
+        }
+    )
     monkeypatch.setattr(daemon, "serve", serve)
     monkeypatch.setattr(daemon, "allow_sockets", lambda node: node)
     monkeypatch.setattr(daemon, "Log", lambda *_: SimpleNamespace(close=lambda: None))
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -10,19 +10,46 @@
     ("wheathill.model",),
     ("wheathill.policy", "wheathill.config"),
     # State machines, told of what happens: no sockets, no loop.
-    ("wheathill.net.admin", "wheathill.net.bans", "wheathill.net.carried", "wheathill.net.client",
-     "wheathill.net.discovery", "wheathill.net.figures", "wheathill.net.lines", "wheathill.net.machine",
-     "wheathill.net.operators", "wheathill.net.proxy", "wheathill.net.server", "wheathill.net.told",
-     "wheathill.peers.board", "wheathill.peers.drains", "wheathill.peers.facts", "wheathill.peers.frames",
-     "wheathill.peers.membership", "wheathill.peers.witness", "wheathill.peers.zones",
-     "wheathill.store.cells", "wheathill.store.replica", "wheathill.handover.state"),
-    ("wheathill.net", "wheathill.drill", "wheathill.peers", "wheathill.store", "wheathill.handover"),
+    (
+        "wheathill.net.admin",
+        "wheathill.net.bans",
+        "wheathill.net.carried",
+        "wheathill.net.client",
+        "wheathill.net.discovery",
+        "wheathill.net.figures",
+        "wheathill.net.lines",
+        "wheathill.net.machine",
+        "wheathill.net.operators",
+        "wheathill.net.proxy",
+        "wheathill.net.server",
+        "wheathill.net.told",
+        "wheathill.peers.board",
+        "wheathill.peers.drains",
+        "wheathill.peers.facts",
+        "wheathill.peers.frames",
+        "wheathill.peers.membership",
+        "wheathill.peers.witness",
+        "wheathill.peers.zones",
+        "wheathill.store.cells",
+        "wheathill.store.replica",
+        "wheathill.handover.state",
+    ),
+    (
+        "wheathill.net",
+        "wheathill.drill",
+        "wheathill.peers",
+        "wheathill.store",
+        "wheathill.handover",
+    ),
     ("wheathill.daemon",),
     ("wheathill", "wheathill.cli", "wheathill.__main__"),
     ("wheathill.lab",),
 )
 # The command line offers the lab's commands, and imports them once one is called.
-OFFERED = {("wheathill.cli", f"wheathill.lab.{name}") for name in ("tools.experiments", "tools.sites", "scale.commands")}
+OFFERED = {
+    ("wheathill.cli", f"wheathill.lab.{name}")
+    for name in ("tools.experiments", "tools.sites", "scale.commands")
+}
 
 
 def modules(root):
@@ -30,7 +57,9 @@
     found = {}
     for path in sorted((root / "wheathill").rglob("*.py")):
         parts = path.relative_to(root).with_suffix("").parts
-        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = path.read_text()
+        found[".".join(parts[:-1] if parts[-1] == "__init__" else parts)] = (
+            path.read_text()
+        )
     return found
 
 
@@ -58,7 +87,11 @@
     for child in ast.iter_child_nodes(node):
         if isinstance(child, (ast.Import, ast.ImportFrom)):
             yield child, late
-        yield from statements(child, late or isinstance(child, (ast.FunctionDef, ast.AsyncFunctionDef, ast.Lambda)))
+        yield from statements(
+            child,
+            late
+            or isinstance(child, (ast.FunctionDef, ast.AsyncFunctionDef, ast.Lambda)),
+        )
 
 
 def cycles(arrows):
@@ -73,19 +106,31 @@
                     seen.add(other)
                     ahead.append(other)
         reached[name] = seen
-    return sorted({tuple(sorted(other for other in seen if name in reached[other]))
-                   for name, seen in reached.items() if name in seen})
+    return sorted(
+        {
+            tuple(sorted(other for other in seen if name in reached[other]))
+            for name, seen in reached.items()
+            if name in seen
+        }
+    )
 
 
 def layer(name):
-    fits = [(len(prefix), place) for place, within in enumerate(LAYERS) for prefix in within
-            if name == prefix or name.startswith(prefix + ".")]
+    fits = [
+        (len(prefix), place)
+        for place, within in enumerate(LAYERS)
+        for prefix in within
+        if name == prefix or name.startswith(prefix + ".")
+    ]
     return max(fits)[1]
 
 
 def upward(arrows):
-    return sorted(f"{one} -> {other}" for (one, other), late in arrows.items()
-                  if layer(other) > layer(one) and not (late and (one, other) in OFFERED))
+    return sorted(
+        f"{one} -> {other}"
+        for (one, other), late in arrows.items()
+        if layer(other) > layer(one) and not (late and (one, other) in OFFERED)
+    )
 
 
 def test_no_module_imports_itself_by_way_of_others():
@@ -102,16 +147,29 @@
 
 
 def test_faults_are_found():
-    texts = {"wheathill": "", "wheathill.net": "", "wheathill.daemon": "",
-             "wheathill.model": "if True:\n    from wheathill import policy",
-             "wheathill.policy": "def f():\n    def g():\n        from wheathill.model import Phase",
-             "wheathill.net.lines": "import wheathill.net.driver as driver",
-             "wheathill.net.driver": "class A:\n    import json, wheathill.daemon",
-             "wheathill.cli": "from wheathill.lab.tools.experiments import run",
-             "wheathill.lab.tools.experiments": "from wheathill import net"}
+    texts = {
+        "wheathill": "",
+        "wheathill.net": "",
+        "wheathill.daemon": "",
+        "wheathill.model": "if True:\n    from wheathill import policy",
+        "wheathill.policy": "def f():\n    def g():\n        from wheathill.model import Phase",
+        "wheathill.net.lines": "import wheathill.net.driver as driver",
+        "wheathill.net.driver": "class A:\n    import json, wheathill.daemon",
+        "wheathill.cli": "from wheathill.lab.tools.experiments import run",
+        "wheathill.lab.tools.experiments": "from wheathill import net",
+    }
     arrows = imports(texts)
     assert cycles(arrows) == [("wheathill.model", "wheathill.policy")]
-    assert upward(arrows) == ["wheathill.cli -> wheathill.lab.tools.experiments", "wheathill.model -> wheathill.policy",
-                              "wheathill.net.driver -> wheathill.daemon", "wheathill.net.lines -> wheathill.net.driver"]
-    arrows = imports({**texts, "wheathill.cli": "def f():\n    import wheathill.lab.tools.experiments"})
+    assert upward(arrows) == [
+        "wheathill.cli -> wheathill.lab.tools.experiments",
+        "wheathill.model -> wheathill.policy",
+        "wheathill.net.driver -> wheathill.daemon",
+        "wheathill.net.lines -> wheathill.net.driver",
+    ]
+    arrows = imports(
+        {
+            **texts,
+            "wheathill.cli": "def f():\n    import wheathill.lab.tools.experiments",
+        }
+    )
     assert not any("cli" in arrow for arrow in upward(arrows))
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -14,7 +14,7 @@
 class Faulty(Files):
     """Fails from the Nth write or sync on; may take a part of what it is given first."""
 
-    def __init__(self, writes=10 ** 9, syncs=10 ** 9, part=0):
+    def __init__(self, writes=10**9, syncs=10**9, part=0):
         self.writes, self.syncs, self.part = writes, syncs, part
 
     def write(self, file, data):
@@ -22,7 +22,7 @@
         if self.writes < 0:
             raise OSError(errno.ENOSPC, "No space left on device")
         if self.writes == 0 and self.part:
-            return os.write(file, data[:self.part])
+            return os.write(file, data[: self.part])
         return os.write(file, data)
 
     def sync(self, file):
@@ -51,7 +51,9 @@
         journal = Journal(str(path), "c")
         numbers = [words[1] for words in journal.tail]
         assert numbers == ([0, 1, 2, 3, 4] if size == len(whole) else [0, 1, 2, 3])
-        assert journal.damage == [] and journal.torn == (size - start if size < len(whole) else 0)
+        assert journal.damage == [] and journal.torn == (
+            size - start if size < len(whole) else 0
+        )
         # What comes after is read again.
         journal.append([["cell", 9, ""]])
         journal.sync()
@@ -67,7 +69,13 @@
         data = bytearray(whole)
         data[place] ^= 0x40
         found, good, damage = records(data)
-        assert [words[1] for words in found] in ([1, 2, 3, 4], [0, 2, 3, 4], [0, 1, 3, 4], [0, 1, 2, 4], [0, 1, 2, 3])
+        assert [words[1] for words in found] in (
+            [1, 2, 3, 4],
+            [0, 2, 3, 4],
+            [0, 1, 3, 4],
+            [0, 1, 2, 4],
+            [0, 1, 2, 3],
+        )
         assert damage or good < len(whole)
 
 
@@ -84,7 +92,11 @@
     (path / "log.0").write_bytes(record(["cell", "old"]))
     (path / "snap.2.new").write_bytes(b"half")
     journal = Journal(str(path), "c")
-    assert (journal.image, journal.tail, journal.damage) == (["image", 5], [["cell", 6]], [])
+    assert (journal.image, journal.tail, journal.damage) == (
+        ["image", 5],
+        [["cell", 6]],
+        [],
+    )
     journal.close()
     # The snapshot itself is damaged: it is named, and what is left is read.
     (path / "snap.1").write_bytes(b"\0" * 40)
@@ -96,13 +108,16 @@
 
 def refusals():
     import tempfile
+
     with tempfile.TemporaryDirectory() as folder:
+
         def said(make):
             try:
                 make()
                 return "nothing"
             except DiskFailed as wrong:
                 return str(wrong).replace(folder, "DIR")
+
         path = os.path.join(folder, "d")
         journal = Journal(path, "c")
         yield f"a second process: {said(lambda: Journal(path, 'c'))}"
@@ -110,8 +125,11 @@
         journal.sync()
         journal.close()
         yield f"another cluster: {said(lambda: Journal(path, 'other'))}"
-        for name, files in (("full", Faulty(writes=1)), ("full in a record's middle", Faulty(writes=2, part=3)),
-                            ("lost sync", Faulty(syncs=1))):
+        for name, files in (
+            ("full", Faulty(writes=1)),
+            ("full in a record's middle", Faulty(writes=2, part=3)),
+            ("lost sync", Faulty(syncs=1)),
+        ):
             journal = Journal(path, "c", files)
             if name == "full":
                 journal.append([["cell", 2]])
@@ -162,10 +180,12 @@
     gate.set()
     journal = Journal(str(tmp_path / "d"), "c", Slow())
     gate.clear()
-    keeper = Keeper(journal, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400)
+    keeper = Keeper(
+        journal, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400
+    )
     del syncs[:]
     for number in range(500):
-        keeper.put(["cell", number])     # returns though the disk stands still
+        keeper.put(["cell", number])  # returns though the disk stands still
     assert loop.kept == 0 and keeper.due
     gate.set()
     keeper.close()
@@ -179,7 +199,9 @@
 def test_a_disk_that_fails_is_told_once(tmp_path):
     loop = Loop()
     journal = Journal(str(tmp_path / "d"), "c", Faulty(writes=2))
-    keeper = Keeper(journal, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400)
+    keeper = Keeper(
+        journal, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400
+    )
     for number in range(20):
         loop.event.clear()
         keeper.put(["cell", number])
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -12,8 +12,13 @@
 
 
 def states(cluster, name, of=None):
-    return f"{name} is " + ", ".join(sorted({view.get(name, "unknown") for view in cluster.views().values()}
-                                           if of is None else {cluster.views()[of].get(name, "unknown")}))
+    return f"{name} is " + ", ".join(
+        sorted(
+            {view.get(name, "unknown") for view in cluster.views().values()}
+            if of is None
+            else {cluster.views()[of].get(name, "unknown")}
+        )
+    )
 
 
 def one_dies_and_is_back():
@@ -114,9 +119,18 @@
     yield f"told {len(stale) > 100}, agreed {cluster.agreed()}, false deaths {len(cluster.false)}"
 
 
-SCENARIOS = {run.__name__: lambda run=run: list(run()) for run in (
-    one_dies_and_is_back, starved_instance_accuses_nobody, heard_by_nobody, two_halves, leaves, two_claim_one_name,
-    doubled_overtaken_and_a_minute_late)}
+SCENARIOS = {
+    run.__name__: lambda run=run: list(run())
+    for run in (
+        one_dies_and_is_back,
+        starved_instance_accuses_nobody,
+        heard_by_nobody,
+        two_halves,
+        leaves,
+        two_claim_one_name,
+        doubled_overtaken_and_a_minute_late,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -128,7 +142,10 @@
     def digest(seed):
         cluster = Cluster(10, seed, faults={"loss": 0.2})
         cluster.run(20)
-        return cluster.digest(), [instance.sent for instance in cluster.instances.values()]
+        return cluster.digest(), [
+            instance.sent for instance in cluster.instances.values()
+        ]
+
     assert digest(3) == digest(3) != digest(4)
 
 
@@ -143,9 +160,25 @@
             return lambda *args: None
 
     import random
-    membership = Membership(Actions(), random.Random(1), "a", "a:1", 1, period=1000.0, patience=300.0, helpers=3,
-                            kept=1000.0, sync_every=1000.0)
-    for words in (["what"], ["ping", 1], ["ping", 1, "b", [["asleep", "b", "b:1", 0, 1, ""]]], []):
+
+    membership = Membership(
+        Actions(),
+        random.Random(1),
+        "a",
+        "a:1",
+        1,
+        period=1000.0,
+        patience=300.0,
+        helpers=3,
+        kept=1000.0,
+        sync_every=1000.0,
+    )
+    for words in (
+        ["what"],
+        ["ping", 1],
+        ["ping", 1, "b", [["asleep", "b", "b:1", 0, 1, ""]]],
+        [],
+    ):
         with pytest.raises(ValueError):
             membership.on_message(0.0, "b:1", words)
 
@@ -167,7 +200,10 @@
     cluster.run(10)
     cluster.pause("i003")
     cluster.run(30)
-    assert not cluster.false and cluster.instances["i001"].membership.members["i003"].state != "dead"
+    assert (
+        not cluster.false
+        and cluster.instances["i001"].membership.members["i003"].state != "dead"
+    )
     cluster.resume("i003")
     cluster.run(10)
     assert cluster.agreed() and any("stood still" in line for line in cluster.lines)
@@ -179,7 +215,7 @@
     cluster.vanish("i002")
     stale = cluster.instances["i004"].membership.members["i002"].words()
     assert cluster.instances["i001"].membership.remove(cluster.clock.now(), "i002")
-    cluster.run(100)        # longer than it is remembered
+    cluster.run(100)  # longer than it is remembered
     for instance in cluster.running():
         instance.membership.hear(cluster.clock.now(), [[*stale, "i004"]])
         assert "i002" not in instance.membership.members
@@ -190,7 +226,7 @@
 
     def __init__(self, answer):
         self.now, self.alarms, self.rang, self.knocks = 0.0, [], 0, []
-        self.answer = answer        # what a knock finds, at once or after its wait
+        self.answer = answer  # what a knock finds, at once or after its wait
         self.send = self.changed = self.log = lambda *args: None
 
     def alarm(self, at, what):
@@ -201,7 +237,9 @@
     def knock(self, name, birth, address, wait, why):
         self.knocks.append(self.now)
         at = self.now + (1.0 if self.answer == "up" else wait)
-        heapq.heappush(self.alarms, (at, next(self.order), ("knocked", name, birth, why)))
+        heapq.heappush(
+            self.alarms, (at, next(self.order), ("knocked", name, birth, why))
+        )
 
     def run(self, membership, until, most):
         while self.alarms[0][0] <= until:
@@ -218,16 +256,35 @@
 @pytest.mark.parametrize("count", [2, 3, 4, 7])
 @pytest.mark.parametrize("answer", ["up", "nothing"])
 @pytest.mark.parametrize("starved", [False, True])
-def test_suspects_that_can_t_be_buried_are_looked_at_now_and_then(count, answer, starved):
+def test_suspects_that_can_t_be_buried_are_looked_at_now_and_then(
+    count, answer, starved
+):
     """By one that was stopped itself and is answered by nobody, or of members whose machines take connections while
     they stand still. Among few a suspicion is shorter than the last knock; that is no cause to look without a pause."""
     actions = Alone(answer)
-    membership = Membership(actions, random.Random(1), "a", "h:1", 1, period=1000.0, patience=300.0, helpers=3,
-                            kept=60_000.0, sync_every=10_000.0)
+    membership = Membership(
+        actions,
+        random.Random(1),
+        "a",
+        "h:1",
+        1,
+        period=1000.0,
+        patience=300.0,
+        helpers=3,
+        kept=60_000.0,
+        sync_every=10_000.0,
+    )
     membership.start(0.0, [])
     others = [f"b{number}" for number in range(1, count)]
     membership.hear(0.0, [[ALIVE, name, f"h:{name}", 0, 5, name] for name in others])
-    membership.hear(0.0, [[SUSPECT, name, f"h:{name}", 0, 5, by] for name in others for by in (*others, "c", "d")])
+    membership.hear(
+        0.0,
+        [
+            [SUSPECT, name, f"h:{name}", 0, 5, by]
+            for name in others
+            for by in (*others, "c", "d")
+        ],
+    )
     if starved:
         membership.wake(1.0, 500.0)
     actions.run(membership, 30_000.0, 60 * 30 * count)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -26,9 +26,13 @@
 
     def __getattr__(self, what):
         def say(*args, **named):
-            shown = [str(arg) for arg in args
-                     if isinstance(arg, (bytes, str, dict, bool)) or hasattr(arg, "value")]
+            shown = [
+                str(arg)
+                for arg in args
+                if isinstance(arg, (bytes, str, dict, bool)) or hasattr(arg, "value")
+            ]
             self.lines.append(" ".join([self.name, what, *shown, *map(str, named)]))
+
         return say
 
     def may_send(self, dial):
@@ -49,10 +53,14 @@
 
 def dialled():
     lines = []
-    client = Client(Hand("client", lines), Hand("door", lines), LIMITS, Hand("clock", lines))
+    client = Client(
+        Hand("client", lines), Hand("door", lines), LIMITS, Hand("clock", lines)
+    )
     client.connected()
     client.received(b"OPEN id k d=9,c=any\r\n")
-    dial = client.dial = Dialled(client, Server("a"), Hand("door", lines), LIMITS, Hand("clock", lines))
+    dial = client.dial = Dialled(
+        client, Server("a"), Hand("door", lines), LIMITS, Hand("clock", lines)
+    )
     dial.start(Hand("server", lines), 1000.0, 100.0)
     del lines[:]
     return client, dial, lines
@@ -134,16 +142,22 @@
     watch = Watch("127.0.0.1", 4, Hand("door", lines), LIMITS, Hand("clock", lines))
     watch.start(Hand("wire", lines))
     watch.connected()
-    for byte in (b"HTTP/1.1 200 OK\r\ncontent-type: x\r\nTransfer-Encoding: Chunked\r\n\r\n"
-                 b'8\r\n{"seq":5\r\n2;x=y\r\n}\n\r\n1\r\n\n\r\n0\r\n'):
+    for byte in (
+        b"HTTP/1.1 200 OK\r\ncontent-type: x\r\nTransfer-Encoding: Chunked\r\n\r\n"
+        b'8\r\n{"seq":5\r\n2;x=y\r\n}\n\r\n1\r\n\n\r\n0\r\n'
+    ):
         watch.received(bytes([byte]))
     return lines
 
 
 def watch_refused():
     lines = []
-    for answer in (b"HTTP/1.1 503 no\r\n", b"SSH-2.0\r\n", b"HTTP/1.1 200 OK\r\n\r\n{]\n",
-                   b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nmany\r\n"):
+    for answer in (
+        b"HTTP/1.1 503 no\r\n",
+        b"SSH-2.0\r\n",
+        b"HTTP/1.1 200 OK\r\n\r\n{]\n",
+        b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nmany\r\n",
+    ):
         watch = Watch("127.0.0.1", 4, Hand("door", lines), LIMITS, Hand("clock", lines))
         watch.start(Hand("wire", lines))
         watch.received(answer)
@@ -157,12 +171,16 @@
 
 def too_many_pings():
     lines = []
-    client = Client(Hand("client", lines), Hand("door", lines), LIMITS, Hand("clock", lines))
+    client = Client(
+        Hand("client", lines), Hand("door", lines), LIMITS, Hand("clock", lines)
+    )
     client.connected()
     for _ in range(25):
         client.received(b"PING\r\n")
         if "door bad_client" in lines[-1]:
-            return [f"{lines[-1]} after {sum('client send' in line for line in lines)} answers"]
+            return [
+                f"{lines[-1]} after {sum('client send' in line for line in lines)} answers"
+            ]
 
 
 def head_and_report():
@@ -173,9 +191,22 @@
     yield str(report(b"", ["x0"]))
 
 
-SCENARIOS = {run.__name__: run for run in (
-    last_byte, line_by_bytes, move_waits, half_a_line_asks_nothing, backpressure, end_of_what_was_reset,
-    watch_by_bytes, watch_refused, buffers_and_memory, too_many_pings, head_and_report)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        last_byte,
+        line_by_bytes,
+        move_waits,
+        half_a_line_asks_nothing,
+        backpressure,
+        end_of_what_was_reset,
+        watch_by_bytes,
+        watch_refused,
+        buffers_and_memory,
+        too_many_pings,
+        head_and_report,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -29,7 +29,13 @@
 class Desk:
     """What the door's table leads to."""
 
-    limits, clock, ready, stopping, handed_over = LIMITS, Hand("clock", []), True, None, False
+    limits, clock, ready, stopping, handed_over = (
+        LIMITS,
+        Hand("clock", []),
+        True,
+        None,
+        False,
+    )
 
     def metrics(self):
         raise RuntimeError("a fault")
@@ -51,7 +57,11 @@
         made.ended()
     if not lines:
         return "waits"
-    sent = "".join(line.partition("send ")[2] for line in lines).replace("\\r\\n", " ").replace("\\n", "")
+    sent = (
+        "".join(line.partition("send ")[2] for line in lines)
+        .replace("\\r\\n", " ")
+        .replace("\\n", "")
+    )
     return sent.replace("b'", "").replace("'", "")
 
 
@@ -59,34 +69,65 @@
     whole = b"GET /status HTTP/1.1\r\nHost: a\r\n\r\n"
     yield call(whole)
     yield f"the same at every cut: {all(call(whole[:cut], whole[cut:]) == call(whole) for cut in range(len(whole)))}"
-    yield f"and byte by byte: {call(*(whole[at:at + 1] for at in range(len(whole)))) == call(whole)}"
-    for text in (b"GET /status HTTP/1.1\r\nHost: a\r\n", b"", b"GET /status HTTP/1.1\r\nContent-Length: 3\r\n\r\nab"):
+    yield f"and byte by byte: {call(*(whole[at : at + 1] for at in range(len(whole)))) == call(whole)}"
+    for text in (
+        b"GET /status HTTP/1.1\r\nHost: a\r\n",
+        b"",
+        b"GET /status HTTP/1.1\r\nContent-Length: 3\r\n\r\nab",
+    ):
         yield f"{text!r}: {call(text)}"
         yield f"{text!r} and the end: {call(text, end=True)}"
-    for text in (b"\r\nGET http://a:1/status?x=%41 HTTP/1.0\r\n\r\n", b"GET /status HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
-                 b"GET /status\r\n\r\n", b"GET /status HTTP/2.0\r\n\r\n", b"get it HTTP/1.1\r\n\r\n", b"\x16\x03\x01 b HTTP/1.1\r\n",
-                 b"GET /none HTTP/1.1\r\n\r\n", b"DELETE /status HTTP/1.1\r\n\r\n", b"GET /status?a=%4 HTTP/1.1\r\n\r\n",
-                 b"GET /status?a=%ff HTTP/1.1\r\n\r\n", b"GET /status HTTP/1.1\r\nno colon\r\n\r\n",
-                 b"GET /status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
-                 b"GET /status HTTP/1.1\r\nContent-Length: -1\r\n\r\n", b"GET /status HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
-                 b"GET /status HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n", b"GET /status HTTP/1.1\r\n" + b"a: b\r\n" * 65,
-                 b"GET /" + b"a" * 9000, b"GET /status HTTP/1.1\r\n" + b"a: " + b"b" * 5000 + b"\r\na: " + b"b" * 4000 + b"\r\n"):
+    for text in (
+        b"\r\nGET http://a:1/status?x=%41 HTTP/1.0\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc",
+        b"GET /status\r\n\r\n",
+        b"GET /status HTTP/2.0\r\n\r\n",
+        b"get it HTTP/1.1\r\n\r\n",
+        b"\x16\x03\x01 b HTTP/1.1\r\n",
+        b"GET /none HTTP/1.1\r\n\r\n",
+        b"DELETE /status HTTP/1.1\r\n\r\n",
+        b"GET /status?a=%4 HTTP/1.1\r\n\r\n",
+        b"GET /status?a=%ff HTTP/1.1\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nno colon\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nContent-Length: -1\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nContent-Length: 1\r\nContent-Length: 2\r\n\r\n",
+        b"GET /status HTTP/1.1\r\nContent-Length: 99999999\r\n\r\n",
+        b"GET /status HTTP/1.1\r\n" + b"a: b\r\n" * 65,
+        b"GET /" + b"a" * 9000,
+        b"GET /status HTTP/1.1\r\n"
+        + b"a: "
+        + b"b" * 5000
+        + b"\r\na: "
+        + b"b" * 4000
+        + b"\r\n",
+    ):
         yield f"{text[:60]!r}: {call(text)}"
 
 
 def test_a_handler_fault_is_answered():
     lines = []
-    made = Call(Hand("", lines), OperatorsDoor(Desk()).answer, LIMITS, Hand("clock", []))
+    made = Call(
+        Hand("", lines), OperatorsDoor(Desk()).answer, LIMITS, Hand("clock", [])
+    )
     made.connected()
-    with pytest.raises(RuntimeError):       # caught and logged by the wire, which then tells of it
+    with pytest.raises(
+        RuntimeError
+    ):  # caught and logged by the wire, which then tells of it
         made.received(b"GET /status/metrics HTTP/1.1\r\n\r\n")
     made.fault()
     assert "HTTP/1.1 500" in lines[0] and made.done
 
 
 def door_under_silent_callers():
-    with Rig(settings={"listeners": [{"name": name, "repeat": "fragile", "dialTimeoutS": 2.0}
-                                     for name in ("any", "other")]}) as rig:
+    with Rig(
+        settings={
+            "listeners": [
+                {"name": name, "repeat": "fragile", "dialTimeoutS": 2.0}
+                for name in ("any", "other")
+            ]
+        }
+    ) as rig:
         rig.call("GET /status")
         rig.watched("a", "b")
         rig.until_logged("ready")
@@ -102,7 +143,7 @@
             server.hear()
             server.say("BUSY")
         refused.hear()
-        rig.open("k2").hear()           # an id that was seen
+        rig.open("k2").hear()  # an id that was seen
         rig.open("k4", c="none").hear()
         left = rig.open("k5")
         server = rig.taken(("a", "b"))
@@ -114,15 +155,26 @@
 
 
 def servers_out_by_hand():
-    with Rig(mode="proxy", inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}) as rig:
+    with Rig(
+        mode="proxy",
+        inherited=True,
+        settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
+    ) as rig:
         rig.watched("a", "b")
         rig.until_logged("ready")
         client, server = rig.up()
         name = server.name[-1]
         other = "b" if name == "a" else "a"
         say = "PUT /maintenance/{}?host={}".format
-        for call in (say("enter", name), say("enter", name), say("enter", "nobody"), "PUT /maintenance/enter",
-                     "PUT /maintenance/enter?host=", "PUT /maintenance/enter?host=a&host=b", f"GET /maintenance/enter?host={name}"):
+        for call in (
+            say("enter", name),
+            say("enter", name),
+            say("enter", "nobody"),
+            "PUT /maintenance/enter",
+            "PUT /maintenance/enter?host=",
+            "PUT /maintenance/enter?host=a&host=b",
+            f"GET /maintenance/enter?host={name}",
+        ):
             rig.call(call)
         client.hear()
         rig.call("GET /status/metrics")
@@ -152,21 +204,50 @@
 
 def balanced(node):
     """A proxy without sockets, and the drive that stands where its actions go."""
-    proxy = Proxy(node, types.SimpleNamespace(limits=node.limits, sockets=0), Hand("clock", []), lambda *_, **__: None)
+    proxy = Proxy(
+        node,
+        types.SimpleNamespace(limits=node.limits, sockets=0),
+        Hand("clock", []),
+        lambda *_, **__: None,
+    )
     proxy.balancer.actions = Hand("", [])
     proxy.now = lambda: 70_000.0
     return proxy
 
 
 def test_state_goes_over_whole():
-    node = node_of({"name": "n", "listen": "h:1", "discovery": "h:2", "seed": "s",
-                    "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]}})
+    node = node_of(
+        {
+            "name": "n",
+            "listen": "h:1",
+            "discovery": "h:2",
+            "seed": "s",
+            "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]},
+        }
+    )
     old, new, third = balanced(node), balanced(node), balanced(node)
     old.clock.from_wall = lambda wall: wall
-    old.listed({"seq": 7, "hosts": [
-        {"host": name, "dial": "h:3", "site": "x", "health": health, "born_ms": born}
-        for name, health, born in (("a", "ready", 0), ("b", "ready", 69_000), ("c", "draining", 0), ("d", "ready", 0))]},
-        ListKind.FULL)
+    old.listed(
+        {
+            "seq": 7,
+            "hosts": [
+                {
+                    "host": name,
+                    "dial": "h:3",
+                    "site": "x",
+                    "health": health,
+                    "born_ms": born,
+                }
+                for name, health, born in (
+                    ("a", "ready", 0),
+                    ("b", "ready", 69_000),
+                    ("c", "draining", 0),
+                    ("d", "ready", 0),
+                )
+            ],
+        },
+        ListKind.FULL,
+    )
     old.balancer.on_hand(70_000.0, "d", True, old.servers["d"])
     for number in range(5):
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
@@ -190,20 +271,42 @@
         return [orjson.loads(orjson.dumps(part, default=tuple)) for part in tell(proxy)]
 
     assert took(new, parts) == parts
-    assert not new.balancer.roster.may_dial(70_000.0, new.servers["d"], False) and new.seen == 7
+    assert (
+        not new.balancer.roster.may_dial(70_000.0, new.servers["d"], False)
+        and new.seen == 7
+    )
     before = list(tell(third))
-    for at, part in enumerate(parts):       # what is twisted, or lacks a part, changes nothing
-        twisted = json.loads(json.dumps(part).replace("70000.0", '"x"').replace('"a"', "7").replace('"id 0"', "7"))
-        lacking = parts[:at] + parts[at + 1:] if next(iter(part)) in ("servers", "table", "rest") else []
-        for wrong in (lacking, parts[:at] + [twisted] + parts[at + 1:]):
+    for at, part in enumerate(
+        parts
+    ):  # what is twisted, or lacks a part, changes nothing
+        twisted = json.loads(
+            json.dumps(part)
+            .replace("70000.0", '"x"')
+            .replace('"a"', "7")
+            .replace('"id 0"', "7")
+        )
+        lacking = (
+            parts[:at] + parts[at + 1 :]
+            if next(iter(part)) in ("servers", "table", "rest")
+            else []
+        )
+        for wrong in (lacking, parts[:at] + [twisted] + parts[at + 1 :]):
             with pytest.raises(ValueError):
                 took(third, wrong)
             assert list(tell(third)) == before
 
 
 def large(servers=(), **limits):
-    node = node_of({"name": "n", "listen": "h:1", "discovery": "h:2", "seed": "s", "limits": limits,
-                    "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]}})
+    node = node_of(
+        {
+            "name": "n",
+            "listen": "h:1",
+            "discovery": "h:2",
+            "seed": "s",
+            "limits": limits,
+            "settings": {"listeners": [{"name": "any", "repeat": "retryable"}]},
+        }
+    )
     proxy = balanced(node)
     proxy.clock.from_wall = lambda wall: wall
     if servers:
@@ -212,8 +315,14 @@
 
 
 def list_of(names, seq=1):
-    return {"seq": seq, "whole": True, "hosts": [
-        {"host": name, "dial": "h:3", "site": "x", "health": "ready", "born_ms": 0} for name in names]}
+    return {
+        "seq": seq,
+        "whole": True,
+        "hosts": [
+            {"host": name, "dial": "h:3", "site": "x", "health": "ready", "born_ms": 0}
+            for name in names
+        ],
+    }
 
 
 def told_parts(proxy):
@@ -231,13 +340,15 @@
     """The build before had fewer slots: its servers and all else are taken, and its slots are not."""
     old, new = large("abc"), large()
     parts = told_parts(old)
-    table, = (part["table"] for part in parts if "table" in part)
+    (table,) = (part["table"] for part in parts if "table" in part)
     for name in ("home", "current", "new"):
         table[name] = table[name][:512]
     table["new"][3], table["opened"] = 0, [[3, 70_000.0]]
     taken(new, parts)
     mine, theirs = new.balancer.table, old.balancer.table
-    assert [server.name for server in mine.current] == [server.name for server in theirs.current]
+    assert [server.name for server in mine.current] == [
+        server.name for server in theirs.current
+    ]
     assert mine.size == 4096 and not any(mine.new) and not mine.opened
     table["new"] = table["new"][:-1]
     with pytest.raises(ValueError):
@@ -260,16 +371,26 @@
         server.dialled.extend(70_000.0 + place / 7 for place in range(128))
     parts = told_parts(old)
     assert max(len(orjson.dumps(part)) for part in parts) < old.limits.list_line
-    assert sum(len(orjson.dumps(part)) for part in parts if "servers" in part) > 2 * old.limits.list_line
+    assert (
+        sum(len(orjson.dumps(part)) for part in parts if "servers" in part)
+        > 2 * old.limits.list_line
+    )
     taken(new, parts)
-    assert list(new.servers) == names and new.servers[names[-1]].dialled == old.servers[names[-1]].dialled
+    assert (
+        list(new.servers) == names
+        and new.servers[names[-1]].dialled == old.servers[names[-1]].dialled
+    )
 
 
 def test_state_is_bounded_by_what_a_process_may_hold():
     proxy = large(sockets=1000, memory_mb=32)
     limits = proxy.limits
-    for name, most in (("ids", limits.ids + 1000), ("names", limits.names), ("servers", limits.list_line // 40),
-                       ("moved", limits.ids + limits.names)):
+    for name, most in (
+        ("ids", limits.ids + 1000),
+        ("names", limits.names),
+        ("servers", limits.list_line // 40),
+        ("moved", limits.ids + limits.names),
+    ):
         told = Told(limits)
         told.take(name, ["x"] * most)
         with pytest.raises(ValueError):
@@ -286,7 +407,10 @@
     assert names[0][0] not in {server.name for server in proxy.balancer.roster.servers}
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
-        proxy.listed(list_of([f"{seq}-{number}" for number in range(8000)], seq=seq), ListKind.FULL)
+        proxy.listed(
+            list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
+            ListKind.FULL,
+        )
     assert len(proxy.names) == 8000 + proxy.limits.names
 
 
@@ -302,7 +426,9 @@
 def test_what_goes_over_next_is_found_without_a_walk_over_all():
     """All sessions go over, a few at a time: with a walk over all each time the old process stood still."""
     proxy = large(sockets=2000)
-    proxy.clients = Counted({number: types.SimpleNamespace(quiet=number % 5 != 0) for number in range(1000)})
+    proxy.clients = Counted(
+        {number: types.SimpleNamespace(quiet=number % 5 != 0) for number in range(1000)}
+    )
     proxy.hand_over = lambda sess, client: [sess, -sess]
     sent = []
     giver = Giver(Hand("wire", []), proxy, None)
@@ -316,12 +442,18 @@
         giver.carry()
     finally:
         talk.told_session = state
-    (handles, told), = sent
-    assert len(told["sessions"]) == proxy.limits.carried and len(handles) == 2 * proxy.limits.carried
+    ((handles, told),) = sent
+    assert (
+        len(told["sessions"]) == proxy.limits.carried
+        and len(handles) == 2 * proxy.limits.carried
+    )
     assert proxy.clients.looked <= 1.25 * proxy.limits.carried + 1
 
 
-@pytest.mark.parametrize("text", [b"", b"{", b"[]", b'{"version":9,"out":{}}', b'{"version":1,"out":{"a":"b"}}'])
+@pytest.mark.parametrize(
+    "text",
+    [b"", b"{", b"[]", b'{"version":9,"out":{}}', b'{"version":1,"out":{"a":"b"}}'],
+)
 def test_bad_bans(tmp_path, text):
     (tmp_path / "file").write_bytes(text)
     with pytest.raises(ValueError):
@@ -334,7 +466,8 @@
     def __init__(self, rig):
         self.rig = rig
         self.path = f"{rig.folder.name}/" + next(
-            (path.name for path in pathlib.Path(rig.folder.name).glob("*.up")), "")
+            (path.name for path in pathlib.Path(rig.folder.name).glob("*.up")), ""
+        )
         self.sock = socket.socket(socket.AF_UNIX)
         self.sock.settimeout(8.0)
         self.rest, self.handles = b"", []
@@ -368,7 +501,11 @@
 
 
 def upgrade_in_flight():
-    with Rig(mode="proxy", inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}) as rig:
+    with Rig(
+        mode="proxy",
+        inherited=True,
+        settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
+    ) as rig:
         rig.watched("a", "b")
         rig.until_logged("ready")
         client, server = rig.up()
@@ -378,7 +515,7 @@
         dialled = rig.taken(("a", "b"))
         dialled.hear()
         silent = rig.client("client without a line")
-        rig.client("client that asks").ask("PING")      # so the one before it was let in
+        rig.client("client that asks").ask("PING")  # so the one before it was let in
         old = rig.admin
         rig.begin_beside()
         rig.until_logged("took over")
@@ -403,10 +540,10 @@
             other.hear()
             other.say("ne, and another" if one is client else "echo")
             one.hear()
-        rig.open("k2").hear()           # the id of another
+        rig.open("k2").hear()  # the id of another
         rig.up("k4")
         rig.call("GET /status/metrics")
-        rig.begin_beside()              # a second upgrade, at once
+        rig.begin_beside()  # a second upgrade, at once
         rig.until_logged("took over")
         rig.watched("a", "b")
         client.say("and here")
@@ -423,12 +560,16 @@
         client, server = rig.up()
         for version, name in ((VERSION + 1, "n0"), (VERSION, "n9")):
             partner = Partner(rig)
-            rig.lines.append(f"version {version - VERSION:+}, {name}: {partner.take_over(name, version)}")
+            rig.lines.append(
+                f"version {version - VERSION:+}, {name}: {partner.take_over(name, version)}"
+            )
             partner.close()
         partner = Partner(rig)
         rig.lines.append(f"told: {partner.take_over()}")
         newcomer = rig.open("k2")
-        rig.lines.append(f"taken in meanwhile: {bool(select.select(list(rig.servers.values()), [], [], 0.3)[0])}")
+        rig.lines.append(
+            f"taken in meanwhile: {bool(select.select(list(rig.servers.values()), [], [], 0.3)[0])}"
+        )
         partner.close()
         rig.taken(("a", "b")).hear()
         client.say("one")
@@ -439,7 +580,9 @@
         found = partner.hear()
         while "sessions" not in found:
             found = partner.hear()
-        rig.lines.append(f"sessions on their way: {len(found['sessions'])}, handles {len(partner.handles)}")
+        rig.lines.append(
+            f"sessions on their way: {len(found['sessions'])}, handles {len(partner.handles)}"
+        )
         rig.until_logged("handed over")
         partner.close()
         rig.until_logged("handover undone")
@@ -450,7 +593,7 @@
         rig.up("k5")
         partner = Partner(rig)
         partner.take_over()
-        rig.until_logged("handover undone")     # it says nothing for too long
+        rig.until_logged("handover undone")  # it says nothing for too long
         rig.up("k6")
         rig.call("GET /status")
         partner.close()
@@ -461,7 +604,9 @@
 def upgrades_that_meet():
     """Two processes started at once beside one; one that is told to stop is still taken over from; SIGHUP
     meanwhile; the last process serves all, exactly one accepts."""
-    with Rig(inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}) as rig:
+    with Rig(
+        inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}
+    ) as rig:
         rig.watched("a", "b")
         rig.until_logged("ready")
         client, server = rig.up()
@@ -475,11 +620,16 @@
         rig.process, third = second, rig.process
         rig.until_logged("accepting")
         # Whichever came first was taken over from by the other.
-        found = {process: rig.process_says(process, "handed over") for process in (second, third)}
+        found = {
+            process: rig.process_says(process, "handed over")
+            for process in (second, third)
+        }
         last = next(process for process, handed in found.items() if not handed)
         first = next(process for process, handed in found.items() if handed)
         first.terminate()
-        rig.lines.append(f"the first two exit with {rig.old[0].wait(8)} and {first.wait(8)}")
+        rig.lines.append(
+            f"the first two exit with {rig.old[0].wait(8)} and {first.wait(8)}"
+        )
         rig.process = last
         rig.reload(name="n9")
         client.say("still here")
@@ -490,9 +640,14 @@
 
 
 BAD_HANDOVERS = {
-    "dies in the middle": [b'{"servers": [{"na'], "no JSON": [b"what?\n"], "foreign": [b'{"no": "version 9"}\n'],
-    "no state": [b'{"servers": []}\n{"told": true}\n'], "unknown part": [b'{"tables": {}}\n'],
-    "too long": [b'{"ids": ["' + b"x" * 5_000_000], "says nothing": []}
+    "dies in the middle": [b'{"servers": [{"na'],
+    "no JSON": [b"what?\n"],
+    "foreign": [b'{"no": "version 9"}\n'],
+    "no state": [b'{"servers": []}\n{"told": true}\n'],
+    "unknown part": [b'{"tables": {}}\n'],
+    "too long": [b'{"ids": ["' + b"x" * 5_000_000],
+    "says nothing": [],
+}
 
 
 def bad_handovers():
@@ -501,7 +656,9 @@
         rig.watched("a", "b")
         rig.until_logged("ready")
         rig.call("PUT /maintenance/enter?host=a")
-        path = pathlib.Path(next(str(path) for path in pathlib.Path(rig.folder.name).glob("*.up")))
+        path = pathlib.Path(
+            next(str(path) for path in pathlib.Path(rig.folder.name).glob("*.up"))
+        )
         for what, pieces in BAD_HANDOVERS.items():
             rig.process.kill()
             rig.process.wait()
@@ -520,7 +677,9 @@
                 if pieces:
                     partner.sock.shutdown(socket.SHUT_WR)
                 found = rig.until_logged(("no handover", "bad handover"))
-                rig.lines.append(f"{what}: {found['event']}, {found.get('why') or found.get('what')}")
+                rig.lines.append(
+                    f"{what}: {found['event']}, {found.get('why') or found.get('what')}"
+                )
                 rig.watched("a", "b")
                 rig.up(f"k {what}".replace(" ", "-"), ("a", "b"))
                 partner.close()
@@ -530,22 +689,38 @@
 def calls_of_the_page():
     """What the page for staff on call says, line by line."""
     page = pathlib.Path("docs/operations.md").read_text()
-    calls = re.findall(r"^    curl -s (?:-X (PUT) )?'?localhost:9600(\S+?)'? +# (200) ?(\{.*?\})?", page, re.MULTILINE)
+    calls = re.findall(
+        r"^    curl -s (?:-X (PUT) )?'?localhost:9600(\S+?)'? +# (200) ?(\{.*?\})?",
+        page,
+        re.MULTILINE,
+    )
     with Rig(names=("s-1", "s-2")) as rig:
         rig.watched("s-1", "s-2")
         rig.until_logged("ready")
         for method, target, status, body in calls:
             found = rig.call(f"{method or 'GET'} {target}")
-            assert rig.lines[-1].split()[2] == status and (not body or found == json.loads(body)), target
+            assert rig.lines[-1].split()[2] == status and (
+                not body or found == json.loads(body)
+            ), target
         told = rig.call("GET /status/metrics")
         for figure in (*told, *told["downstream_requests"]["any"]):
             assert f"`{figure}`" in page, figure
         return rig.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    calls_by_bytes, calls_of_the_page, door_under_silent_callers, servers_out_by_hand, upgrade_in_flight,
-    new_process_dies, upgrades_that_meet, bad_handovers)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        calls_by_bytes,
+        calls_of_the_page,
+        door_under_silent_callers,
+        servers_out_by_hand,
+        upgrade_in_flight,
+        new_process_dies,
+        upgrades_that_meet,
+        bad_handovers,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -553,15 +728,28 @@
     assert kept(name, list(SCENARIOS[name]()))
 
 
-@pytest.mark.parametrize("told, key", [
-    ({"NODE_ADMIN_ADDR": "here"}, "admin_addr"), ({"NODE_FD": "x"}, "NODE_FD"), ({"NODE_FD": "77"}, "NODE_FD"),
-    ({"NODE_FD": "0"}, "NODE_FD")])
+@pytest.mark.parametrize(
+    "told, key",
+    [
+        ({"NODE_ADMIN_ADDR": "here"}, "admin_addr"),
+        ({"NODE_FD": "x"}, "NODE_FD"),
+        ({"NODE_FD": "77"}, "NODE_FD"),
+        ({"NODE_FD": "0"}, "NODE_FD"),
+    ],
+)
 def test_bad_configuration(tmp_path, told, key):
     path = tmp_path / "config.json"
-    path.write_text('{"settings": {"listeners": [{}]}, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",'
-                    '"name": "n", "seed": ""}')
+    path.write_text(
+        '{"settings": {"listeners": [{}]}, "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",'
+        '"name": "n", "seed": ""}'
+    )
     one, other = socket.socketpair()
     with one, other:
-        done = subprocess.run([sys.executable, "-m", "wheathill"], capture_output=True, text=True, stdin=one,
-                              env={"NODE_CONFIG": str(path), **told})
+        done = subprocess.run(
+            [sys.executable, "-m", "wheathill"],
+            capture_output=True,
+            text=True,
+            stdin=one,
+            env={"NODE_CONFIG": str(path), **told},
+        )
     assert (done.returncode, done.stderr.partition(":")[0]) == (2, key)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -36,8 +36,13 @@
     one, other = pair()
     frame = one.close(2, ["x"])
     for place in range(len(frame)):
-        spoilt = frame[:place] + bytes([frame[place] ^ 1]) + frame[place + 1:]
-        assert dropped(other.open, spoilt) in ("damaged", "another version", "another key", "too long")
+        spoilt = frame[:place] + bytes([frame[place] ^ 1]) + frame[place + 1 :]
+        assert dropped(other.open, spoilt) in (
+            "damaged",
+            "another version",
+            "another key",
+            "too long",
+        )
         assert dropped(other.open, frame[:place]) == "damaged"
     assert dropped(Seal("d", KEY, "b", 2).open, frame) == "another cluster"
     assert dropped(Seal("c", b"l" * 32, "b", 2).open, frame) == "another key"
@@ -78,14 +83,18 @@
 
 def test_shares_shrink_at_once_and_grow_with_certainty():
     facts = Facts(0.0, "a", 1, 5, (), aged=3000.0, silence=0.0)
-    assert facts.state == ALONE and facts.share(0.0) == 1 / 6       # and one that may have been before
+    assert (
+        facts.state == ALONE and facts.share(0.0) == 1 / 6
+    )  # and one that may have been before
     assert settled(facts, 100.0, "bcde") == AGREED
     assert facts.share(4000.0) == 1 / 5
     facts.member(5000.0, "b", 10, "dead", False)
     assert facts.look(5000.0, 0) == DOUBT and facts.share(50_000.0) == 1 / 5
     facts.member(51_000.0, "b", 10, "dead", True)
     assert facts.share(51_000.0) == 1 / 5 and facts.share(54_000.0) == 1 / 4
-    facts.member(55_000.0, "c", 99, "alive", False)         # c anew: the one before may still count
+    facts.member(
+        55_000.0, "c", 99, "alive", False
+    )  # c anew: the one before may still count
     assert facts.share(55_000.0) == 1 / 5
     for name in "fgh":
         facts.member(60_000.0, name, 7, "alive", False)
@@ -114,21 +123,39 @@
             chance.choice(sides).append(name)
         total = 0.0
         for side in sides:
-            fresh = [f"f{id(side)}{place}" for place in range(chance.randint(0, 4))] if side else []
+            fresh = (
+                [f"f{id(side)}{place}" for place in range(chance.randint(0, 4))]
+                if side
+                else []
+            )
             here = side + fresh
             views = {}
             for name in here:
-                facts = views[name] = Facts(-1e9, name, here.index(name) + 1, 1, (), aged=1.0, silence=0.0)
+                facts = views[name] = Facts(
+                    -1e9, name, here.index(name) + 1, 1, (), aged=1.0, silence=0.0
+                )
                 facts.old = name in side
                 for other in old + fresh:
                     if other != name:
-                        facts.member(0.0, other, (here + old).index(other) + 1, "alive" if other in here else "dead", False)
+                        facts.member(
+                            0.0,
+                            other,
+                            (here + old).index(other) + 1,
+                            "alive" if other in here else "dead",
+                            False,
+                        )
                         facts.there[other].old = other in old
             told = [name for name in here if chance.random() < 0.8]
             for name, facts in views.items():
                 for other in told:
                     if other != name:
-                        facts.told(other, here.index(other) + 1, views[other].digest(), other in side, 1.0)
+                        facts.told(
+                            other,
+                            here.index(other) + 1,
+                            views[other].digest(),
+                            other in side,
+                            1.0,
+                        )
                 facts.state = DOUBT
             total += sum(facts.share(0.0) for facts in views.values())
         assert total <= 1.0 + 1e-9, seed
@@ -136,18 +163,24 @@
 
 def test_drains_come_back_only_by_something_newer():
     drains = Drains()
-    assert drains.hear("x", 1, [["g", 1, True, 5.0]]) == ["g"] and drains.drains("g", 5.0)
-    assert not drains.drains("g", 6.0)                      # a later start
+    assert drains.hear("x", 1, [["g", 1, True, 5.0]]) == ["g"] and drains.drains(
+        "g", 5.0
+    )
+    assert not drains.drains("g", 6.0)  # a later start
     assert drains.hear("x", 1, [["g", 1, False, 5.0]]) == [] and drains.drains("g", 5.0)
     drains.list_says("g", True, 5.0)
-    drains.hear("y", 1, [["g", 1, True, 5.0]])              # after the own list said so: may be another drain
+    drains.hear(
+        "y", 1, [["g", 1, True, 5.0]]
+    )  # after the own list said so: may be another drain
     drains.list_says("g", False, 5.0)
     assert drains.drains("g", 5.0)
-    drains.hear("y", 2, [["g", 9, False, 5.0]])             # another process of that name says nothing for it
+    drains.hear(
+        "y", 2, [["g", 9, False, 5.0]]
+    )  # another process of that name says nothing for it
     assert drains.drains("g", 5.0)
     drains.hear("y", 1, [["g", 2, False, 5.0]])
     assert not drains.drains("g", 5.0)
-    drains.hear("y", 1, [["g", 1, True, 5.0]])              # late
+    drains.hear("y", 1, [["g", 1, True, 5.0]])  # late
     assert not drains.drains("g", 5.0) and drains.told() == [["g", 2, False, 5.0]]
 
 
@@ -157,15 +190,26 @@
         for source, server, how in words:
             found.tell(100.0, source, [[server, how, 10.0]])
         return found
+
     assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(100.0, {}) == (["g"], [])
-    assert said(("x", "g", BAD)).verdicts(100.0, {}) == ([], [])                # one is none
-    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(100.0, {"g": (WELL, 99.0)}) == ([], [])  # own sight
-    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(4000.0, {}) == ([], [])  # old
+    assert said(("x", "g", BAD)).verdicts(100.0, {}) == ([], [])  # one is none
+    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(
+        100.0, {"g": (WELL, 99.0)}
+    ) == ([], [])  # own sight
+    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(4000.0, {}) == (
+        [],
+        [],
+    )  # old
     alone = said(("x", "g", WELL), ("y", "g", WELL))
     assert alone.verdicts(100.0, {"g": (BAD, 99.0)}) == ([], ["g"])
     # One behind a bad way calls bad what others are served by: it weighs less, also where nobody contradicts.
-    cut = said(*[("x", f"g{place}", BAD) for place in range(4)], *[("y", f"g{place}", WELL) for place in range(4)],
-               *[("z", f"g{place}", WELL) for place in range(4)], ("x", "h", BAD), ("y", "h", BAD))
+    cut = said(
+        *[("x", f"g{place}", BAD) for place in range(4)],
+        *[("y", f"g{place}", WELL) for place in range(4)],
+        *[("z", f"g{place}", WELL) for place in range(4)],
+        ("x", "h", BAD),
+        ("y", "h", BAD),
+    )
     assert cut.verdicts(100.0, {}) == ([], [])
 
 
@@ -185,7 +229,9 @@
     for facts in views:
         facts.look(0.0, 0)
     for server in ("g1", "g2", "g3"):
-        rights = [facts.right(server, 2.0, 0.25) for facts in views]        # 14 borne: 3.5 dials a window
+        rights = [
+            facts.right(server, 2.0, 0.25) for facts in views
+        ]  # 14 borne: 3.5 dials a window
         assert sorted(rights) == [0.0] * 4 + [1.0] * 3
         # Cut in two, each side names the same.
         for facts in views[:3]:
@@ -197,11 +243,21 @@
         for facts in views:
             if facts.name != gone:
                 facts.member(2.0, gone, names.index(gone) + 10, "dead", True)
-        after = [facts.right(server, 2.0, 0.25) for facts in views if facts.name != gone]
-        assert sum(after) == 3.0 and sum(a > b for a, b in zip(after, [right for name, right in zip(names, rights)
-                                                                       if name != gone])) == 1
+        after = [
+            facts.right(server, 2.0, 0.25) for facts in views if facts.name != gone
+        ]
+        assert (
+            sum(after) == 3.0
+            and sum(
+                a > b
+                for a, b in zip(
+                    after, [right for name, right in zip(names, rights) if name != gone]
+                )
+            )
+            == 1
+        )
         for facts in views:
             if facts.name != gone:
                 facts.member(3.0, gone, names.index(gone) + 10, "alive", False)
                 facts.there[gone].old = True
-    assert views[0].right("g1", 2.0, 1.0) == 2.0        # enough for all: its own part
+    assert views[0].right("g1", 2.0, 1.0) == 2.0  # enough for all: its own part
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -25,7 +25,11 @@
     d.shares()
     moved = next(s for s in held if d.balancer.table.new[s.slot] is not None)
     d.say("a new key on a shifted slot, then the same and an old key mid-flow:")
-    key = next(k for k in map(str, range(9999)) if d.balancer.table.new[_slot(d, k)] is not None)
+    key = next(
+        k
+        for k in map(str, range(9999))
+        if d.balancer.table.new[_slot(d, k)] is not None
+    )
     d.session("new", key=key)
     d.session("again", key=key, mid_flow=True)
     d.session("old", key=moved.key, mid_flow=True)
@@ -39,6 +43,7 @@
 
 def _slot(d, key):
     from wheathill.policy import slot_of
+
     return slot_of(key, d.balancer.table.size)
 
 
@@ -49,8 +54,10 @@
     d.list("e")
     d.shares()
     table = d.balancer.table
-    d.say(f"slots that changed without going to e: "
-          f"{sum(x is not y and y is not d.servers['e'] for x, y in zip(before, table.current))}")
+    d.say(
+        f"slots that changed without going to e: "
+        f"{sum(x is not y and y is not d.servers['e'] for x, y in zip(before, table.current))}"
+    )
     d.list(("e", Phase.GONE))
     d.say(f"table as before: {before == table.current}")
     d.list("a", "b", "c", kind=ListKind.FULL)
@@ -69,7 +76,9 @@
     d.loud = False
     later = [d.session(f"later {i}") for i in range(50)]
     d.loud = True
-    d.say(f"new sessions to a draining server: {sum(s.server is d.servers['a'] for s in later)}")
+    d.say(
+        f"new sessions to a draining server: {sum(s.server is d.servers['a'] for s in later)}"
+    )
     table = d.balancer.table
     table.exceptions[held.key] = (d.servers["a"], d.now)
     d.session("mid-flow at once", key=held.key, mid_flow=True)
@@ -86,9 +95,12 @@
 def repeats():
     d = Drive(most_dials=6)
     d.list(*FLEET, kind=ListKind.CACHED)
-    for listener in (Listener("repeatable"), Listener("once-only", Repeat.ONCE_ONLY, "all", 500.0),
-                     Listener("referenced, all", Repeat.REFERENCED, "all", 500.0),
-                     Listener("referenced, zone", Repeat.REFERENCED, "zone", 500.0)):
+    for listener in (
+        Listener("repeatable"),
+        Listener("once-only", Repeat.ONCE_ONLY, "all", 500.0),
+        Listener("referenced, all", Repeat.REFERENCED, "all", 500.0),
+        Listener("referenced, zone", Repeat.REFERENCED, "zone", 500.0),
+    ):
         for outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR):
             d.now += 60_000.0
             sess = d.session(f"{listener.name}/{outcome.value}", listener)
@@ -97,7 +109,9 @@
                 d.outcome(sess, outcome)
     d.say("after the window:")
     d.now += 60_000.0
-    sess = d.session("late", Listener("referenced, all", Repeat.REFERENCED, "all", 500.0))
+    sess = d.session(
+        "late", Listener("referenced, all", Repeat.REFERENCED, "all", 500.0)
+    )
     d.now += 600.0
     d.outcome(sess, Outcome.OVERDUE)
     return d.lines
@@ -125,7 +139,9 @@
 
 def odd_sizes():
     for count, proxies in ((0, 1), (1, 1), (150, 1), (150, 100_000), (600, 300)):
-        d = Drive(loads={f"s{i}": 0.3 + 0.4 * (i % 2) for i in range(count)}, proxies=proxies)
+        d = Drive(
+            loads={f"s{i}": 0.3 + 0.4 * (i % 2) for i in range(count)}, proxies=proxies
+        )
         d.loud = False
         d.list(*d.loads, kind=ListKind.FULL)
         d.pass_time(15_000.0)
@@ -134,7 +150,9 @@
         d.list(kind=ListKind.FULL)
         d.session("nobody left")
         d.loud = True
-        d.say(f"{count} servers, {proxies} proxies: {d.probes} probes, nobody left {d.ended('nobody left')}")
+        d.say(
+            f"{count} servers, {proxies} proxies: {d.probes} probes, nobody left {d.ended('nobody left')}"
+        )
         yield from d.lines
 
 
@@ -167,7 +185,10 @@
 
 def cold_start_among_many():
     """Each of 100 proxies holds too little to be due a whole session; all together must not be nought."""
-    drives = [Drive(seed=seed, loads=dict.fromkeys(FLEET, 0.2), proxies=100) for seed in range(100)]
+    drives = [
+        Drive(seed=seed, loads=dict.fromkeys(FLEET, 0.2), proxies=100)
+        for seed in range(100)
+    ]
     dialled = [0] * 10
     for number, d in enumerate(drives):
         d.list("a", "b", "c", kind=ListKind.CACHED)
@@ -179,7 +200,9 @@
         for second in range(10):
             d.until(d.now + 1000.0)
             for i in range(4):
-                dialled[second] += d.accept(f"{number}/{second}/{i}").server is d.servers["d"]
+                dialled[second] += (
+                    d.accept(f"{number}/{second}/{i}").server is d.servers["d"]
+                )
     d.loud = True
     d.say(f"of 400 sessions a second of 100 proxies to the cold server: {dialled}")
     return d.lines
@@ -227,7 +250,9 @@
     full = next(iter(d.names)).server
     d.loads = {name: 0.9 if name == full.name else 0.4 for name in FLEET}
     d.until(4500.0)
-    d.balancer.on_open_session(d.now, Session(Listener("any"), "open", d.now, group="line 7"), d.servers["c"])
+    d.balancer.on_open_session(
+        d.now, Session(Listener("any"), "open", d.now, group="line 7"), d.servers["c"]
+    )
     for i in range(2, 4):
         d.accept(f"s{i}", group="line 7")
     return d.lines
@@ -368,13 +393,21 @@
 def left_in_three_ticks():
     d = Drive(loads={"a": 0.1, "b": 0.1})
     d.list("a", "b")
-    held = [sess for sess in (d.accept(f"s{number}") for number in range(60)) if sess.server is d.servers["a"]]
+    held = [
+        sess
+        for sess in (d.accept(f"s{number}") for number in range(60))
+        if sess.server is d.servers["a"]
+    ]
     d.list(("a", Phase.DRAINING))
     for number in range(3):
         d.until(d.now + 1000.0)
         moved = [line for line in d.lines if "moved off a" in line]
         d.lines = []
-        for sess in [sess for sess in held if any(f"{d.names[sess]} moved" in line for line in moved)]:
+        for sess in [
+            sess
+            for sess in held
+            if any(f"{d.names[sess]} moved" in line for line in moved)
+        ]:
             d.balancer.on_outcome(d.now, sess, Outcome.CANCELLED, True)
         yield f"tick {number}: {len(moved)} of {len(held)} moved"
 
@@ -382,7 +415,11 @@
 def server_that_says_nothing():
     d = Drive(loads={"a": 0.1, "b": 0.1})
     d.list("a", "b")
-    held = [sess for sess in (d.accept(f"s{number}") for number in range(9)) if sess.server is d.servers["a"]]
+    held = [
+        sess
+        for sess in (d.accept(f"s{number}") for number in range(9))
+        if sess.server is d.servers["a"]
+    ]
     d.balancer.on_heard(d.now, d.servers["a"])
     d.say("one waits, then another, but something came meanwhile")
     d.until(800.0)
@@ -419,11 +456,17 @@
         d.accept(f"held {i}")
     d.hand("a", True)
     d.hand("a", True)
-    for step, entries in (("listed ready", ["a"]), ("listed draining", [("a", Phase.DRAINING)]),
-                          ("gone", [("a", Phase.GONE)]), ("back with a new start", [("a", 70_000.0)])):
+    for step, entries in (
+        ("listed ready", ["a"]),
+        ("listed draining", [("a", Phase.DRAINING)]),
+        ("gone", [("a", Phase.GONE)]),
+        ("back with a new start", [("a", 70_000.0)]),
+    ):
         d.list(*entries)
-        d.say(f"{step}: may be dialled {d.balancer.roster.may_dial(d.now, d.servers['a'], False)}, "
-              f"mid-flow {d.balancer.roster.may_dial(d.now, d.servers['a'], True)}")
+        d.say(
+            f"{step}: may be dialled {d.balancer.roster.may_dial(d.now, d.servers['a'], False)}, "
+            f"mid-flow {d.balancer.roster.may_dial(d.now, d.servers['a'], True)}"
+        )
     d.list("a", "b", "c", kind=ListKind.FULL)
     d.loud = False
     d.until(64_000.0)
@@ -437,8 +480,10 @@
         else:
             d.list(("a", listed))
         a = d.servers["a"]
-        d.say(f"a listed with start {listed}: counts as started {a.started}, cold {d.balancer.cold.cold(d.now, a)}, "
-              f"load known {bool(a.samples)}, ready {a in d.balancer.roster.servers}")
+        d.say(
+            f"a listed with start {listed}: counts as started {a.started}, cold {d.balancer.cold.cold(d.now, a)}, "
+            f"load known {bool(a.samples)}, ready {a in d.balancer.roster.servers}"
+        )
     d.hand("a", True)
     d.list(("a", Phase.DRAINING))
     d.hand("a", False)
@@ -448,7 +493,7 @@
     for name in "abc":
         d.hand(name, True)
     d.session("with all out")
-    d.servers.pop("b")          # gone from the list, and forgotten
+    d.servers.pop("b")  # gone from the list, and forgotten
     d.hand("b", False)
     d.list("b")
     d.say(f"put back while unlisted: counts as started {d.servers['b'].started}")
@@ -458,7 +503,9 @@
 def budget_of_dials():
     d = Drive(most_dials=6, budget=(2.0, 0.25, 1000.0))
     d.list(*FLEET, kind=ListKind.CACHED)
-    d.say("two further dials are free, four sessions allow one more; a packet of an open connection counts alike:")
+    d.say(
+        "two further dials are free, four sessions allow one more; a packet of an open connection counts alike:"
+    )
     held = [d.session(f"s{i}", key=f"key {i}", mid_flow=i == 3) for i in range(4)]
     for sess in held:
         d.outcome(sess, Outcome.CONNECT_FAILED)
@@ -472,11 +519,20 @@
     d.now += 2.0
     d.outcome(held[1], Outcome.CONNECT_FAILED)
     d.now += 60_000.0
-    d.say("a dear session found none left: the next cheap one leaves what a dear one would need")
+    d.say(
+        "a dear session found none left: the next cheap one leaves what a dear one would need"
+    )
     listeners = {"dear": Listener("dear", utility=5.0), "cheap": Listener("cheap")}
-    for wait, whose in ((0.0, ("dear",) * 3), (500.0, ("cheap",) * 6), (0.0, ("dear",))):
+    for wait, whose in (
+        (0.0, ("dear",) * 3),
+        (500.0, ("cheap",) * 6),
+        (0.0, ("dear",)),
+    ):
         d.now += wait
-        for sess in [d.session(f"{who} {place}", listeners[who]) for place, who in enumerate(whose)]:
+        for sess in [
+            d.session(f"{who} {place}", listeners[who])
+            for place, who in enumerate(whose)
+        ]:
             d.outcome(sess, Outcome.CONNECT_FAILED)
     return d.lines
 
@@ -487,7 +543,9 @@
     d.list(("a", Phase.GONE), ("b", Phase.DRAINING))
     d.list("c", kind=ListKind.FULL)
     d.shares()
-    d.say("a draining one never comes back by a list that leaves it out; the others give no answer or give one:")
+    d.say(
+        "a draining one never comes back by a list that leaves it out; the others give no answer or give one:"
+    )
     d.loads["a"] = None
     for server in "abd":
         d.balancer.probes.send(d.now, d.servers[server])
@@ -504,7 +562,11 @@
     d.session("any")
     d.loads = dict.fromkeys(d.loads, 0.66)
     d.until(1000.0)
-    group = next(str(name) for name in range(99) if d.balancer.table.home[_slot(d, str(name))] is d.servers["a"])
+    group = next(
+        str(name)
+        for name in range(99)
+        if d.balancer.table.home[_slot(d, str(name))] is d.servers["a"]
+    )
     held = d.session("held elsewhere", group=group)
     d.balancer.on_open_session(d.now, held, d.servers["b"])
     d.until(3000.0)
@@ -526,7 +588,9 @@
     held = [d.session(f"s{i}") for i in range(40)]
     d.until(800.0)
     d.loud = True
-    d.say(f"40 sessions: {sum(sess.server.name in far for sess in held)} went there, also where none was asked")
+    d.say(
+        f"40 sessions: {sum(sess.server.name in far for sess in held)} went there, also where none was asked"
+    )
     d.say("near ones are full:")
     d.loads.update((name, 0.95) for name in d.loads if name not in far)
     d.until(2500.0)
@@ -550,16 +614,21 @@
     held = [d.accept(f"s{i}") for i in range(24)]
     d.pass_time(2000.0)
     d.loud = True
-    on = {name: [sess for sess in held if sess.server is d.servers[name]] for name in FLEET}
+    on = {
+        name: [sess for sess in held if sess.server is d.servers[name]]
+        for name in FLEET
+    }
 
     def placed(text):
-        d.until(d.now + 600.0)      # what was dialled a moment ago is counted on top
+        d.until(d.now + 600.0)  # what was dialled a moment ago is counted on top
         d.loud = False
         new = [d.session(f"{text} {i}", key=f"{i}") for i in range(40)]
         d.loud = True
         counts = Counter(sess.server.name for sess in new if not sess.ended)
-        d.say(f"{text}: of 40 sessions {' '.join(f'{name} {counts[name]}' for name in FLEET)}; "
-              f"reports times {d.servers['a'].doubt:.2f}, {d.servers['b'].doubt:.2f}")
+        d.say(
+            f"{text}: of 40 sessions {' '.join(f'{name} {counts[name]}' for name in FLEET)}; "
+            f"reports times {d.servers['a'].doubt:.2f}, {d.servers['b'].doubt:.2f}"
+        )
         for sess in new:
             d.balancer.on_hang_up(d.now, sess)
 
@@ -589,16 +658,25 @@
         d.until(d.now + 1000.0)
         broken = [sess for sess in held if sess.server is a and not sess.ended]
         for sess in held:
-            d.outcome(sess, Outcome.RESET if sess.server is a else Outcome.COMPLETED, closed=True)
+            d.outcome(
+                sess,
+                Outcome.RESET if sess.server is a else Outcome.COMPLETED,
+                closed=True,
+            )
         since = d.now
-        while not (tries := [d.accept(f"turn {turn} {d.now} t{i}", key=f"t{i}") for i in range(20)]) or \
-                not [sess for sess in tries if sess.server is a]:
+        while not (
+            tries := [
+                d.accept(f"turn {turn} {d.now} t{i}", key=f"t{i}") for i in range(20)
+            ]
+        ) or not [sess for sess in tries if sess.server is a]:
             for sess in tries:
                 d.outcome(sess, Outcome.COMPLETED, closed=True)
             d.until(d.now + 250.0)
         d.loud = True
-        d.say(f"{len(broken)} connections broke at once; {d.now - since:.0f} ms later "
-              f"{sum(sess.server is a for sess in tries)} of 20 sessions tries it")
+        d.say(
+            f"{len(broken)} connections broke at once; {d.now - since:.0f} ms later "
+            f"{sum(sess.server is a for sess in tries)} of 20 sessions tries it"
+        )
         d.loud = False
         for sess in tries:
             d.outcome(sess, Outcome.COMPLETED, closed=True)
@@ -616,9 +694,11 @@
     d = Drive()
     d.list(*"abcdefgh", kind=ListKind.CACHED)
     health = d.balancer.health
-    for said, ends in (("two servers of five fail, with most dials", "c+ d+ e+ a- b- a- b- a-"),
-                       ("all fail but one dial", "c- d- e+ a- b- f- g-"),
-                       ("two met, both fail", "a- b-")):
+    for said, ends in (
+        ("two servers of five fail, with most dials", "c+ d+ e+ a- b- a- b- a-"),
+        ("all fail but one dial", "c- d- e+ a- b- f- g-"),
+        ("two met, both fail", "a- b-"),
+    ):
         d.now += 60_000.0
         for end in ends.split():
             health.dialled(d.now, d.servers[end[0]], end[1] == "+")
@@ -626,13 +706,42 @@
     return d.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    fails_by_turns, few_servers_fail, untrue_reports, slow_way, full_and_unknown, budget_of_dials, gone_does_not_bind, out_by_hand, packets_pay_for_probes, left_in_three_ticks, server_that_says_nothing, ordinary_path, join_and_leave, drain,
-    repeats, quick_failures, odd_sizes, few_figures,
-                                           cold_start, cold_start_among_many,
-                                           overload, without_probes, groups_meet,
-                                           told_late, asked_first, store_swamped, some_die, store_sheds, store_swamped_among_many,
-                                           list_out_of_reach, odd_input)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        fails_by_turns,
+        few_servers_fail,
+        untrue_reports,
+        slow_way,
+        full_and_unknown,
+        budget_of_dials,
+        gone_does_not_bind,
+        out_by_hand,
+        packets_pay_for_probes,
+        left_in_three_ticks,
+        server_that_says_nothing,
+        ordinary_path,
+        join_and_leave,
+        drain,
+        repeats,
+        quick_failures,
+        odd_sizes,
+        few_figures,
+        cold_start,
+        cold_start_among_many,
+        overload,
+        without_probes,
+        groups_meet,
+        told_late,
+        asked_first,
+        store_swamped,
+        some_die,
+        store_sheds,
+        store_swamped_among_many,
+        list_out_of_reach,
+        odd_input,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -643,17 +752,32 @@
 START = ["start", "p/0", 1, {"listeners": [], "balancers": 1}]
 
 
-@pytest.mark.parametrize("events, said", [
-    ("{", "line 2: not JSON"),
-    ("[]", "line 2: not a batch with a clock and events"),
-    ([["surprise", "p/0"]], "line 2: unknown event 'surprise'"),
-    ([["hangup", "p/0"]], "line 2: hangup takes 1 values after the instance, not 0"),
-    ([["rosterChange", "p/0", 1, 1, [[1]]]],
-     "line 2: rosterChange takes a known scope and entries of 7 values"),
-    ([["hangup", "p/1", "x"]], "line 2: hangup for instance 'p/1', which was never started"),
-])
+@pytest.mark.parametrize(
+    "events, said",
+    [
+        ("{", "line 2: not JSON"),
+        ("[]", "line 2: not a batch with a clock and events"),
+        ([["surprise", "p/0"]], "line 2: unknown event 'surprise'"),
+        (
+            [["hangup", "p/0"]],
+            "line 2: hangup takes 1 values after the instance, not 0",
+        ),
+        (
+            [["rosterChange", "p/0", 1, 1, [[1]]]],
+            "line 2: rosterChange takes a known scope and entries of 7 values",
+        ),
+        (
+            [["hangup", "p/1", "x"]],
+            "line 2: hangup for instance 'p/1', which was never started",
+        ),
+    ],
+)
 def test_malformed_line(events, said, capsys):
-    bad = events if isinstance(events, str) else json.dumps({"tS": 1.0, "happened": events})
+    bad = (
+        events
+        if isinstance(events, str)
+        else json.dumps({"tS": 1.0, "happened": events})
+    )
     out = io.StringIO()
     lines = json.dumps({"tS": 0.5, "happened": [START]}) + "\n" + bad + "\n"
     assert main(io.BytesIO(lines.encode()), out) == 2
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -67,7 +67,11 @@
 
 
 def once_only():
-    with Rig(settings={"listeners": [{"name": "any", "repeat": "fragile", "dialTimeoutS": 2.0}]}) as rig:
+    with Rig(
+        settings={
+            "listeners": [{"name": "any", "repeat": "fragile", "dialTimeoutS": 2.0}]
+        }
+    ) as rig:
         rig.watched("a", "b")
         client = rig.open()
         server = rig.taken(("a", "b"))
@@ -152,7 +156,9 @@
             client.hear()
             client.hear()
         found = rig.reload()
-        rig.lines.append(f"faults: {rig.seen['fault']}, moves of all at once: {rig.seen['decision']}, up {found['up']}")
+        rig.lines.append(
+            f"faults: {rig.seen['fault']}, moves of all at once: {rig.seen['decision']}, up {found['up']}"
+        )
         return rig.lines
 
 
@@ -174,7 +180,7 @@
         client, server = rig.up()
         rig.stop()
         newcomer, late = rig.up("late", name="newcomer")
-        time.sleep(2.5)     # longer than the longest dial timeout
+        time.sleep(2.5)  # longer than the longest dial timeout
         client.say("still here")
         server.hear()
         for peer in (client, server, newcomer, late):
@@ -206,9 +212,13 @@
         rig.tell(rig.list(name, whole=False, health="draining"))
         client.hear()
         client.hear()
-        rig.lines = [line.replace(f"server {name}", "server that drains") for line in rig.lines]
+        rig.lines = [
+            line.replace(f"server {name}", "server that drains") for line in rig.lines
+        ]
         left = rig.open("k2")
-        rig.lines.append(f"next dial goes elsewhere: {rig.taken(('a', 'b')).name != server.name}")
+        rig.lines.append(
+            f"next dial goes elsewhere: {rig.taken(('a', 'b')).name != server.name}"
+        )
         left.sock.close()
         return rig.lines
 
@@ -216,11 +226,24 @@
 def bad_input():
     with Rig() as rig:
         rig.watched("a", "b")
-        for text in ("garbage", "OPEN only three", "OPEN  k c=any,d=5", "OPEN i k c=nobody,d=5",
-                     "OPEN i k c=any,t=nobody,d=5", "OPEN i k c=any,d=soon", "OPEN i k c=any,d=-5",
-                     "OPEN i k c=any,d=1_0", "OPEN i k c=any,d=" + 23 * "9", "OPEN i k c=any,d=5,d=6",
-                     "OPEN i k c=any,d=5,r=2", "OPEN i\x07 k c=any,d=5", "\xff\xfe",
-                     "OPEN i k c=any,d=5\r\nOPEN j k c=any,d=5", "PING\r\nPING", "x" * 5000):
+        for text in (
+            "garbage",
+            "OPEN only three",
+            "OPEN  k c=any,d=5",
+            "OPEN i k c=nobody,d=5",
+            "OPEN i k c=any,t=nobody,d=5",
+            "OPEN i k c=any,d=soon",
+            "OPEN i k c=any,d=-5",
+            "OPEN i k c=any,d=1_0",
+            "OPEN i k c=any,d=" + 23 * "9",
+            "OPEN i k c=any,d=5,d=6",
+            "OPEN i k c=any,d=5,r=2",
+            "OPEN i\x07 k c=any,d=5",
+            "\xff\xfe",
+            "OPEN i k c=any,d=5\r\nOPEN j k c=any,d=5",
+            "PING\r\nPING",
+            "x" * 5000,
+        ):
             client = rig.client()
             rig.lines.append(f"client says {text[:30]!a}")
             client.say(text)
@@ -284,7 +307,9 @@
             for _ in range(1000):
                 client.sock.sendall(b"x" * 60_000)
         except OSError as wrong:
-            rig.lines.append(f"cut off: {isinstance(wrong, (ConnectionResetError, BrokenPipeError))}")
+            rig.lines.append(
+                f"cut off: {isinstance(wrong, (ConnectionResetError, BrokenPipeError))}"
+            )
         return rig.lines
 
 
@@ -302,7 +327,9 @@
         rig.lines.append(rig.watched())
         rig.tell(rig.list("a", whole=False, health="gone"))
         rig.tell(rig.list("b", whole=False))
-        rig.tell({"seq": 3, "whole": True, "hosts": [{"host": "b", "health": "asleep"}]})
+        rig.tell(
+            {"seq": 3, "whole": True, "hosts": [{"host": "b", "health": "asleep"}]}
+        )
         rig.up("k2", names=("a", "b", "c"))
         rig.tell({"seq": "none"})
         rig.watch.say("5\r\n{[}]\n")
@@ -322,10 +349,19 @@
         old, old_list = rig.watch, rig.discovery
         rig.discovery = listener()
         there = "%s:%d" % rig.discovery.getsockname()
-        rig.reload(discovery=there, listen="127.0.0.1:1", limits={"sockets": 200},
-                   settings={**rig.config["settings"], "obligations": {"drainGraceS": 0.1},
-                             "listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 1.0},
-                                           {"name": "added", "repeat": "retryable", "dialTimeoutS": 1.0}]})
+        rig.reload(
+            discovery=there,
+            listen="127.0.0.1:1",
+            limits={"sockets": 200},
+            settings={
+                **rig.config["settings"],
+                "obligations": {"drainGraceS": 0.1},
+                "listeners": [
+                    {"name": "any", "repeat": "retryable", "dialTimeoutS": 1.0},
+                    {"name": "added", "repeat": "retryable", "dialTimeoutS": 1.0},
+                ],
+            },
+        )
         old.hear()
         held = rig.open("before-the-list", c="added", name="newcomer")
         rig.taken(("a", "b")).hear()
@@ -370,14 +406,20 @@
             if server.name == "server a":
                 client.hear()
         del dials
-        for _ in range(20):     # the ends of what was answered are waited for, a second at most by the proxy
+        for _ in range(
+            20
+        ):  # the ends of what was answered are waited for, a second at most by the proxy
             time.sleep(0.25)
             found = rig.reload()
             if found["sockets"] == 2 * found["up"] + 1 == rig.sockets():
                 break
             rig.lines.pop()
-        rig.lines.append(", ".join(f"{name} {found[name]}" for name in ("up", "placed", "servers")))
-        rig.lines.append(f"sockets as many as believed: {found['sockets'] == rig.sockets()}, {found['sockets']}")
+        rig.lines.append(
+            ", ".join(f"{name} {found[name]}" for name in ("up", "placed", "servers"))
+        )
+        rig.lines.append(
+            f"sockets as many as believed: {found['sockets'] == rig.sockets()}, {found['sockets']}"
+        )
         rig.tell(rig.list("a", whole=False, health="gone"))
         return rig.lines
 
@@ -438,7 +480,7 @@
         link.say("PONG active=3,x0=0.95,new=1")
         client.hear()
         client = rig.open("k2")
-        time.sleep(1.7)     # the figure grows old, also for one that was full
+        time.sleep(1.7)  # the figure grows old, also for one that was full
         client = rig.open("k3")
         link.hear()
         link.say("PONG active=3,x0=0.2")
@@ -447,12 +489,35 @@
         return rig.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    serves_a_session, turned_away_twice, closed_before_the_next_dial, once_only, connection_refused,
-    ends_passed_on, client_leaves_early, silent_server, silent_to_all, moved_between_lines, stop_where_packets_pass,
-    stop_where_connections_end, drained_server, bad_input, id_of_another, more_before_up, says_nothing,
-    follows_discovery, reloads, beliefs_and_sockets, standing_connection,
-    no_descriptor_left, flood_on_a_small_proxy, probes)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        serves_a_session,
+        turned_away_twice,
+        closed_before_the_next_dial,
+        once_only,
+        connection_refused,
+        ends_passed_on,
+        client_leaves_early,
+        silent_server,
+        silent_to_all,
+        moved_between_lines,
+        stop_where_packets_pass,
+        stop_where_connections_end,
+        drained_server,
+        bad_input,
+        id_of_another,
+        more_before_up,
+        says_nothing,
+        follows_discovery,
+        reloads,
+        beliefs_and_sockets,
+        standing_connection,
+        no_descriptor_left,
+        flood_on_a_small_proxy,
+        probes,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -460,21 +525,44 @@
     assert kept(name, SCENARIOS[name]())
 
 
-@pytest.mark.parametrize("config, key", [
-    ('{"settings": {"listeners": [{}]}, "limits": {"sockets": "many"}, "listen": "h:1", "discovery": "h:1",'
-     '"name": "n", "seed": ""}', "limits.sockets"),
-    ('{"settings": {"listeners": [{"repeat": "often"}]}}', "settings.listeners[0].repeat"),
-    ('{"settings": {"listeners": [{}]}, "listen": "here"}', "listen"),
-    ('{"settings": {"listeners": [{}]}, "limits": {"memory_mb": 8}, "listen": "h:1", "discovery": "h:1",'
-     '"name": "n", "seed": ""}', "limits.memory_mb"),
-    ('{"settings": {"listeners": [{"dialTimeoutS": 1e999}]}, "listen": "h:1", "discovery": "h:1", "name": "n",'
-     '"seed": ""}', "settings.listeners[0].dialTimeoutS"),
-    ('{"settings": {"listeners": [{}], "obligations": {"drainGraceS": %s}}, "listen": "h:1", "discovery": "h:1",'
-     '"name": "n", "seed": ""}' % (10 ** 400), "settings.obligations.drainGraceS"),
-    ("{", "NODE_CONFIG")])
+@pytest.mark.parametrize(
+    "config, key",
+    [
+        (
+            '{"settings": {"listeners": [{}]}, "limits": {"sockets": "many"}, "listen": "h:1", "discovery": "h:1",'
+            '"name": "n", "seed": ""}',
+            "limits.sockets",
+        ),
+        (
+            '{"settings": {"listeners": [{"repeat": "often"}]}}',
+            "settings.listeners[0].repeat",
+        ),
+        ('{"settings": {"listeners": [{}]}, "listen": "here"}', "listen"),
+        (
+            '{"settings": {"listeners": [{}]}, "limits": {"memory_mb": 8}, "listen": "h:1", "discovery": "h:1",'
+            '"name": "n", "seed": ""}',
+            "limits.memory_mb",
+        ),
+        (
+            '{"settings": {"listeners": [{"dialTimeoutS": 1e999}]}, "listen": "h:1", "discovery": "h:1", "name": "n",'
+            '"seed": ""}',
+            "settings.listeners[0].dialTimeoutS",
+        ),
+        (
+            '{"settings": {"listeners": [{}], "obligations": {"drainGraceS": %s}}, "listen": "h:1", "discovery": "h:1",'
+            '"name": "n", "seed": ""}' % (10**400),
+            "settings.obligations.drainGraceS",
+        ),
+        ("{", "NODE_CONFIG"),
+    ],
+)
 def test_bad_configuration(tmp_path, config, key):
     path = tmp_path / "config.json"
     path.write_text(config)
-    done = subprocess.run([sys.executable, "-m", "wheathill"], capture_output=True, text=True,
-                          env={**os.environ, "NODE_CONFIG": str(path)})
+    done = subprocess.run(
+        [sys.executable, "-m", "wheathill"],
+        capture_output=True,
+        text=True,
+        env={**os.environ, "NODE_CONFIG": str(path)},
+    )
     assert (done.returncode, done.stderr.partition(":")[0]) == (2, key)
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -39,7 +39,9 @@
         turns.until(lambda: turns.carrier.sockets == 1)
         # What was sent keeps its effect, and nothing else goes out.
         server = turns.taken() if turns.dialled() else None
-        assert (server is not None and turns.hears(server).startswith("OPEN")) == was_sent
+        assert (
+            server is not None and turns.hears(server).startswith("OPEN")
+        ) == was_sent
         assert not turns.dialled()
 
 
@@ -48,7 +50,11 @@
     with Turns() as turns:
         turns.watched("a", "b")
         for how in ("by FIN", "by RST", "half a line"):
-            client = turns.client() if how == "half a line" else turns.open(how.replace(" ", "-"))
+            client = (
+                turns.client()
+                if how == "half a line"
+                else turns.open(how.replace(" ", "-"))
+            )
             if how == "half a line":
                 client.say("OPEN id k c=any", end="")
             leave(client, how)
@@ -119,7 +125,9 @@
         time.sleep(0.02)
         turns.for_ms(30)
         turns.hears(server)
-        turns.lines.append(f"dialled again: {turns.dialled()}, held {len(turns.proxy.clients)}")
+        turns.lines.append(
+            f"dialled again: {turns.dialled()}, held {len(turns.proxy.clients)}"
+        )
         return turns.lines
 
 
@@ -141,7 +149,9 @@
 
 def left_while_a_probe_is_awaited():
     report = {"how": "on_probe", "names": ["x0"]}
-    with Turns(settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}) as turns:
+    with Turns(
+        settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}
+    ) as turns:
         turns.watched("a", "b")
         client = turns.open()
         link = turns.taken()
@@ -193,8 +203,10 @@
             began = time.monotonic()
             turns.until(turns.dialled)
             spent = time.monotonic() - began
-            turns.lines.append(f"dialled elsewhere {'at once' if ends else 'in a moment'}: "
-                               f"{spent < 0.025 if ends else spent < 0.2}")
+            turns.lines.append(
+                f"dialled elsewhere {'at once' if ends else 'in a moment'}: "
+                f"{spent < 0.025 if ends else spent < 0.2}"
+            )
         server = turns.taken()
         turns.hears(server)
         server.say("UP r1")
@@ -240,18 +252,27 @@
 
 def window_over_as_the_connection_comes_up():
     """Referenced: again only within the window of the first dial, which ends while the second one comes up."""
-    settings = {"listeners": [{"name": "any", "repeat": "dedup", "dedupScope": "all", "windowS": 0.3,
-                               "dialTimeoutS": 2.0}]}
+    settings = {
+        "listeners": [
+            {
+                "name": "any",
+                "repeat": "dedup",
+                "dedupScope": "all",
+                "windowS": 0.3,
+                "dialTimeoutS": 2.0,
+            }
+        ]
+    }
     with Turns(settings=settings) as turns:
         turns.watched("a", "b")
         client = turns.open()
         first = turns.taken()
         turns.hears(first)
         first.say("ERR")
-        sess, = turns.proxy.clients
+        (sess,) = turns.proxy.clients
         turns.until(lambda: len(sess.dials) == 2)
         turns.turn()
-        time.sleep(0.35)    # this process stands still meanwhile
+        time.sleep(0.35)  # this process stands still meanwhile
         turns.hears(client)
         turns.hears(turns.taken())
         return turns.lines
@@ -264,7 +285,9 @@
         client = turns.open()
         server = turns.taken()
         turns.hears(server)
-        turns.config["settings"]["listeners"] = [{"name": "other", "repeat": "fragile", "dialTimeoutS": 0.1}]
+        turns.config["settings"]["listeners"] = [
+            {"name": "other", "repeat": "fragile", "dialTimeoutS": 0.1}
+        ]
         turns.proxy.reload(turns.node())
         server.say("ERR")
         server = turns.taken()
@@ -301,7 +324,7 @@
         client = turns.open()
         server = turns.taken()
         turns.hears(server)
-        sess, = turns.proxy.clients
+        (sess,) = turns.proxy.clients
         stale = sess.dials[-1]
         server.say("BUSY")
         second = turns.taken()
@@ -317,7 +340,9 @@
 def link_closed_as_it_is_asked():
     """A server closes the probes' link for idleness in the moment in which it is asked again: it is asked anew."""
     report = {"how": "on_probe", "names": ["x0"]}
-    with Turns(("a",), settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}) as turns:
+    with Turns(
+        ("a",), settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}
+    ) as turns:
         turns.watched("a")
         server = turns.proxy.servers["a"]
         for ends in ("finish", "reset"):
@@ -348,7 +373,9 @@
 def probed_server_moves():
     """An ask that is out when its server gets another address tells nothing of it, and frees who waits for it."""
     report = {"how": "on_probe", "names": ["x0"]}
-    with Turns(("a",), settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}) as turns:
+    with Turns(
+        ("a",), settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}
+    ) as turns:
         watch = turns.watched("a")
         client = turns.open()
         turns.hears(turns.taken())
@@ -374,11 +401,16 @@
         return turns.lines
 
 
-ENDS = [f"{side} {how}" for side in ("client", "server") for how in ("finishes", "resets")]
+ENDS = [
+    f"{side} {how}" for side in ("client", "server") for how in ("finishes", "resets")
+]
 
 
 @pytest.mark.parametrize("one_turn", (True, False))
-@pytest.mark.parametrize("first, then", [(one, other) for one in ENDS for other in ENDS if one[:6] != other[:6]])
+@pytest.mark.parametrize(
+    "first, then",
+    [(one, other) for one in ENDS for other in ENDS if one[:6] != other[:6]],
+)
 def test_both_sides_end(first, then, one_turn):
     """In each order, with bytes of both on their way: nothing is left, and nothing goes wrong."""
     with Turns(limits={"linger": 100.0}) as turns:
@@ -394,27 +426,35 @@
                 peer.say("one line more")
                 (peer.finish if end.endswith("finishes") else peer.reset)()
             except OSError:
-                peer.sock.close()       # the other side's end has come to it already
+                peer.sock.close()  # the other side's end has come to it already
             if not one_turn:
                 time.sleep(0.01)
                 turns.turn(4)
         turns.until(lambda: turns.carrier.sockets == 1)
-        assert not turns.proxy.clients and not any(server.sessions for server in turns.proxy.servers.values())
+        assert not turns.proxy.clients and not any(
+            server.sessions for server in turns.proxy.servers.values()
+        )
         assert not [event for event, _ in turns.logged if event == "fault"]
 
 
 def server_gone_while_it_is_probed():
     report = {"how": "on_probe", "names": ["x0"]}
-    with Turns(settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}) as turns:
+    with Turns(
+        settings={"report": report, "limits": {"maxDials": 3, "mayProbe": True}}
+    ) as turns:
         watch = turns.watched("a", "b")
         client = turns.open()
         link = turns.taken()
         turns.hears(link)
         name = link.name[-1]
-        turns.chunk(watch, json.dumps(turns.list(name, whole=False, health="gone")) + "\n")
+        turns.chunk(
+            watch, json.dumps(turns.list(name, whole=False, health="gone")) + "\n"
+        )
         other = turns.taken("b" if name == "a" else "a")
         turns.lines.append(f"asked elsewhere: {turns.hears(other)}")
-        turns.lines.append(f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == 'fault']}")
+        turns.lines.append(
+            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == 'fault']}"
+        )
         del client
         return turns.lines[-2:]
 
@@ -425,17 +465,34 @@
         client = blocked(turns)
         turns.proxy.move(next(iter(turns.proxy.clients)))
         got, spent = read_slowly(turns, client, 20, 131_072)
-        turns.lines.append(f"last come {got[-9:]}, longer than it lingers: {spent > 300}")
+        turns.lines.append(
+            f"last come {got[-9:]}, longer than it lingers: {spent > 300}"
+        )
         return turns.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    left_with_its_line_unread, left_in_the_turn_of_up, left_between_two_dials,
-    left_while_a_probe_is_awaited, busy_and_up_in_one_read, busy_and_up_soon_after, busy_alone,
-    load_before_up, window_over_as_the_connection_comes_up, class_gone_while_it_is_dialled,
-    fault_before_anything_was_sent, no_descriptor_for_a_dial_that_was_replaced, link_closed_as_it_is_asked,
-    probed_server_moves, server_gone_while_it_is_probed, more_open_than_ids_are_kept,
-    move_behind_unread_lines)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        left_with_its_line_unread,
+        left_in_the_turn_of_up,
+        left_between_two_dials,
+        left_while_a_probe_is_awaited,
+        busy_and_up_in_one_read,
+        busy_and_up_soon_after,
+        busy_alone,
+        load_before_up,
+        window_over_as_the_connection_comes_up,
+        class_gone_while_it_is_dialled,
+        fault_before_anything_was_sent,
+        no_descriptor_for_a_dial_that_was_replaced,
+        link_closed_as_it_is_asked,
+        probed_server_moves,
+        server_gone_while_it_is_probed,
+        more_open_than_ids_are_kept,
+        move_behind_unread_lines,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -27,9 +27,17 @@
             turns.turn()
         turns.until(lambda: turns.proxy.ready)
         turns.lines.append(f"indented, byte by byte: {ready(turns)}")
-        turns.chunk(watch, "".join(json.dumps(turns.list(name, whole=False, health="draining")) for name in "ab"))
+        turns.chunk(
+            watch,
+            "".join(
+                json.dumps(turns.list(name, whole=False, health="draining"))
+                for name in "ab"
+            ),
+        )
         turns.until(lambda: turns.proxy.seen == turns.seq)
-        turns.lines.append(f"two drains in a chunk, without a line's end: {ready(turns)}")
+        turns.lines.append(
+            f"two drains in a chunk, without a line's end: {ready(turns)}"
+        )
         text = json.dumps(turns.list("a", whole=False), indent=None) + "\n"
         for piece in (text[:40], text[40:41], text[41:]):
             turns.chunk(watch, piece)
@@ -47,7 +55,9 @@
         turns.until(lambda: turns.proxy.ready)
         began = time.monotonic()
         _, request = turns.watch()
-        turns.lines.append(f"next: {request}, within a second: {time.monotonic() - began < 1}")
+        turns.lines.append(
+            f"next: {request}, within a second: {time.monotonic() - began < 1}"
+        )
         return turns.lines
 
 
@@ -60,7 +70,9 @@
         watch.say("0\r\n")
         began = time.monotonic()
         watch, request = turns.watch()
-        turns.lines.append(f"{request}, within half a second: {time.monotonic() - began < 0.5}")
+        turns.lines.append(
+            f"{request}, within half a second: {time.monotonic() - began < 0.5}"
+        )
         turns.head(watch)
         turns.chunk(watch, text + "\n")
         turns.until(lambda: ready(turns) == ["b"])
@@ -71,17 +83,25 @@
     """What it says of leaving counts; the version stays, and the watch is asked again from it."""
     with Turns(("a", "b", "c")) as turns:
         watch = turns.watched("a", "b", "c")
-        turns.chunk(watch, json.dumps(turns.list("a", whole=False, health="draining", share="much")) + "\n")
+        turns.chunk(
+            watch,
+            json.dumps(turns.list("a", whole=False, health="draining", share="much"))
+            + "\n",
+        )
         turns.until(lambda: ready(turns) == ["b", "c"])
         _, request = turns.watch()
         turns.lines.append(request)
         watch = turns.watches[-1]
         turns.head(watch)
-        turns.chunk(watch, json.dumps(turns.list("b", whole=False, health="asleep")) + "\n")
+        turns.chunk(
+            watch, json.dumps(turns.list("b", whole=False, health="asleep")) + "\n"
+        )
         watch, request = turns.watch()
         turns.lines.append(f"{request}, ready {ready(turns)}")
         turns.head(watch)
-        turns.chunk(watch, json.dumps(turns.list("b", whole=False, health="draining")) + "\n")
+        turns.chunk(
+            watch, json.dumps(turns.list("b", whole=False, health="draining")) + "\n"
+        )
         turns.until(lambda: turns.proxy.seen == turns.seq)
         turns.lines.append(f"read at last: ready {ready(turns)}")
         return turns.lines
@@ -96,7 +116,10 @@
         turns.chunk(watch, json.dumps(found) + "\n")
         turns.until(lambda: len(ready(turns)) < 3)
         turns.lines.append(f"ready {ready(turns)}")
-        turns.chunk(watch, json.dumps({"seq": 9, "whole": True, "hosts": [4, {"host": None}]}) + "\n")
+        turns.chunk(
+            watch,
+            json.dumps({"seq": 9, "whole": True, "hosts": [4, {"host": None}]}) + "\n",
+        )
         turns.for_ms(20)
         turns.lines.append(f"nothing of a list to be read: ready {ready(turns)}")
         return turns.lines
@@ -112,13 +135,17 @@
         found["hosts"][0]["health"] = "draining"
         turns.chunk(watch, json.dumps(found) + "\n")
         watch, request = turns.watch()
-        may = turns.proxy.balancer.roster.may_dial(turns.proxy.now(), turns.proxy.servers["a"], False)
+        may = turns.proxy.balancer.roster.may_dial(
+            turns.proxy.now(), turns.proxy.servers["a"], False
+        )
         turns.lines.append(f"{request}, a may be dialled: {may}")
         table.update = update
         turns.head(watch)
         turns.chunk(watch, json.dumps(found) + "\n")
         turns.until(lambda: turns.proxy.seen == found["seq"])
-        turns.lines.append(f"slots of {sorted({server.name for server in table.current})}, ready {ready(turns)}")
+        turns.lines.append(
+            f"slots of {sorted({server.name for server in table.current})}, ready {ready(turns)}"
+        )
         return turns.lines
 
 
@@ -128,9 +155,13 @@
         first, _ = turns.watch()
         began = time.monotonic()
         second, _ = turns.watch()
-        turns.lines.append(f"a second one within half a second: {time.monotonic() - began < 0.5}")
+        turns.lines.append(
+            f"a second one within half a second: {time.monotonic() - began < 0.5}"
+        )
         turns.head(second)
-        turns.chunk(second, json.dumps(turns.list("a", whole=False, health="draining")) + "\n")
+        turns.chunk(
+            second, json.dumps(turns.list("a", whole=False, health="draining")) + "\n"
+        )
         turns.until(lambda: ready(turns) == ["b"])
         turns.lines.append("the second answers")
         turns.hears(first)
@@ -145,7 +176,9 @@
         first, _ = turns.watch()
         second, _ = turns.watch()
         turns.head(first)
-        turns.chunk(first, json.dumps(turns.list("a", whole=False, health="draining")) + "\n")
+        turns.chunk(
+            first, json.dumps(turns.list("a", whole=False, health="draining")) + "\n"
+        )
         turns.until(lambda: ready(turns) == ["b"])
         turns.lines.append("the first answers")
         turns.hears(second)
@@ -163,8 +196,12 @@
         turns.until(lambda: turns.proxy.watch.answered)
         turns.for_ms(20)
         told = [event for event, _ in turns.logged if event == "bad input"]
-        turns.lines.append(f"one of the two is left: {turns.proxy.beside is None}, {told}")
-        turns.lines.append(f"its version: {turns.proxy.seen in (turns.seq, turns.seq - 1)}")
+        turns.lines.append(
+            f"one of the two is left: {turns.proxy.beside is None}, {told}"
+        )
+        turns.lines.append(
+            f"its version: {turns.proxy.seen in (turns.seq, turns.seq - 1)}"
+        )
         return turns.lines
 
 
@@ -186,11 +223,16 @@
     with Turns(("a", "b", "c")) as turns:
         watch = turns.watched("a", "b", "c")
         older = turns.list("a", "b", "c")
-        turns.chunk(watch, json.dumps(turns.list("a", "b", whole=False, health="draining")) + "\n")
+        turns.chunk(
+            watch,
+            json.dumps(turns.list("a", "b", whole=False, health="draining")) + "\n",
+        )
         turns.until(lambda: ready(turns) == ["c"])
         turns.discovery.close()
         turns.discovery = listener()
-        turns.proxy.reload(turns.node(discovery="%s:%d" % turns.discovery.getsockname()))
+        turns.proxy.reload(
+            turns.node(discovery="%s:%d" % turns.discovery.getsockname())
+        )
         watch, request = turns.watch()
         turns.lines.append(request)
         turns.head(watch)
@@ -211,7 +253,9 @@
         watch.reset()
         turns.until(lambda: turns.proxy.watch is None)
         old, turns.discovery = turns.discovery, listener()
-        turns.proxy.reload(turns.node(discovery="%s:%d" % turns.discovery.getsockname()))
+        turns.proxy.reload(
+            turns.node(discovery="%s:%d" % turns.discovery.getsockname())
+        )
         _, request = turns.watch()
         turns.lines.append(request)
         turns.for_ms(400)
@@ -233,7 +277,9 @@
         turns.lines.append(f"dialled before the first list: {turns.dialled()}")
         watch, _ = turns.watch()
         turns.head(watch)
-        turns.chunk(watch, json.dumps(turns.list("a", whole=False, health="draining")) + "\n")
+        turns.chunk(
+            watch, json.dumps(turns.list("a", whole=False, health="draining")) + "\n"
+        )
         for _ in clients:
             turns.hears(turns.taken("b"))
         turns.lines.append(f"dialled at a: {turns.dialled('a')}")
@@ -277,7 +323,9 @@
         turns.until(lambda: turns.proxy.clients)
         turns.turn(turn)
         place, was_sent = turns.of_dial(), turns.sent()
-        turns.chunk(watch, json.dumps(turns.list(place, whole=False, health="draining")) + "\n")
+        turns.chunk(
+            watch, json.dumps(turns.list(place, whole=False, health="draining")) + "\n"
+        )
         time.sleep(0.02)
         turns.until(turns.sent)
         turns.for_ms(20)
@@ -310,8 +358,10 @@
 
 def known_list_with_a_bad_entry():
     """Not known from that version on: the watch asks for all."""
-    hosts = [{"host": name, "dial": "127.0.0.1:1", "health": "ready", "share": share}
-             for name, share in (("a", 1.0), ("b", "much"))]
+    hosts = [
+        {"host": name, "dial": "127.0.0.1:1", "health": "ready", "share": share}
+        for name, share in (("a", 1.0), ("b", "much"))
+    ]
     with Turns(known={"seq": 7, "whole": True, "hosts": hosts}) as turns:
         _, request = turns.watch()
         turns.lines.append(f"{request}, ready {ready(turns)}")
@@ -329,12 +379,27 @@
         return turns.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    list_indented_and_in_pieces, answer_of_a_stated_length, answer_cut_in_the_middle,
-    entry_that_cannot_be_read, whole_list_with_a_bad_entry, exception_while_a_list_is_taken, never_answered,
-    answered_late, both_answer_in_one_turn, trickle, older_list_at_a_new_address,
-    reload_between_two_watches, line_before_the_first_list, line_before_a_list_that_does_not_come,
-    fault_while_the_first_list_is_awaited, known_list_with_a_bad_entry)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        list_indented_and_in_pieces,
+        answer_of_a_stated_length,
+        answer_cut_in_the_middle,
+        entry_that_cannot_be_read,
+        whole_list_with_a_bad_entry,
+        exception_while_a_list_is_taken,
+        never_answered,
+        answered_late,
+        both_answer_in_one_turn,
+        trickle,
+        older_list_at_a_new_address,
+        reload_between_two_watches,
+        line_before_the_first_list,
+        line_before_a_list_that_does_not_come,
+        fault_while_the_first_list_is_awaited,
+        known_list_with_a_bad_entry,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -12,7 +12,9 @@
 def stop_behind_unread_lines():
     """The end of this process follows the bytes, within the time in which it may be killed."""
     # Who reads nothing for as long as ends linger is cut off, stop or not: here it reads again before.
-    with Turns(dial=4.0, limits={"linger": 6000.0}, settings={"familyInfo": {"mode": "proxy"}}) as turns:
+    with Turns(
+        dial=4.0, limits={"linger": 6000.0}, settings={"familyInfo": {"mode": "proxy"}}
+    ) as turns:
         client = blocked(turns)
         ended = []
         turns.proxy.stop(lambda: ended.append(turns.proxy.now()))
@@ -46,14 +48,14 @@
         rig.stop()
         rig.process.send_signal(signal.SIGSTOP)
         client = rig.open(d=2000)
-        time.sleep(0.9)     # longer than newcomers are waited for
+        time.sleep(0.9)  # longer than newcomers are waited for
         rig.process.send_signal(signal.SIGCONT)
         server = rig.taken(("a", "b"))
         server.hear()
-        time.sleep(0.2)     # longer than what lingers at the end
+        time.sleep(0.2)  # longer than what lingers at the end
         server.say("UP r1")
         client.hear()
-        client.hear()       # MOVE
+        client.hear()  # MOVE
         rig.end()
         return rig.lines
 
@@ -80,17 +82,21 @@
 
 def still_waiting_at_the_end():
     """Who came late and has more time than this process: a final answer, refused where it is known not to have run."""
-    settings = {"listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 1.0}]}
+    settings = {
+        "listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 1.0}]
+    }
     with stopping(settings=settings) as rig:
         rig.watched("a", "b")
-        rig.client("silent client")     # it is waited for, so that the stop does not end sooner
+        rig.client(
+            "silent client"
+        )  # it is waited for, so that the stop does not end sooner
         rig.stop()
         time.sleep(0.75)
         client = rig.open(d=1000)
         first = rig.taken(("a", "b"))
         first.hear()
         first.say("BUSY")
-        rig.taken(("a", "b")).hear()    # and says nothing
+        rig.taken(("a", "b")).hear()  # and says nothing
         client.hear()
         rig.end()
         return rig.lines
@@ -98,7 +104,9 @@
 
 def deadlines_much_shorter():
     """The longest is 0.2 s, so that the kill may come after 0.9 s: all are told to move, and it has ended by then."""
-    settings = {"listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 0.2}]}
+    settings = {
+        "listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 0.2}]
+    }
     with stopping(settings=settings) as rig:
         rig.watched("a", "b")
         held = [rig.up(f"k{number}") for number in range(5)]
@@ -125,7 +133,7 @@
         prober.say("PING")
         prober.hear()
         client = rig.open(d=300)
-        client.hear()       # no server is known
+        client.hear()  # no server is known
         rig.end()
         return rig.lines
 
@@ -134,7 +142,9 @@
     """The process that is taken over from stands still as the other one asks, as a line comes and as two sessions end."""
     with Rig(inherited=True, names=("a",)) as rig:
         rig.watched("a")
-        (client, server), (leaves, left), (told, ends) = [rig.up(f"k{number}", names=("a",)) for number in range(3)]
+        (client, server), (leaves, left), (told, ends) = [
+            rig.up(f"k{number}", names=("a",)) for number in range(3)
+        ]
         del rig.lines[:]
         rig.process.send_signal(signal.SIGSTOP)
         client.say("a line")
@@ -142,7 +152,7 @@
         ends.say("BYE")
         ends.finish()
         rig.begin_beside()
-        time.sleep(0.2)     # it has asked by then
+        time.sleep(0.2)  # it has asked by then
         rig.old[0].send_signal(signal.SIGCONT)
         server.hear()
         left.hear()
@@ -158,10 +168,19 @@
         return rig.lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    stop_behind_unread_lines, stop_behind_who_never_reads, line_in_the_backlog_at_the_end,
-    let_in_and_silent_at_the_end, still_waiting_at_the_end, deadlines_much_shorter,
-    stopped_twice_and_before_ready, handed_over_in_the_turn_of_lines_and_ends)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        stop_behind_unread_lines,
+        stop_behind_who_never_reads,
+        line_in_the_backlog_at_the_end,
+        let_in_and_silent_at_the_end,
+        still_waiting_at_the_end,
+        deadlines_much_shorter,
+        stopped_twice_and_before_ready,
+        handed_over_in_the_turn_of_lines_and_ends,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
--- a/tests/test_scale_data.py
+++ b/tests/test_scale_data.py
@@ -52,9 +52,28 @@
 
 def test_figures_of_the_data_path_in_small(tmp_path):
     path = tmp_path / "figures.json"
-    process = subprocess.Popen(tool("data", "--sizes", "20,40", "--processes", "1", "--seconds", "0.5", "--rate", "200",
-                                    "--only", "sizes,parts", "--seed", "7", "--json", str(path)),
-                               stdout=subprocess.PIPE, stderr=subprocess.PIPE, cwd=ROOT)
+    process = subprocess.Popen(
+        tool(
+            "data",
+            "--sizes",
+            "20,40",
+            "--processes",
+            "1",
+            "--seconds",
+            "0.5",
+            "--rate",
+            "200",
+            "--only",
+            "sizes,parts",
+            "--seed",
+            "7",
+            "--json",
+            str(path),
+        ),
+        stdout=subprocess.PIPE,
+        stderr=subprocess.PIPE,
+        cwd=ROOT,
+    )
     seen = set()
     while process.poll() is None:
         seen.update(children(process.pid))
@@ -64,33 +83,79 @@
     process.stderr.close()
     assert len(seen) >= 3 and not any(running(pid) for pid in seen)
     found = json.loads(path.read_text())
-    assert [one["connections"] for one in found["by_size"]] == [20, 40] and found["seed"] == 7
+    assert [one["connections"] for one in found["by_size"]] == [20, 40] and found[
+        "seed"
+    ] == 7
     for one in found["by_size"]:
         assert one["descriptors_a_connection"] == 2.0
-        assert one["handshake_ms"] > 0.0 and one["delivery_us"] > 0.0 and one["line_and_echo_us"] > 0.0
+        assert (
+            one["handshake_ms"] > 0.0
+            and one["delivery_us"] > 0.0
+            and one["line_and_echo_us"] > 0.0
+        )
         assert one["move_ms"] > 0.0 and one["rss_kb"] > one["bare_rss_kb"] > 1000
         # All that was written came, whenever; a client is up within its dial timeout.
-        assert one["deliveries_lost"] == 0 and one["delivery"]["count"] == 100 and one["echo"]["count"] > 0
-        assert 0.0 < one["delivery"]["p50"] <= one["delivery"]["p99"] <= one["delivery"]["p100"]
+        assert (
+            one["deliveries_lost"] == 0
+            and one["delivery"]["count"] == 100
+            and one["echo"]["count"] > 0
+        )
+        assert (
+            0.0
+            < one["delivery"]["p50"]
+            <= one["delivery"]["p99"]
+            <= one["delivery"]["p100"]
+        )
         assert one["handshake_latency_ms"]["count"] == one["connections"]
-    assert set(found["slopes"]) >= {"KB a connection", "ms a handshake", "us a delivery", "% of a core at rest"}
+    assert set(found["slopes"]) >= {
+        "KB a connection",
+        "ms a handshake",
+        "us a delivery",
+        "% of a core at rest",
+    }
     assert found["slopes"]["descriptors a connection"]["at 50000"] == 2.0
     parts = found["rest"]["parts"]
-    assert parts["Proxy.sweep"]["a_second"] > 0.0 and parts["Balancer.tick"]["core_share"] > 0.0
-    assert abs(sum(part["core_share"] for part in parts.values()) - found["rest"]["core_share"]) < 1e-9
+    assert (
+        parts["Proxy.sweep"]["a_second"] > 0.0
+        and parts["Balancer.tick"]["core_share"] > 0.0
+    )
+    assert (
+        abs(
+            sum(part["core_share"] for part in parts.values())
+            - found["rest"]["core_share"]
+        )
+        < 1e-9
+    )
 
 
 def test_clients_of_a_proxy_that_ends_come_to_another():
     from wheathill.lab.scale import data
-    rush = data.rush(20, processes=1, seconds=2.0, rate=200.0, seed=3, over=0.3, say=lambda _: None)
-    assert rush["come"] == rush["from_loss_to_up_ms"]["count"] == 20 and rush["all_up_s"] > 0.0
+
+    rush = data.rush(
+        20, processes=1, seconds=2.0, rate=200.0, seed=3, over=0.3, say=lambda _: None
+    )
+    assert (
+        rush["come"] == rush["from_loss_to_up_ms"]["count"] == 20
+        and rush["all_up_s"] > 0.0
+    )
     # Whoever held its connection hears all along.
-    assert rush["delivery_before"]["count"] > 0 and rush["delivery_meanwhile"]["count"] > 0
+    assert (
+        rush["delivery_before"]["count"] > 0 and rush["delivery_meanwhile"]["count"] > 0
+    )
 
 
 def test_sessions_that_end_in_all_ways_pass():
     from wheathill.lab.scale import data
-    found = data.endings(102, processes=1, seconds=0.1, seed=1, say=lambda _: None, rounds=2, open_meanwhile=5)
+
+    found = data.endings(
+        102,
+        processes=1,
+        seconds=0.1,
+        seed=1,
+        say=lambda _: None,
+        rounds=2,
+        open_meanwhile=5,
+    )
     assert found["sessions"] == 102 and len(found["rss_kb"]) == 3
     # Two of 52 are never answered UP, two not asked for, one leaves before.
     assert found["up"] > 50
@@ -99,17 +164,38 @@
 def test_a_rising_rate_ends_where_it_is_not_kept_up(monkeypatch):
     """The limit is set where the first step is past it: no answer comes in no time."""
     from wheathill.lab.scale import data
+
     monkeypatch.setattr(data, "P99_MS", 0.0)
-    found = data.one_core(20, processes=1, seconds=0.3, rate=100.0, seed=1, say=lambda _: None)
-    assert len(found["steps"]) == 1 and found["most_at_p99"] is None and found["steps"][0]["count"] == 30
+    found = data.one_core(
+        20, processes=1, seconds=0.3, rate=100.0, seed=1, say=lambda _: None
+    )
+    assert (
+        len(found["steps"]) == 1
+        and found["most_at_p99"] is None
+        and found["steps"][0]["count"] == 30
+    )
 
 
 @pytest.mark.parametrize("end", (signal.SIGKILL, signal.SIGINT))
 def test_nothing_is_left_of_a_tool_that_was_ended(end):
-    process = subprocess.Popen(tool("data", "--sizes", "20,40", "--processes", "1", "--seconds", "60", "--only", "sizes"),
-                               stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL, cwd=ROOT)
+    process = subprocess.Popen(
+        tool(
+            "data",
+            "--sizes",
+            "20,40",
+            "--processes",
+            "1",
+            "--seconds",
+            "60",
+            "--only",
+            "sizes",
+        ),
+        stdout=subprocess.DEVNULL,
+        stderr=subprocess.DEVNULL,
+        cwd=ROOT,
+    )
     try:
-        until(lambda: len(children(process.pid)) >= 3)      # two stand-ins and the proxy
+        until(lambda: len(children(process.pid)) >= 3)  # two stand-ins and the proxy
         left = children(process.pid)
         os.kill(process.pid, end)
         process.wait(60.0)
@@ -120,31 +206,57 @@
 
 
 def test_more_connections_than_descriptors_are_turned_down():
-    found = subprocess.run(tool("data", "--sizes", str(rig.most_connections() + 1)), capture_output=True, text=True,
-                           cwd=ROOT)
+    found = subprocess.run(
+        tool("data", "--sizes", str(rig.most_connections() + 1)),
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+    )
     assert found.returncode == 2 and "--sizes" in found.stderr
 
 
 def test_figures_by_servers(tmp_path):
     path = tmp_path / "figures.json"
-    done = subprocess.run(tool("table", "--servers", "50,100,5000", "--json", str(path)), capture_output=True, text=True, cwd=ROOT)
+    done = subprocess.run(
+        tool("table", "--servers", "50,100,5000", "--json", str(path)),
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+    )
     assert done.returncode == 0, done.stderr
     few, more, most = json.loads(path.read_text())["by_servers"]
-    assert few["with_slot"] == 50 and most["with_slot"] < 4096      # more servers than slots: some have none
+    assert (
+        few["with_slot"] == 50 and most["with_slot"] < 4096
+    )  # more servers than slots: some have none
     # Drawn by hash, and never less than a slot's part each.
-    assert few["most_slots"] >= 4096 / 50 and most["may_be_halved"] < few["may_be_halved"]
+    assert (
+        few["most_slots"] >= 4096 / 50 and most["may_be_halved"] < few["may_be_halved"]
+    )
     assert most["shards_a_slot"] == 420_000 / 4096
     # Some fourteen draws of six bytes for each slot in all, however many servers there are, and a few for each.
-    assert few["draws_bytes_a_server"] * 50 < 2 * 14 * 6 * 4096 and most["draws_bytes_a_server"] < 300
+    assert (
+        few["draws_bytes_a_server"] * 50 < 2 * 14 * 6 * 4096
+        and most["draws_bytes_a_server"] < 300
+    )
     for one in (few, more, most):
-        assert one["list_taken"] and one["list_bytes"] > 100 * one["servers"] and one["change_bytes"] < 500
+        assert (
+            one["list_taken"]
+            and one["list_bytes"] > 100 * one["servers"]
+            and one["change_bytes"] < 500
+        )
         # Three for each session, and one a server and second at most.
-        assert one["probes"]["10"] == 30.0 and one["probes"]["1000"] <= 2 * one["servers"]
+        assert (
+            one["probes"]["10"] == 30.0 and one["probes"]["1000"] <= 2 * one["servers"]
+        )
 
 
 def test_fits_find_the_form_and_say_what_is_off():
     sizes = (50, 100, 200, 400)
-    for form, call in (("constant", lambda _: 3.0), ("linear", lambda x: 2.0 + 0.5 * x), ("square", lambda x: 1.0 + x * x)):
+    for form, call in (
+        ("constant", lambda _: 3.0),
+        ("linear", lambda x: 2.0 + 0.5 * x),
+        ("square", lambda x: 1.0 + x * x),
+    ):
         points = [(size, call(size)) for size in sizes]
         line = fit.simplest(points)
         assert line.form == form and line.residual < 1e-9
@@ -157,9 +269,16 @@
 
 def test_figures_with_many_open(tmp_path):
     path = tmp_path / "figures.json"
-    done = subprocess.run(tool("walks", "--connections", "100,200", "--json", str(path)), capture_output=True, text=True,
-                          cwd=ROOT)
+    done = subprocess.run(
+        tool("walks", "--connections", "100,200", "--json", str(path)),
+        capture_output=True,
+        text=True,
+        cwd=ROOT,
+    )
     assert done.returncode == 0, done.stderr
     found = json.loads(path.read_text())
     assert [one["connections"] for one in found["by_connections"]] == [100, 200]
-    assert all(one["sweep_ms"] > 0.0 and one["a_handshake_ids_ms"] > 0.0 for one in found["by_connections"])
+    assert all(
+        one["sweep_ms"] > 0.0 and one["a_handshake_ids_ms"] > 0.0
+        for one in found["by_connections"]
+    )
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -10,12 +10,25 @@
 
 
 def table(size):
-    return SlotTable(random.Random(1).choice, size=size, least=4, moved_share=0.2, hard_time_out=10_000.0,
-                     keys_kept=4096, keys_age=60_000.0, zone=0, near=1.0, reach=32)
+    return SlotTable(
+        random.Random(1).choice,
+        size=size,
+        least=4,
+        moved_share=0.2,
+        hard_time_out=10_000.0,
+        keys_kept=4096,
+        keys_age=60_000.0,
+        zone=0,
+        near=1.0,
+        reach=32,
+    )
 
 
 def servers(count, weights=(1.0,)):
-    return [Server(f"s{place}", weight=weights[place % len(weights)]) for place in range(count)]
+    return [
+        Server(f"s{place}", weight=weights[place % len(weights)])
+        for place in range(count)
+    ]
 
 
 def filled(size, some):
@@ -27,7 +40,7 @@
 def first_claim(server, slot, size):
     draws = slot_draws(server.name, 40 * size)
     k = next(k for k in range(40 * size) if draws[3 * k] % size == slot)
-    return (k + draws[3 * k + 1] / 2 ** 16 + draws[3 * k + 2] / 2 ** 32) / server.pull
+    return (k + draws[3 * k + 1] / 2**16 + draws[3 * k + 2] / 2**32) / server.pull
 
 
 def test_each_slot_is_whose_claim_comes_first():
@@ -35,7 +48,9 @@
     found = filled(512, some)
     for slot in range(512):
         claims = {first_claim(server, slot, 512): server for server in some}
-        assert found.home[slot] is claims[min(claims)] and found.lowest[slot] == min(claims)
+        assert found.home[slot] is claims[min(claims)] and found.lowest[slot] == min(
+            claims
+        )
 
 
 def test_the_order_of_joins_and_leaves_changes_nothing():
@@ -48,7 +63,9 @@
     gone, rest = dict.fromkeys(some[:3]), some[3:]
     before = list(at_once.home)
     at_once.update(0.0, [], gone, dict.fromkeys(rest))
-    assert all(now is then for now, then in zip(at_once.home, before) if then not in gone)
+    assert all(
+        now is then for now, then in zip(at_once.home, before) if then not in gone
+    )
     assert at_once.home == filled(4096, rest).home
     at_once.update(0.0, some[:3], {}, dict.fromkeys(some))
     assert at_once.home == before
@@ -58,11 +75,15 @@
 def test_shares_are_even_and_go_by_weight(count, most):
     some = servers(count, (1.0, 2.0, 4.0))
     found, whole = filled(4096, some), sum(server.weight for server in some)
-    off = [found.home.count(server) / 4096 / (server.weight / whole) - 1 for server in some]
+    off = [
+        found.home.count(server) / 4096 / (server.weight / whole) - 1 for server in some
+    ]
     assert math.sqrt(sum(each * each for each in off) / count) < most
 
 
-@pytest.mark.parametrize("size, count", [(4096, 12), (4096, 90), (4096, 8000), (65_536, 800)])
+@pytest.mark.parametrize(
+    "size, count", [(4096, 12), (4096, 90), (4096, 8000), (65_536, 800)]
+)
 def test_no_more_is_drawn_than_can_come_first(size, count):
     """Some fourteen draws a slot in all, and sixteen for each server."""
     some = servers(count)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -11,8 +11,12 @@
 
 def replica(name, birth="1", **bounds):
     written = []
-    made = Replica(name, birth, lambda key, cell: written.append((key, cell)),
-                   **{"most_cells": 100, "most_bytes": 100_000, **bounds})
+    made = Replica(
+        name,
+        birth,
+        lambda key, cell: written.append((key, cell)),
+        **{"most_cells": 100, "most_bytes": 100_000, **bounds},
+    )
     made.written = written
     return made
 
@@ -81,7 +85,7 @@
 def leases():
     a, b = replica("a"), replica("b")
     yield f"a takes it: {a.acquire('l', 0.0, 1000.0)}"
-    meet(b, a, now=500_000.0)      # b's clock is minutes ahead
+    meet(b, a, now=500_000.0)  # b's clock is minutes ahead
     yield f"b may not: {b.acquire('l', 500_500.0, 1000.0)}"
     yield f"a holds it at 0.8 s {a.holds('l', 800.0)}, after a pause of 30 s {a.holds('l', 30_000.0)}"
     yield f"b once it has run out for b: {b.acquire('l', 501_200.0, 1000.0)}, {b.lease('l')}"
@@ -123,9 +127,17 @@
     yield f"the same at b: {a.digest() == b.digest()}"
 
 
-SCENARIOS = {run.__name__: lambda run=run: list(run()) for run in (
-    concurrent_writes, a_tombstone_waits_for_all_that_count, late_and_doubled, leases, old_copy_of_a_directory,
-    bounds)}
+SCENARIOS = {
+    run.__name__: lambda run=run: list(run())
+    for run in (
+        concurrent_writes,
+        a_tombstone_waits_for_all_that_count,
+        late_and_doubled,
+        leases,
+        old_copy_of_a_directory,
+        bounds,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -133,7 +145,9 @@
     assert kept(name, SCENARIOS[name]())
 
 
-@pytest.mark.parametrize("seed", [*range(1, 13), 20, 36, 141, 170, 244, 348, 648, 936, 1640, 2012, 2661])
+@pytest.mark.parametrize(
+    "seed", [*range(1, 13), 20, 36, 141, 170, 244, 348, 648, 936, 1640, 2012, 2661]
+)
 def test_random_faults_converge(seed):
     """The first, and those that once did not."""
     assert converges(seed, most_cells=25 if seed % 4 == 0 else 100_000)[0]
@@ -154,8 +168,17 @@
     assert len(set(copies.digests().values())) == 1
 
 
-@pytest.mark.parametrize("kind, words", [(REGISTER, [1, "a", 1]), (REGISTER, [1, "a", 0, 1, {}]), ("odd", []),
-                                         ("set", [1, {}, {}, {}]), (LEASE, [1, 2, 3, 4, {}]), (REGISTER, None)])
+@pytest.mark.parametrize(
+    "kind, words",
+    [
+        (REGISTER, [1, "a", 1]),
+        (REGISTER, [1, "a", 0, 1, {}]),
+        ("odd", []),
+        ("set", [1, {}, {}, {}]),
+        (LEASE, [1, 2, 3, 4, {}]),
+        (REGISTER, None),
+    ],
+)
 def test_no_cell(kind, words):
     with pytest.raises(ValueError):
         read(kind, words)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,7 +21,7 @@
 from wheathill.model import ListKind
 from wheathill.net.carried import NEWCOMERS
 
-TOLD = 6000.0           # a change that discovery has and can be reached for counts as told so many ms later
+TOLD = 6000.0  # a change that discovery has and can be reached for counts as told so many ms later
 
 
 class Agent:
@@ -34,9 +34,11 @@
 
     def __init__(self, turns, *ways):
         self.turns, self.ways = turns, list(ways)
-        self.changes = [(turns.seq, entry) for entry in turns.list(*turns.servers)["hosts"]]
+        self.changes = [
+            (turns.seq, entry) for entry in turns.list(*turns.servers)["hosts"]
+        ]
         turns.seq += 1
-        self.calls = []         # [socket, way, version that was told, when last]
+        self.calls = []  # [socket, way, version that was told, when last]
         self.asked = 0
         self.at = turns.discovery.getsockname()
         turns.discovery.setblocking(False)
@@ -44,7 +46,9 @@
 
     def change(self, name, health):
         self.turns.seq += 1
-        self.changes.append((self.turns.seq, {**self.turns.list(name)["hosts"][0], "health": health}))
+        self.changes.append(
+            (self.turns.seq, {**self.turns.list(name)["hosts"][0], "health": health})
+        )
 
     def shut(self):
         """Calls are refused until `back`."""
@@ -62,7 +66,14 @@
             while select.select([self.turns.discovery], [], [], 0)[0]:
                 sock, _ = self.turns.discovery.accept()
                 self.asked += 1
-                self.calls.append([sock, self.ways.pop(0) if len(self.ways) > 1 else self.ways[0], None, 0.0])
+                self.calls.append(
+                    [
+                        sock,
+                        self.ways.pop(0) if len(self.ways) > 1 else self.ways[0],
+                        None,
+                        0.0,
+                    ]
+                )
         for call in list(self.calls):
             sock, way, told, _ = call
             try:
@@ -80,9 +91,16 @@
                 self.calls.remove(call)
 
     def list(self, since, spoil=False):
-        entries = {entry["host"]: entry for version, entry in self.changes if version > since}
-        hosts = [{**entry, "health": "?"} if spoil else entry for entry in entries.values()]
-        return json.dumps({"seq": self.changes[-1][0], "whole": False, "hosts": hosts}) + "\n"
+        entries = {
+            entry["host"]: entry for version, entry in self.changes if version > since
+        }
+        hosts = [
+            {**entry, "health": "?"} if spoil else entry for entry in entries.values()
+        ]
+        return (
+            json.dumps({"seq": self.changes[-1][0], "whole": False, "hosts": hosts})
+            + "\n"
+        )
 
     def begin(self, call):
         sock, way, since, _ = call
@@ -123,8 +141,15 @@
 
     def told(self, *names, at_most=4 * TOLD):
         """How long it takes until just these are ready."""
-        return self.until(lambda: sorted(server.name for server in self.turns.proxy.balancer.roster.servers)
-                          == sorted(names), at_most)
+        return self.until(
+            lambda: (
+                sorted(
+                    server.name for server in self.turns.proxy.balancer.roster.servers
+                )
+                == sorted(names)
+            ),
+            at_most,
+        )
 
 
 @pytest.fixture
@@ -159,8 +184,16 @@
     assert agent.told("b") < TOLD - 500
 
 
-@pytest.mark.parametrize("ways", (("quiet",), ("quiet", "quiet"), ("quiet", "silent"), ("quiet", "half", "silent"),
-                                  ("silent", "quiet")))
+@pytest.mark.parametrize(
+    "ways",
+    (
+        ("quiet",),
+        ("quiet", "quiet"),
+        ("quiet", "silent"),
+        ("quiet", "half", "silent"),
+        ("silent", "quiet"),
+    ),
+)
 def test_told_after_one_silent_watch_and_another(turns, ways):
     """A watch falls silent as the change is made, and calls that follow are answered with a line, half a list or not
     at all."""
@@ -177,7 +210,9 @@
     agent.change("a", "draining")
     agent.for_ms(10.0)
     asked = agent.asked
-    agent.until(lambda: agent.asked > asked, 4 * TOLD)      # the worst: it has just been asked in vain
+    agent.until(
+        lambda: agent.asked > asked, 4 * TOLD
+    )  # the worst: it has just been asked in vain
     agent.ways = ["good"]
     assert agent.told("b") < TOLD - 500
 
@@ -185,12 +220,18 @@
 @pytest.fixture
 def shared():
     """One service tells thirty proxies the list (`membershipMode`: subscribe), not an agent beside each."""
-    with Turns(step=5.0, settings={"membershipMode": "subscribe", "balancers": 30}) as turns:
+    with Turns(
+        step=5.0, settings={"membershipMode": "subscribe", "balancers": 30}
+    ) as turns:
         yield turns
 
 
-@pytest.mark.parametrize("way, most", (("no", 12), ("reset", 12), ("half", 14), ("silent", 9)))
-def test_a_list_service_that_all_share_is_called_seldom_while_it_refuses(shared, way, most):
+@pytest.mark.parametrize(
+    "way, most", (("no", 12), ("reset", 12), ("half", 14), ("silent", 9))
+)
+def test_a_list_service_that_all_share_is_called_seldom_while_it_refuses(
+    shared, way, most
+):
     """Thirty that called four times a second kept it down for good: 27 of 32 never had a list again."""
     agent = Agent(shared, way)
     agent.for_ms(20_000.0)
@@ -218,10 +259,10 @@
     text = json.dumps(turns.list("a", "b"))
     watch.say(f"{len(text):x}")
     turns.turn(2)
-    while turns.discovery_waits():      # asked before this one began to answer
+    while turns.discovery_waits():  # asked before this one began to answer
         turns.discovery.accept()[0].close()
     for place in range(10):
-        watch.say(text[10 * place:10 * place + 10], end="")
+        watch.say(text[10 * place : 10 * place + 10], end="")
         turns.turn(40)
         assert not turns.discovery_waits()
     turns.turn(60)
@@ -234,8 +275,12 @@
     chance = random.Random(seed)
     agent = Agent(turns, "good")
     agent.told("a", "b")
-    agent.ways = [chance.choice(("refused", "silent", "reset", "no", "half")) if chance.random() < 0.75 else "good"
-                  for _ in range(200)] + ["good"]
+    agent.ways = [
+        chance.choice(("refused", "silent", "reset", "no", "half"))
+        if chance.random() < 0.75
+        else "good"
+        for _ in range(200)
+    ] + ["good"]
     agent.change("a", "draining")
     for call in agent.calls:
         call[0].close()
@@ -265,7 +310,10 @@
 
 # Who has left
 
-PROBED = {"report": {"how": "on_probe", "names": ["x0"]}, "limits": {"maxDials": 3, "mayProbe": True}}
+PROBED = {
+    "report": {"how": "on_probe", "names": ["x0"]},
+    "limits": {"maxDials": 3, "mayProbe": True},
+}
 
 
 def leave(client, how):
@@ -355,8 +403,15 @@
     held(turns)
 
 
-LEFT = (with_its_line_unread, before_the_first_list, as_its_time_to_wait_for_the_list_ends, while_a_probe_is_awaited,
-        as_the_wait_for_a_probe_ends, between_two_dials, as_a_dial_s_time_ends)
+LEFT = (
+    with_its_line_unread,
+    before_the_first_list,
+    as_its_time_to_wait_for_the_list_ends,
+    while_a_probe_is_awaited,
+    as_the_wait_for_a_probe_ends,
+    between_two_dials,
+    as_a_dial_s_time_ends,
+)
 
 
 @pytest.mark.parametrize("how", ("closes", "cancels", "resets"))
@@ -383,6 +438,7 @@
             leave(client, "cancels")
             held(turns)
             left.append(True)
+
         turns.proxy.connect = slow
         turns.until(lambda: left)
         turns.for_ms(60)
@@ -391,6 +447,7 @@
 
 # Descriptors
 
+
 class Served:
     """The servers of a rig, which answer probes and let everyone in, as the test goes on."""
 
@@ -442,19 +499,30 @@
     return len(os.listdir(f"/proc/{rig.process.pid}/fd"))
 
 
-@pytest.mark.parametrize("says,probed", (("", False), ("", True), ("PING\r\n", True), ("OPEN id", False)),
-                         ids=("silent", "silent-probed", "ping-probed", "half"))
+@pytest.mark.parametrize(
+    "says,probed",
+    (("", False), ("", True), ("PING\r\n", True), ("OPEN id", False)),
+    ids=("silent", "silent-probed", "ping-probed", "half"),
+)
 def test_idle_clients_fill_the_descriptors_while_discovery_is_down(says, probed):
     """Sessions take all that is theirs, then hundreds connect who ask for nothing. At discovery's return the list is in
     force and operators are answered at once, and with the first session that ends one of those is dialled for."""
     most, names, idle = 160, tuple(f"s{number}" for number in range(60)), []
-    with Rig(names=names, sockets=most, settings=PROBED if probed else None) as rig, ExitStack() as kept_open:
+    with (
+        Rig(names=names, sockets=most, settings=PROBED if probed else None) as rig,
+        ExitStack() as kept_open,
+    ):
         resource.prlimit(rig.process.pid, resource.RLIMIT_NOFILE, (most, most))
         rig.watched(*names)
         at = rig.discovery.getsockname()
         rig.watch.sock.close()
         rig.discovery.close()
-        kept_open.callback(lambda: [sock.close() for sock in (*served.held, *idle, *(peer.sock for peer in rig.peers))])
+        kept_open.callback(
+            lambda: [
+                sock.close()
+                for sock in (*served.held, *idle, *(peer.sock for peer in rig.peers))
+            ]
+        )
         served, up = Served(rig), []
         while True:
             client = rig.open(f"k{len(up)}")
@@ -469,7 +537,7 @@
             served.step()
             assert descriptors(rig) <= most
         end = time.monotonic() + 1.0
-        while time.monotonic() < end:       # probes go out
+        while time.monotonic() < end:  # probes go out
             served.step()
         assert descriptors(rig) <= most
         rig.discovery = socket.create_server(at, backlog=64)
@@ -487,8 +555,12 @@
         # Those that said nothing are closed after 2 s as well, and their descriptors are nobody's session.
         while rig.call("GET /status/metrics")["pending"] >= metrics["pending"]:
             served.step()
-        connected = Peer(rig, "client", [sock for sock in idle if still_there(sock)][-1])
-        connected.say(("" if says.startswith("OPEN") else "OPEN id") + "-q k c=any,t=t,d=2000")
+        connected = Peer(
+            rig, "client", [sock for sock in idle if still_there(sock)][-1]
+        )
+        connected.say(
+            ("" if says.startswith("OPEN") else "OPEN id") + "-q k c=any,t=t,d=2000"
+        )
         assert served.until_heard(connected).startswith("UP")
         assert descriptors(rig) <= most
         rig.process.kill()
@@ -505,6 +577,7 @@
             turns.hears(server)
             server.say("UP r1")
             turns.hears(client)
+
         while turns.carrier.free > 6:
             up(f"k{turns.carrier.free}")
         client = turns.open("q")
@@ -531,7 +604,9 @@
             link = turns.taken(name)
             turns.hears(link)
             link.say("PONG x0=0.1")
-            turns.until(lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked)
+            turns.until(
+                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
+            )
         assert turns.carrier.free <= 7
         for number in range(10):
             client = turns.open(f"k{number}")
@@ -554,7 +629,7 @@
         server.say("UP r1")
         turns.hears(client)
         while turns.carrier.free <= 1 and turns.proxy.links:
-            turns.proxy.close_link()        # which the next one's dial would do
+            turns.proxy.close_link()  # which the next one's dial would do
     left = turns.carrier.free
     client.sock.close()
     turns.until(lambda: turns.carrier.free == left + 2)
@@ -570,12 +645,16 @@
 
 def test_a_probe_that_is_out_takes_no_session_s_descriptor():
     """It may be asked for as another session ends, and its link can't be closed for the next one."""
-    with Turns([f"s{number}" for number in range(8)], settings=PROBED, sockets=96) as turns:
+    with Turns(
+        [f"s{number}" for number in range(8)], settings=PROBED, sockets=96
+    ) as turns:
         full_of_sessions(turns)
         for server in turns.proxy.servers.values():
             turns.proxy.probe(server)
         turns.turn(2)
-        assert turns.carrier.free <= 0 and all(link.asked for link in turns.proxy.links.values())
+        assert turns.carrier.free <= 0 and all(
+            link.asked for link in turns.proxy.links.values()
+        )
         assert dialled_then(turns) == "UP r1"
 
 
@@ -586,7 +665,9 @@
         for _ in range(8):
             turns.client()
         turns.until(lambda: len(turns.proxy.silent) >= 5)
-        turns.proxy.silent.update(dict.fromkeys(turns.proxy.silent, turns.proxy.now() + 60_000))    # none is shut for age
+        turns.proxy.silent.update(
+            dict.fromkeys(turns.proxy.silent, turns.proxy.now() + 60_000)
+        )  # none is shut for age
         assert turns.carrier.free <= 0
         assert dialled_then(turns) == "UP r1"
 
@@ -622,33 +703,65 @@
                 for sock in held:
                     sock.sendall(b"1\r\n\n\r\n")
         except (OSError, ValueError):
-            pass        # one that was ended, or the test is over
+            pass  # one that was ended, or the test is over
     for sock in held:
         sock.close()
 
 
 def begun_all(count, folder, stack):
     """(ms until it said that it is ready, MB that it holds) of each of so many processes, all started at once."""
-    hosts = [{"host": f"s-{number:08x}", "dial": f"127.0.0.1:{10_000 + number}", "site": "x", "class": "m", "block": 1,
-              "health": "ready", "share": 1.0 + number % 3, "born_ms": 0} for number in range(SERVERS)]
+    hosts = [
+        {
+            "host": f"s-{number:08x}",
+            "dial": f"127.0.0.1:{10_000 + number}",
+            "site": "x",
+            "class": "m",
+            "block": 1,
+            "health": "ready",
+            "share": 1.0 + number % 3,
+            "born_ms": 0,
+        }
+        for number in range(SERVERS)
+    ]
     whole = {"seq": 7, "whole": True, "hosts": hosts}
     listening = socket.create_server(("127.0.0.1", 0), backlog=256)
-    thread = threading.Thread(target=agent_of_all, args=(listening, json.dumps(whole) + "\n"))
+    thread = threading.Thread(
+        target=agent_of_all, args=(listening, json.dumps(whole) + "\n")
+    )
     thread.start()
     stack.callback(thread.join)
     stack.callback(listening.close)
     paths = []
     for number in range(count):
         paths.append(folder / f"{number}.json")
-        paths[-1].write_text(json.dumps({
-            "name": f"n{number}", "seed": f"{number}", "listen": f"127.0.0.1:{free_port()}", "known": whole,
-            "discovery": "%s:%d" % listening.getsockname(), "limits": {"sockets": 256},
-            "settings": {"listeners": [{"name": "any"}], "balancers": count, "dcs": ["x"], "weightSource": "nominal"}}))
+        paths[-1].write_text(
+            json.dumps(
+                {
+                    "name": f"n{number}",
+                    "seed": f"{number}",
+                    "listen": f"127.0.0.1:{free_port()}",
+                    "known": whole,
+                    "discovery": "%s:%d" % listening.getsockname(),
+                    "limits": {"sockets": 256},
+                    "settings": {
+                        "listeners": [{"name": "any"}],
+                        "balancers": count,
+                        "dcs": ["x"],
+                        "weightSource": "nominal",
+                    },
+                }
+            )
+        )
     began = time.monotonic()
     processes = []
     for path in paths:
-        processes.append(subprocess.Popen([sys.executable, "-m", "wheathill"], stdout=subprocess.PIPE,
-                                          env={**os.environ, "NODE_CONFIG": str(path)}))
+        processes.append(
+            subprocess.Popen(
+                [sys.executable, "-m", "wheathill"],
+                stdout=subprocess.PIPE,
+                env={**os.environ, "NODE_CONFIG": str(path)},
+            )
+        )
         stack.callback(processes[-1].communicate)
         stack.callback(processes[-1].kill)
 
@@ -659,6 +772,7 @@
                 with open(f"/proc/{process.pid}/smaps_rollup") as held:
                     return took, int(held.read().partition("Pss:")[2].split()[0]) / 1024
         return math.inf, math.inf
+
     with ThreadPoolExecutor(count) as pool:
         return sorted(pool.map(ready, processes))
 
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -30,7 +30,12 @@
     """In the place of a client that is up."""
 
     def __init__(self, sess):
-        self.sess, self.asked, self.moving, self.wire = sess, None, False, SimpleNamespace(full=False)
+        self.sess, self.asked, self.moving, self.wire = (
+            sess,
+            None,
+            False,
+            SimpleNamespace(full=False),
+        )
 
 
 def held(proxy):
@@ -51,11 +56,17 @@
             proxy.clients.looks = 0
             proxy.note_id(Head(b"OPEN new%d k c=any" % number), sess)
             assert proxy.clients.looks <= 2
-        assert len(proxy.ids) == OPEN + 5       # all are open, and none is forgotten
+        assert len(proxy.ids) == OPEN + 5  # all are open, and none is forgotten
         # Those that are over go first, and are never more than the open ones.
         for number in range(2 * OPEN):
-            proxy.note_id(Head(b"OPEN over%d k c=any" % number), Session(Listener("any"), "k", 0.0))
-        assert all(f"id{number}" in proxy.ids for number in range(OPEN)) and len(proxy.ids) <= 2 * OPEN + 10
+            proxy.note_id(
+                Head(b"OPEN over%d k c=any" % number),
+                Session(Listener("any"), "k", 0.0),
+            )
+        assert (
+            all(f"id{number}" in proxy.ids for number in range(OPEN))
+            and len(proxy.ids) <= 2 * OPEN + 10
+        )
         proxy.clients = {}
 
 
@@ -66,7 +77,9 @@
         proxy.sweep()
         assert proxy.clients.walks == 0
         told = []
-        proxy.balancer.on_unanswered = lambda now, sess, waited: told.append((sess, waited))
+        proxy.balancer.on_unanswered = lambda now, sess, waited: told.append(
+            (sess, waited)
+        )
         client = next(iter(dict(proxy.clients).values()))
         client.asked = proxy.now() - 700.0
         proxy.asks(client)
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -37,7 +37,11 @@
 
     def received(self, data):
         self.got += len(data)
-        self.say(f"received {bytes(data)!r}" if len(data) < 40 else f"received {len(data)} bytes")
+        self.say(
+            f"received {bytes(data)!r}"
+            if len(data) < 40
+            else f"received {len(data)} bytes"
+        )
 
     def ended(self):
         self.say("ended")
@@ -56,7 +60,9 @@
         self.lines = []
         self.world = VirtualWorld(1, STILL)
         self.clock = self.world.clock
-        self.one, self.other = (self.world.host(name, "east", LIMITS) for name in ("one", "other"))
+        self.one, self.other = (
+            self.world.host(name, "east", LIMITS) for name in ("one", "other")
+        )
         self.taken = []
         if accept:
             self.listen()
@@ -168,14 +174,18 @@
     pair.run(5)
     pair.near.wire.finish()
     pair.run(2000)
-    pair.lines.append(f"sockets {pair.one.carrier.sockets} and {pair.other.carrier.sockets}")
+    pair.lines.append(
+        f"sockets {pair.one.carrier.sockets} and {pair.other.carrier.sockets}"
+    )
     return pair.lines
 
 
 def test_a_lost_first_segment_goes_again_after_a_second():
     """As the system does, which knows nothing of the way yet; what is lost later goes again after 200 ms."""
     pair = Pair().run(10)
-    lost = iter((True, False, False, True, False))      # the first segment, once; its answer; a line, once
+    lost = iter(
+        (True, False, False, True, False)
+    )  # the first segment, once; its answer; a line, once
     pair.world.net.random = lambda: 0.0 if next(lost, False) else 0.9
     pair.world.worse("one", "other", 0.0, 0.5)
     began, again = pair.clock.now(), Writes("again", [], pair.clock)
@@ -184,18 +194,32 @@
     pair.far.wire.send(b"a line")
     pair.run(300)
     times = [float(line.split()[0]) - began for line in again.story]
-    assert [line.split(maxsplit=1)[1] for line in again.story] == ["again connected", "again received b'a line'"]
-    assert times[0] == pytest.approx(1002.0, abs=1.0) and times[1] == pytest.approx(1301.0, abs=1.0)
+    assert [line.split(maxsplit=1)[1] for line in again.story] == [
+        "again connected",
+        "again received b'a line'",
+    ]
+    assert times[0] == pytest.approx(1002.0, abs=1.0) and times[1] == pytest.approx(
+        1301.0, abs=1.0
+    )
 
 
 def datagrams():
     world = VirtualWorld(1, STILL)
-    faults = Faults(random.Random("seed"), 1.0, 0.5, loss=0.2, doubled=0.2, overtaken=0.3)
+    faults = Faults(
+        random.Random("seed"), 1.0, 0.5, loss=0.2, doubled=0.2, overtaken=0.3
+    )
     peers = VirtualPeers(world.clock, faults)
     lines = []
     hosts = [world.host(name, "east", LIMITS) for name in "ab"]
-    ends = [peers.endpoint(host, lambda data, came, name=host.name: lines.append(
-        f"{world.clock.now():6.2f} {name} has {data.decode()} of {came}")) for host in hosts]
+    ends = [
+        peers.endpoint(
+            host,
+            lambda data, came, name=host.name: lines.append(
+                f"{world.clock.now():6.2f} {name} has {data.decode()} of {came}"
+            ),
+        )
+        for host in hosts
+    ]
     for number in range(8):
         ends[0].send("b", b"%d" % number)
     world.clock.run(20)
@@ -207,9 +231,20 @@
     return lines
 
 
-SCENARIOS = {run.__name__: run for run in (
-    both_ends, held_reader_blocks_its_writer, nobody_listens, process_dies, machine_vanishes_and_is_back_anew,
-    paused_process_still_accepts, one_way_cut, parted_with_bytes_on_the_way, datagrams)}
+SCENARIOS = {
+    run.__name__: run
+    for run in (
+        both_ends,
+        held_reader_blocks_its_writer,
+        nobody_listens,
+        process_dies,
+        machine_vanishes_and_is_back_anew,
+        paused_process_still_accepts,
+        one_way_cut,
+        parted_with_bytes_on_the_way,
+        datagrams,
+    )
+}
 
 
 @pytest.mark.parametrize("name", SCENARIOS)
@@ -238,10 +273,12 @@
         done = asyncio.Event()
         ends = {}
         for name in "ab":
+
             def received(data, came, name=name):
                 heard.append((name, data, came))
                 if data == b"last":
                     done.set()
+
             ends[name] = await peers.endpoint(name, received)
         faults.cut("a", "b", both=False)
         ends["a"].send("b", b"cut off")
@@ -253,6 +290,7 @@
         await asyncio.wait_for(done.wait(), 8)
         for end in ends.values():
             end.close()
+
     loop.run_until_complete(talk())
     loop.close()
     assert {("a", b"still heard", "b"), ("b", b"last", "a")} == set(heard)
@@ -275,6 +313,7 @@
         clock.at(10.0, lambda: rang.append(clock.now()))
         while len(rang) < 2:
             await asyncio.sleep(0.001)
+
     loop.run_until_complete(asyncio.wait_for(wait(), 8))
     loop.close()
     assert rang[0] == 0.0 and rang[1] >= 9.9
@@ -282,7 +321,9 @@
 
 def test_sockets_world():
     """One script with a bit of everything, on real sockets and processes, within the rules."""
-    text = open("tests/scripts/mutants.toml").read().replace("seconds = 14", "seconds = 9") + """
+    text = (
+        open("tests/scripts/mutants.toml").read().replace("seconds = 14", "seconds = 9")
+        + """
 [[event]]
 at_s = 2
 do = "silent"
@@ -306,10 +347,25 @@
 one_way = true
 for_s = 1
 """
-    text = text.replace("at_s = 3\ndo = \"drain\"\non = \"g1\"", "at_s = 4\ndo = \"drain\"\non = \"g2\"")
+    )
+    text = text.replace(
+        'at_s = 3\ndo = "drain"\non = "g1"', 'at_s = 4\ndo = "drain"\non = "g2"'
+    )
     result = play(scripts.script_of(tomllib.loads(text)), world="sockets")
     counts = result.figures["counts"]
     assert [str(breach) for breach in result.breaches] == []
-    assert counts["answer UP"] > 30      # how many depends on how fast the proxies start
-    done = {fields["do"] for _, kind, fields in result.scene.record.events if kind == "event"}
-    assert {"silent", "proxy-kill", "proxy-roll", "partition", "drain", "cut", "kill"} <= done
+    assert counts["answer UP"] > 30  # how many depends on how fast the proxies start
+    done = {
+        fields["do"]
+        for _, kind, fields in result.scene.record.events
+        if kind == "event"
+    }
+    assert {
+        "silent",
+        "proxy-kill",
+        "proxy-roll",
+        "partition",
+        "drain",
+        "cut",
+        "kill",
+    } <= done
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -22,8 +22,20 @@
     """A layout in which `d1` is where c1 is, as far as `parts` names them; proxies go by the parts."""
     seeds = {zone.name: zone.seeds for zone in fleet.layouts[1].zones}
     regions = {zone: region for zone, (region, _) in ZONES.items()}
-    return Layout(version, tuple(Zone(name, regions.get(name, "c"), 4 if name == "d1" else ZONES[name][1],
-                                      seeds.get(name, seeds["c1"]), part, was[name]) for name, part in parts.items()))
+    return Layout(
+        version,
+        tuple(
+            Zone(
+                name,
+                regions.get(name, "c"),
+                4 if name == "d1" else ZONES[name][1],
+                seeds.get(name, seeds["c1"]),
+                part,
+                was[name],
+            )
+            for name, part in parts.items()
+        ),
+    )
 
 
 def restart(fleet, name, version, zone=None):
@@ -54,13 +66,28 @@
     assert [member.name for member in fleet.peers[old[0]].membership.alive()] == old
     since = fleet.change("g", new[0])
     fleet.run(6)
-    assert len(fleet.in_force("g", since)) == len(new) - 1      # the others don't know the zone that says so
+    assert (
+        len(fleet.in_force("g", since)) == len(new) - 1
+    )  # the others don't know the zone that says so
     # Whoever is given the new file hears the new name, and what was told there.
-    for name in [*old, *(name for zone in ("a1", "a2", "b1") for name in fleet.names[zone])]:
+    for name in [
+        *old,
+        *(name for zone in ("a1", "a2", "b1") for name in fleet.names[zone]),
+    ]:
         restart(fleet, name, 2, "d1" if name in old else None)
     assert fleet.until(fleet.all_agree, 60) is not None
-    assert fleet.until(lambda: all(peers.board.drains("g", 0.0) for peers in fleet.peers.values()), 30) is not None
-    assert fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30) is not None and fleet.over == []
+    assert (
+        fleet.until(
+            lambda: all(peers.board.drains("g", 0.0) for peers in fleet.peers.values()),
+            30,
+        )
+        is not None
+    )
+    assert (
+        fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
+        is not None
+        and fleet.over == []
+    )
 
 
 def test_a_zone_renamed_by_processes_beside_the_old_ones_counts_twice():
@@ -83,7 +110,9 @@
 
 
 @pytest.mark.parametrize("seed, loss", [(1, 0.0), (2, 0.02), (3, 0.25)])
-def test_a_zone_renamed_by_way_of_a_layout_that_has_both_names_never_passes_the_whole(seed, loss):
+def test_a_zone_renamed_by_way_of_a_layout_that_has_both_names_never_passes_the_whole(
+    seed, loss
+):
     """First all get a file in which the old name gives its part to the new one; then its members go by the new name;
     then the old one is written out."""
     fleet = started(seed, loss)
@@ -91,12 +120,16 @@
     fleet.layouts[2] = renamed(fleet, 2, both, {**PARTS, "d1": 0.0})
     for name in list(fleet.zone_of):
         restart(fleet, name, 2)
-    through = lambda: all(peers.zones.through("c1") == 2 for peers in fleet.peers.values())
+    through = lambda: all(
+        peers.zones.through("c1") == 2 for peers in fleet.peers.values()
+    )
     assert fleet.until(through, 60) is not None
     for name in fleet.names["c1"]:
         restart(fleet, name, 2, "d1")
     whole = lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0)
-    assert fleet.until(whole, 60) is not None and shares(fleet, fleet.names["c1"]) == pytest.approx(PARTS["c1"])
+    assert fleet.until(whole, 60) is not None and shares(
+        fleet, fleet.names["c1"]
+    ) == pytest.approx(PARTS["c1"])
     last = {name: part for name, part in both.items() if name != "c1"}
     fleet.layouts[3] = renamed(fleet, 3, last, last)
     for name in list(fleet.zone_of):
@@ -117,11 +150,16 @@
     met = fleet.names["b1"] + [wrong]
     assert all(len(fleet.peers[name].membership.alive()) == 6 for name in met)
     assert all(len(fleet.peers[name].membership.alive()) == 4 for name in right)
-    assert fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30) is not None
+    assert (
+        fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
+        is not None
+    )
     assert shares(fleet, right) == pytest.approx(PARTS["a1"] * 4 / 5)
     since = fleet.change("g", wrong)
     fleet.run(6)
-    assert len(fleet.in_force("g", since)) == 17 and max(fleet.in_force("g", since)) < 6.0
+    assert (
+        len(fleet.in_force("g", since)) == 17 and max(fleet.in_force("g", since)) < 6.0
+    )
     # A cut of the region where it stands parts it from its zone, and not from its neighbours: it is cut off.
     region = [*fleet.names["a1"], *fleet.names["a2"]]
     fleet.cut(region)
@@ -129,12 +167,22 @@
     assert fleet.peers[wrong].state() == CUT_OFF
     assert {fleet.peers[name].state() for name in fleet.names["a2"]} == {AGREED}
     fleet.cut(region, False)
-    assert fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30) is not None
+    assert (
+        fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
+        is not None
+    )
     assert fleet.over == [], fleet.over[:3]
     # With its file put right it leaves the zone that it was never in, which knows so though its address answers.
     restart(fleet, wrong, 1, "a1")
     assert fleet.until(fleet.all_agree, 30) is not None, fleet.states()
     fleet.run(5)
-    assert all(len(fleet.peers[name].membership.alive()) == 5 for zone in ("a1", "b1") for name in fleet.names[zone])
-    assert fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30) is not None
+    assert all(
+        len(fleet.peers[name].membership.alive()) == 5
+        for zone in ("a1", "b1")
+        for name in fleet.names[zone]
+    )
+    assert (
+        fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
+        is not None
+    )
     assert fleet.over == [], fleet.over[:3]
