--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -29,9 +29,17 @@
 
 
 def test_the_order_of_arrival_changes_nothing():
-    records = [[f"s/{server}", WALL + start, counter, "", [bool(counter % 2), WALL + counter]]
-               for server in "abc" for start in (0.0, 5.0) for counter in (1, 2, 3)]
-    records += [["z/e", 0, counter, writer, SUMMARY] for counter in (1, 2) for writer in ("x", "y")]
+    records = [
+        [f"s/{server}", WALL + start, counter, "", [bool(counter % 2), WALL + counter]]
+        for server in "abc"
+        for start in (0.0, 5.0)
+        for counter in (1, 2, 3)
+    ]
+    records += [
+        ["z/e", 0, counter, writer, SUMMARY]
+        for counter in (1, 2)
+        for writer in ("x", "y")
+    ]
     digests = {}
     for seed in range(50):
         one = board()
@@ -40,7 +48,10 @@
             one.merge(WALL, [record])
         digests[one.digest, str(sorted(one.records.items()))] = None
     assert len(digests) == 1
-    assert one.records["s/a"][1:3] == [WALL + 5.0, 3] and one.records["z/e"][2:4] == [2, "y"]
+    assert one.records["s/a"][1:3] == [WALL + 5.0, 3] and one.records["z/e"][2:4] == [
+        2,
+        "y",
+    ]
     for key in list(one.records):
         one.drop(key)
     assert one.digest == 0 and not any(one.sums)
@@ -51,22 +62,41 @@
     same = [[f"s/g{place}", WALL, 1, "", [True, WALL]] for place in range(300)]
     one.merge(WALL, same)
     other.merge(WALL, same)
-    one.merge(WALL, [["s/mine", WALL, 1, "", [True, WALL]], ["s/g7", WALL, 2, "", [False, WALL]]])
+    one.merge(
+        WALL,
+        [["s/mine", WALL, 1, "", [True, WALL]], ["s/g7", WALL, 2, "", [False, WALL]]],
+    )
     other.merge(WALL, [["s/theirs", WALL, 1, "", [True, WALL]]])
     buckets = other.differing(one.sums)
     said = [record for some in other.within(buckets).values() for record in some]
     back = one.ahead(buckets, said)
     assert [record[0] for record in back] == ["s/g7", "s/mine"] and len(said) < 60
     assert [record[0] for record in one.merge(WALL, said)] == ["s/theirs"]
-    assert len(other.merge(WALL, back)) == 2 and one.digest == other.digest and one.sums == other.sums
-
-
-@pytest.mark.parametrize("record", [
-    ["s/a", WALL, 1, ""], ["s/a", WALL, -1, "", [True, WALL]], ["s/a", WALL, 1.5, "", [True, WALL]],
-    ["s/a", WALL, 1, 7, [True, WALL]], ["s/a", WALL, 1, "", [True]], ["s/a", -5.0, 1, "", [True, WALL]],
-    ["t/a", WALL, 1, "", [True, WALL]], ["z/unknown", 0, 1, "x", SUMMARY], ["z/e", 4, 1, "x", SUMMARY],
-    ["z/e", 0, 1, "x", SUMMARY[:-1]], ["z/e", 0, 1, "x", ["well", *SUMMARY[1:]]],
-    ["z/e", 0, 1, "x", [*SUMMARY[:-1], [["a", "nowhere"]]]], ["z/e", 0, 1, "x", [*SUMMARY[:-1], [["a", "h:99999"]]]]])
+    assert (
+        len(other.merge(WALL, back)) == 2
+        and one.digest == other.digest
+        and one.sums == other.sums
+    )
+
+
+@pytest.mark.parametrize(
+    "record",
+    [
+        ["s/a", WALL, 1, ""],
+        ["s/a", WALL, -1, "", [True, WALL]],
+        ["s/a", WALL, 1.5, "", [True, WALL]],
+        ["s/a", WALL, 1, 7, [True, WALL]],
+        ["s/a", WALL, 1, "", [True]],
+        ["s/a", -5.0, 1, "", [True, WALL]],
+        ["t/a", WALL, 1, "", [True, WALL]],
+        ["z/unknown", 0, 1, "x", SUMMARY],
+        ["z/e", 4, 1, "x", SUMMARY],
+        ["z/e", 0, 1, "x", SUMMARY[:-1]],
+        ["z/e", 0, 1, "x", ["well", *SUMMARY[1:]]],
+        ["z/e", 0, 1, "x", [*SUMMARY[:-1], [["a", "nowhere"]]]],
+        ["z/e", 0, 1, "x", [*SUMMARY[:-1], [["a", "h:99999"]]]],
+    ],
+)
 def test_what_is_no_record_holds_nothing_of_its_message(record):
     one = board()
     with pytest.raises((ValueError, TypeError)):
@@ -76,24 +106,35 @@
 
 def test_lists_that_say_the_same_make_the_same_records():
     boards = [board() for _ in range(4)]
-    told = [each.list_says(WALL + place, "g", True, WALL - 5.0) for place, each in enumerate(boards)]
+    told = [
+        each.list_says(WALL + place, "g", True, WALL - 5.0)
+        for place, each in enumerate(boards)
+    ]
     assert all(told) and len({each.digest for each in boards}) == 1
-    for each in boards:         # told of one another, it is no news
+    for each in boards:  # told of one another, it is no news
         assert each.merge(WALL, told) == []
     assert all(each.list_says(WALL + 10.0, "g", False, WALL - 5.0) for each in boards)
-    assert len({each.digest for each in boards}) == 1 and not boards[0].drains("g", WALL - 5.0)
+    assert len({each.digest for each in boards}) == 1 and not boards[0].drains(
+        "g", WALL - 5.0
+    )
 
 
 def test_drains_come_back_only_by_something_newer():
     one, other = board(), board()
     told = one.list_says(WALL, "g", True, 5.0)
-    assert other.merge(WALL, [told]) and other.drains("g", 5.0) and not other.drains("g", 6.0)
-    assert other.list_says(WALL, "g", False, 5.0) is None and other.drains("g", 5.0)    # its list is late
-    assert other.list_says(WALL, "g", True, 5.0) is None        # agrees with what was told
+    assert (
+        other.merge(WALL, [told])
+        and other.drains("g", 5.0)
+        and not other.drains("g", 6.0)
+    )
+    assert other.list_says(WALL, "g", False, 5.0) is None and other.drains(
+        "g", 5.0
+    )  # its list is late
+    assert other.list_says(WALL, "g", True, 5.0) is None  # agrees with what was told
     again = one.list_says(WALL, "g", False, 5.0), one.list_says(WALL, "g", True, 5.0)
-    assert other.merge(WALL, again)                             # over, and another drain
+    assert other.merge(WALL, again)  # over, and another drain
     assert other.list_says(WALL, "g", False, 5.0) is None and other.drains("g", 5.0)
-    assert other.merge(WALL, [told]) == [] and other.drains("g", 5.0)   # late, or again
+    assert other.merge(WALL, [told]) == [] and other.drains("g", 5.0)  # late, or again
     assert one.list_says(WALL, "g", False, 5.0) and not one.drains("g", 5.0)
     start = one.list_says(WALL, "g", False, WALL - 1000.0)
     assert start[1:3] == [WALL - 1000.0, 0] and other.merge(WALL, [start])
@@ -105,14 +146,20 @@
     assert one.list_says(WALL, "g", False, WALL + one.AHEAD + 1) is None
     assert one.list_says(WALL, "g", False, WALL - one.STARTED - 1) is None
     assert one.merge(WALL, [["s/g", WALL + one.AHEAD + 1, 0, "", [False, WALL]]]) == []
-    assert one.list_says(WALL, "g", False, WALL - 1.0) and one.start("g", None) == WALL - 1.0
+    assert (
+        one.list_says(WALL, "g", False, WALL - 1.0)
+        and one.start("g", None) == WALL - 1.0
+    )
     one.forget(WALL + one.STARTED)
     assert not one.records and one.digest == 0
 
 
 def test_of_too_many_the_oldest_go_at_all_alike(monkeypatch):
     monkeypatch.setattr(Board, "MOST", 20)
-    records = [[f"s/g{place}", WALL + place, 1, "", [True, WALL + place]] for place in range(60)]
+    records = [
+        [f"s/g{place}", WALL + place, 1, "", [True, WALL + place]]
+        for place in range(60)
+    ]
     digests = {}
     for seed in range(10):
         random.Random(seed).shuffle(records)
@@ -130,15 +177,28 @@
 
 def layout(parts, was=None, version=1):
     was = was or parts
-    return Layout(version, tuple(Zone(name, name[0], 4, (f"127.0.0.1:{place + 1}",), parts[name], was[name])
-                                 for place, name in enumerate(parts)))
+    return Layout(
+        version,
+        tuple(
+            Zone(name, name[0], 4, (f"127.0.0.1:{place + 1}",), parts[name], was[name])
+            for place, name in enumerate(parts)
+        ),
+    )
 
 
 def zones(own="e", parts=None, was=None, version=1, held=None):
     chance = random.Random(1)
     held = held or board(parts or ("e", "w"))
-    return Zones(0.0, layout(parts or {"e": 0.5, "w": 0.5}, was, version), own, f"{own}1 5", held, 1000.0,
-                 chance.shuffle, chance.choice)
+    return Zones(
+        0.0,
+        layout(parts or {"e": 0.5, "w": 0.5}, was, version),
+        own,
+        f"{own}1 5",
+        held,
+        1000.0,
+        chance.shuffle,
+        chance.choice,
+    )
 
 
 def test_equal_views_choose_alike_and_a_death_promotes_the_next():
@@ -162,7 +222,7 @@
             if each.write(second * 1000.0, [AGREED, at_work, *SUMMARY[2:]]):
                 written.append(second)
     assert len(written) < 40 and sum(second >= 300 for second in written) < 12
-    assert one.write(601_000.0, held.summary("e")[4]) is None       # nothing new
+    assert one.write(601_000.0, held.summary("e")[4]) is None  # nothing new
 
 
 def test_zones_are_out_of_reach_by_silence_and_stay_so_over_a_change_of_delegates():
@@ -171,7 +231,9 @@
     one.spoke(10_000.0, "w")
     assert one.out_of_reach(16_000.0) == ["v"]
     one.write(16_000.0, [AGREED, 3, 3, "ab", ["v"], 1, []])
-    assert one.state("w", AGREED) == DOUBT and one.region_state(AGREED) == AGREED      # nothing told of it yet
+    assert (
+        one.state("w", AGREED) == DOUBT and one.region_state(AGREED) == AGREED
+    )  # nothing told of it yet
     next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.board)
     next_one.listen(16_500.0)
     assert next_one.out_of_reach(17_000.0) == ["v"]
@@ -188,14 +250,23 @@
     for seed in range(200):
         chance = random.Random(seed)
         cuts = sorted(chance.random() for _ in range(chance.randint(0, 14)))
-        parts = {f"z{place}": after - before for place, (before, after) in enumerate(zip([0.0, *cuts], [*cuts, 1.0]))}
+        parts = {
+            f"z{place}": after - before
+            for place, (before, after) in enumerate(zip([0.0, *cuts], [*cuts, 1.0]))
+        }
         each = [zones(name, parts) for name in parts]
         whole = chance.choice((0.2, 0.9, 1.0, 3.7, 40.0))
         for server in range(20):
             total = sum(one.rounded(f"g{server}", whole * one.own.part) for one in each)
             assert whole - 1 - 1e-6 <= total <= whole + 1 + 1e-6, (seed, total)
     one = zones("e", {"e": 0.25, "w": 0.75})
-    assert abs(sum(one.rounded(f"g{server}", 0.25 * 1.2) for server in range(4000)) / 4000 - 0.3) < 0.03
+    assert (
+        abs(
+            sum(one.rounded(f"g{server}", 0.25 * 1.2) for server in range(4000)) / 4000
+            - 0.3
+        )
+        < 0.03
+    )
 
 
 def through(held, zone, version):
@@ -206,7 +277,9 @@
 def test_a_part_grows_only_once_those_that_give_are_through():
     parts, was = {"e": 0.2, "v": 0.3, "w": 0.5}, {"e": 0.4, "v": 0.3, "w": 0.3}
     held = board(parts)
-    giving, taking, other = (zones(name, parts, was, 2, held) for name in ("e", "w", "v"))
+    giving, taking, other = (
+        zones(name, parts, was, 2, held) for name in ("e", "w", "v")
+    )
     assert (giving.part(), taking.part(), other.part()) == (0.2, 0.3, 0.3)
     through(held, "w", 2)
     through(held, "e", 1)
@@ -222,7 +295,7 @@
     assert one.part() == 0.5
     one.told_layout(3)
     assert one.part() == 0.5
-    through(held, "e", 3)               # its own zone is through with a later one
+    through(held, "e", 3)  # its own zone is through with a later one
     assert one.part() == 0.0
     other = zones(version=2)
     other.told_layout(4)
@@ -252,8 +325,19 @@
 
 def member(name, known):
     wire = Wire()
-    one = Membership(wire, random.Random(name), name, f"{name}:1", 1, period=1000.0, patience=300.0, helpers=3,
-                     kept=60_000.0, sync_every=10_000.0, differences=True)
+    one = Membership(
+        wire,
+        random.Random(name),
+        name,
+        f"{name}:1",
+        1,
+        period=1000.0,
+        patience=300.0,
+        helpers=3,
+        kept=60_000.0,
+        sync_every=10_000.0,
+        differences=True,
+    )
     one.hear(0.0, [[ALIVE, other, f"{other}:1", 0, 2, other] for other in known])
     return one, wire
 
@@ -265,7 +349,7 @@
     for each, name in ((one, "y"), (other, "x")):
         each.hear(0.0, [[ALIVE, name, f"{name}:1", 0, 1, name]])
     one.meet(other.me)
-    (to, words), = wire.said
+    ((to, words),) = wire.said
     assert to == "y:1" and words[0] == COMPARE and len(words[1]) == Membership.BUCKETS
     other.on_message(1.0, "x:1", words)
     assert answers.said == []
@@ -283,7 +367,9 @@
 
 
 def small(seed, **more):
-    fleet = Fleet({"a1": ("a", 5), "a2": ("a", 4), "b1": ("b", 5), "c1": ("c", 4)}, seed, **more)
+    fleet = Fleet(
+        {"a1": ("a", 5), "a2": ("a", 4), "b1": ("b", 5), "c1": ("c", 4)}, seed, **more
+    )
     fleet.start_all()
     return fleet
 
@@ -297,8 +383,12 @@
     since = fleet.change("g1", "b1-2")
     fleet.run(6)
     times = fleet.in_force("g1", since)
-    assert len(times) == 17 and max(times) < 6.0        # all but the one that was told by its list
-    assert {peers.board.digest for peers in fleet.peers.values()} == {fleet.peers["a1-0"].board.digest}
+    assert (
+        len(times) == 17 and max(times) < 6.0
+    )  # all but the one that was told by its list
+    assert {peers.board.digest for peers in fleet.peers.values()} == {
+        fleet.peers["a1-0"].board.digest
+    }
 
 
 def test_a_question_that_is_lost_is_asked_again_while_news_comes_all_the_time():
@@ -312,6 +402,7 @@
             asked.append(fleet.clock.now())
         if words[0] != DIFFER or len(asked) > 1:
             say(address, words, bulk)
+
     one.say = lossy
     fleet.cut(["a1-1"])
     fleet.change("missed", "b1-0")
@@ -330,9 +421,14 @@
     fleet.run(8)
     one, asked = fleet.peers["a1-1"], []
     ask, learn = one.ask, one.learn
-    one.ask = lambda address, since, tries: (asked.append(since), ask(address, since, tries))
+    one.ask = lambda address, since, tries: (
+        asked.append(since),
+        ask(address, since, tries),
+    )
     # It never gets one half of them, so that its board is another for good, and changes all the time.
-    one.learn = lambda now, records, zone: learn(now, [each for each in records if each[0][-1] not in "13579"], zone)
+    one.learn = lambda now, records, zone: learn(
+        now, [each for each in records if each[0][-1] not in "13579"], zone
+    )
     for number in range(80):
         fleet.change(f"news {number}", "c1-1")
         fleet.run(0.1)
@@ -352,8 +448,13 @@
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
     found = one.board.within(range(Board.BUCKETS))
     told = list(one.parts(found))
-    assert len(told) > 4 and [bucket for buckets, _ in told for bucket in buckets] == list(found)
-    assert all([record for bucket in buckets for record in found[bucket]] == records for buckets, records in told)
+    assert len(told) > 4 and [
+        bucket for buckets, _ in told for bucket in buckets
+    ] == list(found)
+    assert all(
+        [record for bucket in buckets for record in found[bucket]] == records
+        for buckets, records in told
+    )
     fleet.kill("a1-2")
     fleet.start("a1-2")
     fleet.run(4)
@@ -375,9 +476,17 @@
     assert {name: peers.shared for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
-    assert len(fleet.in_force("in", inside, region)) == len(region) - 1 and not fleet.in_force("in", inside, rest)
-    assert len(fleet.in_force("out", outside, rest)) == len(rest) - 1 and not fleet.in_force("out", outside, region)
-    assert all(peers.listens(other) for other in region[:4] for peers in [fleet.peers[region[4]]])
+    assert len(fleet.in_force("in", inside, region)) == len(
+        region
+    ) - 1 and not fleet.in_force("in", inside, rest)
+    assert len(fleet.in_force("out", outside, rest)) == len(
+        rest
+    ) - 1 and not fleet.in_force("out", outside, region)
+    assert all(
+        peers.listens(other)
+        for other in region[:4]
+        for peers in [fleet.peers[region[4]]]
+    )
     fleet.cut(region, False)
     healed = fleet.clock.now()
     fleet.run(6)
@@ -394,7 +503,9 @@
     for name in fleet.names["a1"]:
         fleet.kill(name)
     fleet.run(20)
-    assert fleet.peers["b1-0"].zones.at_work(5) == 18       # nobody's death says that its part is free
+    assert (
+        fleet.peers["b1-0"].zones.at_work(5) == 18
+    )  # nobody's death says that its part is free
     for name in fleet.names["a1"]:
         fleet.start(name)
     fleet.run(8)
@@ -416,7 +527,11 @@
     fleet.run(3)
 
     def alike():
-        return len({fleet.peers[name].membership.digest() for name in fleet.names["a"]}) == 1
+        return (
+            len({fleet.peers[name].membership.digest() for name in fleet.names["a"]})
+            == 1
+        )
+
     took = fleet.until(alike, 60)
     assert took is not None and took < 12, took
 
@@ -427,14 +542,19 @@
     some = fleet.names["b1"][:2]
     fleet.cut(some)
     fleet.run(30)
-    sets = {tuple(name for name, _, _ in fleet.peers[name].delegates()) for name in fleet.names["b1"]}
+    sets = {
+        tuple(name for name, _, _ in fleet.peers[name].delegates())
+        for name in fleet.names["b1"]
+    }
     assert len(sets) == 2
     fleet.cut(some, False)
     assert fleet.until(fleet.all_agree, 30) is not None and fleet.over == []
 
 
 def test_one_zone_far_larger_than_the_rest():
-    fleet = Fleet({"big": ("r", 60), "x": ("r", 2), "y": ("s", 2), "z": ("s", 1)}, 5, loss=0.05)
+    fleet = Fleet(
+        {"big": ("r", 60), "x": ("r", 2), "y": ("s", 2), "z": ("s", 1)}, 5, loss=0.05
+    )
     fleet.start_all()
     fleet.run(4)
     assert fleet.until(fleet.all_agree, 60) is not None and fleet.over == []
@@ -453,8 +573,11 @@
         fleet.run(30)
         assert fleet.all_agree()
         rates = fleet.rates(20)
-        ordinary = [rate for name, (rate, _) in rates.items()
-                    if name not in [each for each, _, _ in fleet.peers[name].delegates()]]
+        ordinary = [
+            rate
+            for name, (rate, _) in rates.items()
+            if name not in [each for each, _, _ in fleet.peers[name].delegates()]
+        ]
         found.append(sum(ordinary) / len(ordinary))
     assert found[1] < 1.15 * found[0], found
 
@@ -470,7 +593,9 @@
     fleet.layouts[2] = fleet.layout(2, parts, was)
     order = list(fleet.zone_of)
     fleet.random.shuffle(order)
-    for place, name in enumerate(order):        # each gets its file, and is started anew if it runs
+    for place, name in enumerate(
+        order
+    ):  # each gets its file, and is started anew if it runs
         fleet.files[name] = 2
         if name in fleet.peers:
             fleet.kill(name)
@@ -478,9 +603,11 @@
         if place % 3 == 0:
             fleet.trouble(1)
     fleet.trouble(10)
-    fleet.run(40)       # cuts are over by then, and all have come back
+    fleet.run(40)  # cuts are over by then, and all have come back
     assert fleet.over == [], fleet.over[:3]
-    assert len(fleet.peers) == 18 and fleet.until(fleet.all_agree, 30) is not None, fleet.states()
+    assert len(fleet.peers) == 18 and fleet.until(fleet.all_agree, 30) is not None, (
+        fleet.states()
+    )
     for name, peers in fleet.peers.items():
         assert abs(peers.zones.part() - parts[fleet.zone_of[name]]) < 1e-9
     assert abs(sum(peers.shared for peers in fleet.peers.values()) - 1.0) < 1e-9
@@ -528,31 +655,52 @@
 
 def test_the_layout_of_a_file():
     from wheathill.config.peers import layout_of
+
     file = operator.file_of(tomllib.loads(FILE))
     found = layout_of(file.peers)
-    assert found.version == 2 and [(zone.name, zone.region, zone.part, zone.was) for zone in found.zones] == [
-        ("e", "r", 0.6, 0.7), ("w", "w", 0.4, 0.3)]
+    assert found.version == 2 and [
+        (zone.name, zone.region, zone.part, zone.was) for zone in found.zones
+    ] == [("e", "r", 0.6, 0.7), ("w", "w", 0.4, 0.3)]
     bare = tomllib.loads(FILE)
     for zone in bare["peers"]["zones"]:
         del zone["part"], zone["was"]
-    assert [zone.part for zone in layout_of(operator.file_of(bare).peers).zones] == [4 / 6, 2 / 6]
+    assert [zone.part for zone in layout_of(operator.file_of(bare).peers).zones] == [
+        4 / 6,
+        2 / 6,
+    ]
     del bare["peers"]["zone"], bare["peers"]["zones"]
     assert layout_of(operator.file_of(bare).peers) is None
 
 
-@pytest.mark.parametrize("change, key", [
-    (('zone = "e"', ''), "peers.zone: is missing"),
-    (('zone = "e"', 'zone = "x"'), "peers.zone: 'x'"),
-    (('name = "w"', 'name = "e"'), "peers.zones[1].name: 'e'"),
-    (('seeds = ["127.0.0.1:9800"]', 'seeds = []'), "peers.zones[1].seeds: is empty"),
-    (('seeds = ["127.0.0.1:9800"]', 'seeds = ["127.0.0.1:99999"]'), "peers.zones[1].seeds[0]"),
-    (('part = 0.4', ''), "peers.zones: part is told of some"),
-    (('was = 0.3', 'was = 0.5'), "peers.zones: was sums to 1.2"),
-    (('part = 0.4', 'part = 1.4'), "peers.zones[1].part"),
-    (('proxies = 2', 'proxies = 3'), "fleet.proxies: is 6, and the proxies of peers.zones are 7"),
-    (('layout = 2', 'layout = 0'), "peers.layout"),
-    (('layout = 2', 'roster = ["p1"]'), "peers.roster"),
-    (('region = "r"', 'regio = "r"'), "peers.zones[0].regio: no such key; did you mean region?")])
+@pytest.mark.parametrize(
+    "change, key",
+    [
+        (('zone = "e"', ""), "peers.zone: is missing"),
+        (('zone = "e"', 'zone = "x"'), "peers.zone: 'x'"),
+        (('name = "w"', 'name = "e"'), "peers.zones[1].name: 'e'"),
+        (
+            ('seeds = ["127.0.0.1:9800"]', "seeds = []"),
+            "peers.zones[1].seeds: is empty",
+        ),
+        (
+            ('seeds = ["127.0.0.1:9800"]', 'seeds = ["127.0.0.1:99999"]'),
+            "peers.zones[1].seeds[0]",
+        ),
+        (("part = 0.4", ""), "peers.zones: part is told of some"),
+        (("was = 0.3", "was = 0.5"), "peers.zones: was sums to 1.2"),
+        (("part = 0.4", "part = 1.4"), "peers.zones[1].part"),
+        (
+            ("proxies = 2", "proxies = 3"),
+            "fleet.proxies: is 6, and the proxies of peers.zones are 7",
+        ),
+        (("layout = 2", "layout = 0"), "peers.layout"),
+        (("layout = 2", 'roster = ["p1"]'), "peers.roster"),
+        (
+            ('region = "r"', 'regio = "r"'),
+            "peers.zones[0].regio: no such key; did you mean region?",
+        ),
+    ],
+)
 def test_a_layout_that_can_not_be_used_names_its_key(change, key):
     assert FILE.count(change[0]) == 1
     with pytest.raises(Misconfigured) as wrong:
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -20,8 +20,18 @@
 
 
 class Turns:
-    def __init__(self, names=("a", "b"), known=True, discovery=True, repeat="retryable", dial=2.0, settings=None,
-                 limits=None, step=None, sockets=256):
+    def __init__(
+        self,
+        names=("a", "b"),
+        known=True,
+        discovery=True,
+        repeat="retryable",
+        dial=2.0,
+        settings=None,
+        limits=None,
+        step=None,
+        sockets=256,
+    ):
         """`step`: ms that each turn takes by the proxy's clock, whatever it takes by the machine's: seconds of alarms
         then pass in moments, and the same on a busy machine."""
         self.lines, self.peers, self.logged = [], [], []
@@ -38,16 +48,30 @@
         free.close()
         self.limits = limits or {}
         self.config = {
-            "name": "n0", "seed": "5eed", "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.getsockname() if discovery else False, "limits": {"sockets": sockets},
-            "known": known if isinstance(known, dict) else self.list(*names) if known else {},
-            "settings": {"listeners": [{"name": "any", "repeat": repeat, "dialTimeoutS": dial}],
-                         "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
-                         "familyInfo": {"mode": "pass"}, "obligations": {"drainGraceS": 0.5}, **(settings or {})}}
+            "name": "n0",
+            "seed": "5eed",
+            "listen": "%s:%d" % self.address,
+            "discovery": "%s:%d" % self.discovery.getsockname() if discovery else False,
+            "limits": {"sockets": sockets},
+            "known": known
+            if isinstance(known, dict)
+            else self.list(*names)
+            if known
+            else {},
+            "settings": {
+                "listeners": [{"name": "any", "repeat": repeat, "dialTimeoutS": dial}],
+                "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
+                "familyInfo": {"mode": "pass"},
+                "obligations": {"drainGraceS": 0.5},
+                **(settings or {}),
+            },
+        }
         node = self.node()
         self.carrier = Carrier(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
-        self.proxy.door = self.carrier.listen(self.proxy.client, node.listen, self.proxy.room)
+        self.proxy.door = self.carrier.listen(
+            self.proxy.client, node.listen, self.proxy.room
+        )
         self.proxy.start()
 
     def node(self, **changed):
@@ -68,7 +92,11 @@
                 task.cancel()
             self.turn()
         self.loop.close()
-        for sock in (*self.servers.values(), self.discovery, *(peer.sock for peer in self.peers)):
+        for sock in (
+            *self.servers.values(),
+            self.discovery,
+            *(peer.sock for peer in self.peers),
+        ):
             sock.close()
 
     def turn(self, count=1):
@@ -94,16 +122,34 @@
 
     def list(self, *names, whole=True, **changed):
         self.seq += 1
-        return {"seq": self.seq, "whole": whole, "hosts": [
-            {"host": name, "dial": "%s:%d" % self.servers[name].getsockname(), "site": "x", "class": "m", "block": 1,
-             "health": "ready", "share": 1.0, "born_ms": 0, **changed} for name in names]}
+        return {
+            "seq": self.seq,
+            "whole": whole,
+            "hosts": [
+                {
+                    "host": name,
+                    "dial": "%s:%d" % self.servers[name].getsockname(),
+                    "site": "x",
+                    "class": "m",
+                    "block": 1,
+                    "health": "ready",
+                    "share": 1.0,
+                    "born_ms": 0,
+                    **changed,
+                }
+                for name in names
+            ],
+        }
 
     def client(self, name="client"):
         return Peer(self, name, socket.create_connection(self.address, PATIENCE))
 
     def open(self, key="k", name="client", **values):
         client = self.client(name)
-        told = ",".join(f"{name}={value}" for name, value in {"c": "any", "d": 2000, **values}.items())
+        told = ",".join(
+            f"{name}={value}"
+            for name, value in {"c": "any", "d": 2000, **values}.items()
+        )
         client.say(f"OPEN id-{key} {key} {told}")
         return client
 
@@ -112,18 +158,24 @@
         names = names or tuple(self.servers)
         socks = [self.servers[name] for name in names]
         ready = self.until(lambda: select.select(socks, [], [], 0)[0])
-        return Peer(self, f"server {names[socks.index(ready[0])]}", ready[0].accept()[0])
+        return Peer(
+            self, f"server {names[socks.index(ready[0])]}", ready[0].accept()[0]
+        )
 
     def dialled(self, *names):
         """How many connections wait at the servers; none of them is taken."""
-        return bool(select.select([self.servers[name] for name in names or self.servers], [], [], 0)[0])
+        return bool(
+            select.select(
+                [self.servers[name] for name in names or self.servers], [], [], 0
+            )[0]
+        )
 
     def discovery_waits(self):
         return select.select([self.discovery], [], [], 0)[0]
 
     def of_dial(self):
         """The server that the one session there is is being dialled at."""
-        sess, = self.proxy.clients
+        (sess,) = self.proxy.clients
         return sess.server.name
 
     def sent(self):
@@ -132,7 +184,13 @@
 
     def hears(self, peer):
         """One line, or how the connection ended, as the loop goes on."""
-        self.until(lambda: b"\n" in peer.rest or select.select([peer.sock], [], [], 0)[0] and self.read(peer))
+        self.until(
+            lambda: (
+                b"\n" in peer.rest
+                or select.select([peer.sock], [], [], 0)[0]
+                and self.read(peer)
+            )
+        )
         return peer.hear()
 
     @staticmethod
@@ -181,7 +239,7 @@
     turns.hears(server)
     server.say("UP r1")
     turns.hears(client)
-    carried, = turns.proxy.clients.values()
+    (carried,) = turns.proxy.clients.values()
     while not carried.wire.full:
         server.sock.sendall(b"x" * 998 + b"\r\n")
         turns.turn()
--- a/wheathill/__main__.py
+++ b/wheathill/__main__.py
@@ -8,9 +8,11 @@
 def main():
     if len(sys.argv) > 1:
         from wheathill.cli import main as command
+
         return command()
     from wheathill.config import read_node
     from wheathill.daemon import run
+
     return run(lambda: read_node(os.environ))
 
 
--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -12,7 +12,11 @@
 
 from wheathill.model import LIST_CALL, LIST_LONGEST, Listener, Repeat
 
-REPEATS = {"retryable": Repeat.REPEATABLE, "dedup": Repeat.REFERENCED, "fragile": Repeat.ONCE_ONLY}
+REPEATS = {
+    "retryable": Repeat.REPEATABLE,
+    "dedup": Repeat.REFERENCED,
+    "fragile": Repeat.ONCE_ONLY,
+}
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
 # The figures of a load report: the settings' words -> the design's.
 REPORT_NAMES = {"waiting": "queue", "cpu": "util"}
@@ -40,16 +44,22 @@
             if default is None:
                 raise Misconfigured(f"{self.at(key)}: is missing")
             return default
-        if not isinstance(value, kinds) or isinstance(value, bool) and bool not in kinds:
+        if (
+            not isinstance(value, kinds)
+            or isinstance(value, bool)
+            and bool not in kinds
+        ):
             raise Misconfigured(f"{self.at(key)}: must be {what}")
         return value
 
-    MOST = 1e15         # past it nothing is meant, and the figures worked out of it would be infinite
+    MOST = 1e15  # past it nothing is meant, and the figures worked out of it would be infinite
 
     def number(self, key, default, least=0.0, most=MOST):
         value = self.get(key, default, (int, float), "a number")
         if not least <= value <= most:
-            raise Misconfigured(f"{self.at(key)}: {value} is not within {least:g} and {most:g}")
+            raise Misconfigured(
+                f"{self.at(key)}: {value} is not within {least:g} and {most:g}"
+            )
         return value
 
     def ms(self, key, default):
@@ -57,7 +67,7 @@
         return self.number(key, default / 1000) * 1000
 
     def count(self, key, default, least=0):
-        return int(self.number(key, default, least, 2 ** 53))
+        return int(self.number(key, default, least, 2**53))
 
     def flag(self, key, default=False):
         return self.get(key, default, (bool,), "true or false")
@@ -68,7 +78,9 @@
     def choice(self, key, choices, default):
         value = self.text(key, default)
         if value not in choices:
-            raise Misconfigured(f"{self.at(key)}: {value!r} is none of {', '.join(choices)}")
+            raise Misconfigured(
+                f"{self.at(key)}: {value!r} is none of {', '.join(choices)}"
+            )
         return choices[value]
 
     def list(self, key):
@@ -90,17 +102,28 @@
         return Reader(self.get(key, {}, (dict,), "an object"), self.at(key))
 
     def parts(self, key):
-        return [Reader(value, f"{self.at(key)}[{place}]") for place, value in enumerate(self.list(key))]
+        return [
+            Reader(value, f"{self.at(key)}[{place}]")
+            for place, value in enumerate(self.list(key))
+        ]
 
 
 def read_listeners(settings):
     listeners = [
-        Listener(name=item.text("name", ""), repeat=item.choice("repeat", REPEATS, "fragile"),
-                 scope=item.choice("dedupScope", SCOPES, "cell"), window=item.ms("windowS", 0.0),
-                 handshake_target=item.ms("handshakeTargetS", 500.0),
-                 dial_timeout=item.ms("dialTimeoutS", 2000.0), utility=item.number("utility", 1.0))
-        for item in settings.parts("listeners")]
-    for listener, target in zip(listeners, settings.part("familyInfo").numbers("messageAimS")):
+        Listener(
+            name=item.text("name", ""),
+            repeat=item.choice("repeat", REPEATS, "fragile"),
+            scope=item.choice("dedupScope", SCOPES, "cell"),
+            window=item.ms("windowS", 0.0),
+            handshake_target=item.ms("handshakeTargetS", 500.0),
+            dial_timeout=item.ms("dialTimeoutS", 2000.0),
+            utility=item.number("utility", 1.0),
+        )
+        for item in settings.parts("listeners")
+    ]
+    for listener, target in zip(
+        listeners, settings.part("familyInfo").numbers("messageAimS")
+    ):
         listener.message_target = target * 1000
     return listeners
 
@@ -108,20 +131,31 @@
 def read_budget(duties):
     """(further dials free of any traffic, and for each session taken, within how many ms), or None where none
     is stated."""
-    stated = [key for key in ("freeResends", "resendRatio", "ratioSpanS")
-              if duties.values.get(key) is not None]
+    stated = [
+        key
+        for key in ("freeResends", "resendRatio", "ratioSpanS")
+        if duties.values.get(key) is not None
+    ]
     if not stated:
         return None
     if "ratioSpanS" not in stated:
-        raise Misconfigured(f"{duties.at('ratioSpanS')}: is missing, beside {duties.at(stated[0])}")
+        raise Misconfigured(
+            f"{duties.at('ratioSpanS')}: is missing, beside {duties.at(stated[0])}"
+        )
     span = duties.number("ratioSpanS", None, 1e-3, 86_400.0)
-    return duties.number("freeResends", 0.0), duties.number("resendRatio", 0.0), span * 1000
+    return (
+        duties.number("freeResends", 0.0),
+        duties.number("resendRatio", 0.0),
+        span * 1000,
+    )
 
 
 def read_slots(settings):
     slots = settings.count("slots", 4096)
     if not 512 <= slots <= 65_536 or slots & (slots - 1):
-        raise Misconfigured(f"{settings.at('slots')}: must be a power of two from 512 to 65,536")
+        raise Misconfigured(
+            f"{settings.at('slots')}: must be a power of two from 512 to 65,536"
+        )
     return slots
 
 
@@ -132,95 +166,137 @@
     prices = settings.part("prices")
     report = settings.part("report")
     goal = settings.part("goal")
-    goal.number("ninesFull", 3.0, 1e-3, 1e3)       # read to be checked: nothing decided hangs on how many
+    goal.number(
+        "ninesFull", 3.0, 1e-3, 1e3
+    )  # read to be checked: nothing decided hangs on how many
     may_probe = limits.flag("mayProbe")
-    reported = {"inline": True, "on_probe": may_probe}.get(report.text("how", "off"), False)
+    reported = {"inline": True, "on_probe": may_probe}.get(
+        report.text("how", "off"), False
+    )
     return {
-        "zone": settings.count("zone", 0), "proxies": max(1, settings.count("balancers", 1)),
+        "zone": settings.count("zone", 0),
+        "proxies": max(1, settings.count("balancers", 1)),
         "number": settings.count("me", 0) if "me" in settings.values else None,
-        "report_names": [REPORT_NAMES.get(name, name) for name in report.texts("names")] if reported else [],
-        "may_probe": may_probe, "must_ask": settings.text("membershipMode", "automatic") == "subscribe",
+        "report_names": [REPORT_NAMES.get(name, name) for name in report.texts("names")]
+        if reported
+        else [],
+        "may_probe": may_probe,
+        "must_ask": settings.text("membershipMode", "automatic") == "subscribe",
         "ask_every": duties.ms("askEveryS", 10_000.0),
         "sized": settings.text("weightSource", "off") in ("nominal", "rough"),
-        "drain_grace": duties.ms("drainGraceS", 0.0), "start_share": duties.number("startCapacity", 0.1),
-        "cold_for": duties.ms("coldS", 20_000.0), "cold_multiple": duties.number("tipMultiple", 1.0),
-        "cold_window": duties.ms("tipAfterS", 1000.0), "most_dials": limits.count("maxDials", 1),
-        "crossing_price": prices.number("crossZone", 0.0), "move_price": prices.number("moves", 0.0),
-        "budget": read_budget(duties), "gone_binds": not duties.flag("onlyDrainingBinds"),
-        "longest_wait": limits.ms("maxRetryAfterS", 0.0) if limits.flag("retryAfter") else 0.0,
+        "drain_grace": duties.ms("drainGraceS", 0.0),
+        "start_share": duties.number("startCapacity", 0.1),
+        "cold_for": duties.ms("coldS", 20_000.0),
+        "cold_multiple": duties.number("tipMultiple", 1.0),
+        "cold_window": duties.ms("tipAfterS", 1000.0),
+        "most_dials": limits.count("maxDials", 1),
+        "crossing_price": prices.number("crossZone", 0.0),
+        "move_price": prices.number("moves", 0.0),
+        "budget": read_budget(duties),
+        "gone_binds": not duties.flag("onlyDrainingBinds"),
+        "longest_wait": limits.ms("maxRetryAfterS", 0.0)
+        if limits.flag("retryAfter")
+        else 0.0,
         "tells_late": settings.part("familyInfo").flag("tellsDelay"),
-        "nines": goal.number("logLossPart", 0.0, 0.0, 1.0), "slots": read_slots(settings),
-        "passes_through": settings.part("familyInfo").text("mode", "proxy") == "pass"}
+        "nines": goal.number("logLossPart", 0.0, 0.0, 1.0),
+        "slots": read_slots(settings),
+        "passes_through": settings.part("familyInfo").text("mode", "proxy") == "pass",
+    }
 
 
 @dataclass(frozen=True)
 class Limits:
     """Sizes in bytes, counts, and times in milliseconds, of one proxy."""
 
-    sockets: int                        # descriptors, all told
-    connect: float                      # for a connection to come up
-    longest_dial: float                 # the longest dial timeout of any listener
-    idle: float                         # a link for probes that is not used is closed
-    spare_sockets: int = 48             # descriptors kept for files, probes, discovery and refusals
+    sockets: int  # descriptors, all told
+    connect: float  # for a connection to come up
+    longest_dial: float  # the longest dial timeout of any listener
+    idle: float  # a link for probes that is not used is closed
+    spare_sockets: int = (
+        48  # descriptors kept for files, probes, discovery and refusals
+    )
     probe_links: int = 64
     line: int = 4096
-    read: int = 65536                   # the one receive buffer
-    buffer: int = 65536                 # held for a peer that does not read, each way
-    backlog: int = 1024                 # connections that the system holds for the proxy
-    accepts: int = 8                    # taken at a time
-    accept_pause: float = 10.0          # where no descriptor is left for more
-    line_in: float = 2000.0             # for a client's first line
-    ping_every: float = 50.0            # and no more of these than one in such a time, but for the first few
+    read: int = 65536  # the one receive buffer
+    buffer: int = 65536  # held for a peer that does not read, each way
+    backlog: int = 1024  # connections that the system holds for the proxy
+    accepts: int = 8  # taken at a time
+    accept_pause: float = 10.0  # where no descriptor is left for more
+    line_in: float = 2000.0  # for a client's first line
+    ping_every: float = (
+        50.0  # and no more of these than one in such a time, but for the first few
+    )
     pings: int = 20
-    line_next: float = 10_000.0         # for the next one of a client that has sent PING
-    names: int = 8192                   # of servers that were listed and are not any more, kept to know one that
-                                        # operators name, or an older list
-    ids: int = 8192                     # of sessions, kept to know one that comes again
-    bad_every: float = 1000.0           # clients that said nonsense are logged, so many at most in such a time
+    line_next: float = 10_000.0  # for the next one of a client that has sent PING
+    names: int = (
+        8192  # of servers that were listed and are not any more, kept to know one that
+    )
+    # operators name, or an older list
+    ids: int = 8192  # of sessions, kept to know one that comes again
+    bad_every: float = (
+        1000.0  # clients that said nonsense are logged, so many at most in such a time
+    )
     bad_lines: int = 5
-    ask_within: float = 20.0            # the same, where descriptors run out
-    linger: float = 1000.0              # for the peer's end after ours
-    keep_alive: float = 30_000.0        # a peer that says nothing is asked by TCP whether it is there
-    answer_margin: float = 15.0         # before a session's deadline, for its answer to get out
-    too_late: float = 500.0             # after a dial timeout nothing is said any more
+    ask_within: float = 20.0  # the same, where descriptors run out
+    linger: float = 1000.0  # for the peer's end after ours
+    keep_alive: float = (
+        30_000.0  # a peer that says nothing is asked by TCP whether it is there
+    )
+    answer_margin: float = (
+        15.0  # before a session's deadline, for its answer to get out
+    )
+    too_late: float = 500.0  # after a dial timeout nothing is said any more
     probe: float = 500.0
-    standing: float = 40_000.0          # for connections from before the start to come up again
-    list_line: int = 4 * 2 ** 20        # one line of a watch
-    list_wait: float = 1000.0           # for discovery's first answer, before the known list has to do
-    list_silence: float = 2700.0        # a watch that says nothing for so long is opened again: two in a row within 6 s
-    list_retry: float = 250.0           # between two that were asked, at the least
-    list_spread: float = 0.0            # where one service answers all proxies: the first wait after a failure, doubled
-                                        # by each further one, up to list_longest; half of it is drawn by chance
-    list_longest: float = LIST_LONGEST  # two within the 6 s after which a change counts as told
-    list_again: float = 250.0           # until another is asked beside one that has not answered
-    unanswered: float = 500.0           # a line without an answer is reported from then on
-    half_line: float = 5000.0           # an unfinished line is waited for no longer
+    standing: float = 40_000.0  # for connections from before the start to come up again
+    list_line: int = 4 * 2**20  # one line of a watch
+    list_wait: float = (
+        1000.0  # for discovery's first answer, before the known list has to do
+    )
+    list_silence: float = 2700.0  # a watch that says nothing for so long is opened again: two in a row within 6 s
+    list_retry: float = 250.0  # between two that were asked, at the least
+    list_spread: float = 0.0  # where one service answers all proxies: the first wait after a failure, doubled
+    # by each further one, up to list_longest; half of it is drawn by chance
+    list_longest: float = (
+        LIST_LONGEST  # two within the 6 s after which a change counts as told
+    )
+    list_again: float = 250.0  # until another is asked beside one that has not answered
+    unanswered: float = 500.0  # a line without an answer is reported from then on
+    half_line: float = 5000.0  # an unfinished line is waited for no longer
     sweep: float = 125.0
-    newcomers: float = 800.0            # after the order to stop, clients still come for so long
-    stop_margin: float = 400.0          # beyond the longest dial, for a proxy that stops
-    stop_hold: float = 30_000.0         # the longest that one through which packets pass goes on
-    stop_linger: float = 150.0          # for the peers' ends once all is said
-    see_off: float = 10.0               # how often that is looked at
-    second_answer: float = 30.0         # whether more follows on BUSY, where another dial hangs on it
-    log_lines: int = 4000               # held for a reader that does not read
-    figures: float = 10_000.0           # how often counts are logged
-    calls: int = 8                      # of operators at a time, beside the spare descriptors
-    call: float = 2000.0                # for a whole call to come
+    newcomers: float = 800.0  # after the order to stop, clients still come for so long
+    stop_margin: float = 400.0  # beyond the longest dial, for a proxy that stops
+    stop_hold: float = (
+        30_000.0  # the longest that one through which packets pass goes on
+    )
+    stop_linger: float = 150.0  # for the peers' ends once all is said
+    see_off: float = 10.0  # how often that is looked at
+    second_answer: float = (
+        30.0  # whether more follows on BUSY, where another dial hangs on it
+    )
+    log_lines: int = 4000  # held for a reader that does not read
+    figures: float = 10_000.0  # how often counts are logged
+    calls: int = 8  # of operators at a time, beside the spare descriptors
+    call: float = 2000.0  # for a whole call to come
     call_head: int = 8192
     call_headers: int = 64
     call_body: int = 65536
-    handover: float = 1500.0            # each wait between an old and a new process
-    handover_again: float = 50.0        # another upgrade is under way: asked again, for as long as that
-    carried: int = 16                   # sessions that go over at a time
-    carry_every: float = 20.0           # those that come up meanwhile
-    own_sockets: int = 12               # that a process holds beside its connections
+    handover: float = 1500.0  # each wait between an old and a new process
+    handover_again: float = (
+        50.0  # another upgrade is under way: asked again, for as long as that
+    )
+    carried: int = 16  # sessions that go over at a time
+    carry_every: float = 20.0  # those that come up meanwhile
+    own_sockets: int = 12  # that a process holds beside its connections
 
 
 def buffers(memory_mb, sockets):
     """Each descriptor may hold one read that its peer does not take yet, and a list is parsed whole: both
     must fit beside the program itself."""
-    room = max(4.0, memory_mb - 22.0) * 2 ** 20
-    return {"read": int(min(65536, max(4096, room / 2 / sockets))), "list_line": int(min(2 ** 22, room / 8))}
+    room = max(4.0, memory_mb - 22.0) * 2**20
+    return {
+        "read": int(min(65536, max(4096, room / 2 / sockets))),
+        "list_line": int(min(2**22, room / 8)),
+    }
 
 
 @dataclass(frozen=True)
@@ -229,10 +305,10 @@
 
     name: str
     listen: tuple
-    listen_fd: int | None               # the clients' socket, inherited; none: bound by the proxy
-    admin: tuple | None                 # where operators call; none: there is no such door
-    state: str | None                   # a folder that outlives the process; none: bans are not kept
-    discovery: tuple | None             # none: `known` is the whole list
+    listen_fd: int | None  # the clients' socket, inherited; none: bound by the proxy
+    admin: tuple | None  # where operators call; none: there is no such door
+    state: str | None  # a folder that outlives the process; none: bans are not kept
+    discovery: tuple | None  # none: `known` is the whole list
     seed: str
     limits: Limits
     known: dict
@@ -243,17 +319,28 @@
     moves_at_stop: bool
     report_fields: list
     balancer: dict
-    told: dict                          # the configuration as it was read, without `known`
-    peers: object = None                # a `config.peers.Told`; none: it knows no other instance
+    told: dict  # the configuration as it was read, without `known`
+    peers: object = None  # a `config.peers.Told`; none: it knows no other instance
 
     @property
     def mark(self):
         """Names its files in `state`, which several proxies may share."""
-        return hashlib.blake2b(f"{self.name} {self.listen}".encode(), digest_size=4).hexdigest()
+        return hashlib.blake2b(
+            f"{self.name} {self.listen}".encode(), digest_size=4
+        ).hexdigest()
+
 
 # What a running proxy takes from a configuration that is read again. `known` and `seed` are for a start only.
-IN_PLACE = ("discovery", "limits", "settings.listeners", "settings.tenants", "settings.limits.connectTimeoutS",
-            "settings.limits.idleCloseS", "known", "seed")
+IN_PLACE = (
+    "discovery",
+    "limits",
+    "settings.listeners",
+    "settings.tenants",
+    "settings.limits.connectTimeoutS",
+    "settings.limits.idleCloseS",
+    "known",
+    "seed",
+)
 
 
 def needs_restart(old, new, path=""):
@@ -262,8 +349,13 @@
         return []
     if not isinstance(old, dict) or not isinstance(new, dict):
         return [path]
-    return [found for key in dict.fromkeys([*old, *new])
-            for found in needs_restart(old.get(key), new.get(key), f"{path}.{key}" if path else key)]
+    return [
+        found
+        for key in dict.fromkeys([*old, *new])
+        for found in needs_restart(
+            old.get(key), new.get(key), f"{path}.{key}" if path else key
+        )
+    ]
 
 
 def inherited(text, path):
@@ -277,8 +369,12 @@
     except OSError as wrong:
         raise Misconfigured(f"{path}: descriptor {text}: {wrong}") from None
     try:
-        if sock.type != socket.SOCK_STREAM or not sock.getsockopt(socket.SOL_SOCKET, socket.SO_ACCEPTCONN):
-            raise Misconfigured(f"{path}: descriptor {text} is no stream socket that listens")
+        if sock.type != socket.SOCK_STREAM or not sock.getsockopt(
+            socket.SOL_SOCKET, socket.SO_ACCEPTCONN
+        ):
+            raise Misconfigured(
+                f"{path}: descriptor {text} is no stream socket that listens"
+            )
     finally:
         sock.detach()
     return int(text)
@@ -306,7 +402,10 @@
 def surroundings(environ):
     """What the environment tells a proxy beside its configuration."""
     told = ("name", "listen", "discovery", "admin_addr", "fd")
-    return {"state": environ.get("TMPDIR"), **{key: environ.get("NODE_" + key.upper()) for key in told}}
+    return {
+        "state": environ.get("TMPDIR"),
+        **{key: environ.get("NODE_" + key.upper()) for key in told},
+    }
 
 
 def node_of(values, instead=None):
@@ -319,7 +418,10 @@
     listeners = read_listeners(settings)
     if not listeners:
         raise Misconfigured("settings.listeners: names none")
-    balancer = {**balancer_settings(settings), "tells_late": True}     # a proxy on sockets measures them
+    balancer = {
+        **balancer_settings(settings),
+        "tells_late": True,
+    }  # a proxy on sockets measures them
     sockets = allowed.count("sockets", 1024, least=64)
     # Nothing new may go to a server that leaves once the grace is over: what asks for the list must be well within it.
     list_again = min(Limits.list_wait, max(100.0, balancer["drain_grace"] / 2))
@@ -327,27 +429,44 @@
     if balancer["must_ask"]:
         # Not an agent beside each proxy: what refuses calls that come too often would never be left alone.
         list_again = Limits.list_longest
-        list_spread = min(Limits.list_longest, max(500.0, balancer["proxies"] * LIST_CALL / 2))
-    where = {key: None if top.values.get(key) is False and key == "discovery" else
-             address(top.text(key, instead.get(key)), key) for key in ("listen", "discovery")}
+        list_spread = min(
+            Limits.list_longest, max(500.0, balancer["proxies"] * LIST_CALL / 2)
+        )
+    where = {
+        key: None
+        if top.values.get(key) is False and key == "discovery"
+        else address(top.text(key, instead.get(key)), key)
+        for key in ("listen", "discovery")
+    }
     admin = top.text("admin_addr", instead.get("admin_addr") or "")
     # Operators must get through when clients hold all that is theirs: the calls' descriptors and the door's.
     spare = Limits.spare_sockets + (Limits.calls + 1 if admin else 0)
     return Node(
-        name=top.text("name", instead.get("name")), **where, seed=top.text("seed"),
+        name=top.text("name", instead.get("name")),
+        **where,
+        seed=top.text("seed"),
         listen_fd=inherited(instead.get("fd"), "NODE_FD"),
         admin=address(admin, "admin_addr") if admin else None,
         state=instead.get("state") if admin or instead.get("fd") else None,
-        limits=Limits(sockets=sockets, spare_sockets=spare,
-                      **buffers(allowed.number("memory_mb", 192.0, least=16.0), sockets),
-                      list_again=list_again, list_retry=list_retry, list_spread=list_spread,
-                      # None is stated by 0 as well: no connection would ever come up in it.
-                      connect=settings.part("limits").ms("connectTimeoutS", 1000.0) or 1000.0,
-                      longest_dial=max(listener.dial_timeout for listener in listeners),
-                      idle=settings.part("limits").ms("idleCloseS", 30_000.0) or 30_000.0),
-        known=top.part("known").values, listeners=listeners,
+        limits=Limits(
+            sockets=sockets,
+            spare_sockets=spare,
+            **buffers(allowed.number("memory_mb", 192.0, least=16.0), sockets),
+            list_again=list_again,
+            list_retry=list_retry,
+            list_spread=list_spread,
+            # None is stated by 0 as well: no connection would ever come up in it.
+            connect=settings.part("limits").ms("connectTimeoutS", 1000.0) or 1000.0,
+            longest_dial=max(listener.dial_timeout for listener in listeners),
+            idle=settings.part("limits").ms("idleCloseS", 30_000.0) or 30_000.0,
+        ),
+        known=top.part("known").values,
+        listeners=listeners,
         tenants=[item.text("name", "") for item in settings.parts("tenants")],
-        zones=settings.texts("dcs"), groups=settings.part("familyInfo").flag("groups"),
+        zones=settings.texts("dcs"),
+        groups=settings.part("familyInfo").flag("groups"),
         moves_at_stop=not balancer["passes_through"],
-        report_fields=settings.part("report").texts("names"), balancer=balancer,
-        told={key: value for key, value in top.values.items() if key != "known"})
+        report_fields=settings.part("report").texts("names"),
+        balancer=balancer,
+        told={key: value for key, value in top.values.items() if key != "known"},
+    )
--- a/wheathill/config/checked.py
+++ b/wheathill/config/checked.py
@@ -35,8 +35,11 @@
         at = f"{path}.{name}" if path else name
         if name not in fields:
             near = difflib.get_close_matches(name, fields, 1)
-            yield f"{at}: no such key; " + (f"did you mean {near[0]}?" if near else
-                                            "known here: " + ", ".join(fields))
+            yield f"{at}: no such key; " + (
+                f"did you mean {near[0]}?"
+                if near
+                else "known here: " + ", ".join(fields)
+            )
             continue
         yield from value_faults(value, fields[name].type, at)
     for name, field in fields.items():
@@ -57,15 +60,19 @@
         except msgspec.ValidationError as wrong:
             text, _, place = str(wrong).partition(" - at `$")
             known = choices(kind) if "enum" in text else ()
-            yield f"{at}{place.rstrip('`')}: {text[:1].lower() + text[1:]}" + \
-                (f", expected one of {', '.join(map(str, known))}" if known else "")
+            yield f"{at}{place.rstrip('`')}: {text[:1].lower() + text[1:]}" + (
+                f", expected one of {', '.join(map(str, known))}" if known else ""
+            )
 
 
 def choices(kind):
     """Of a Literal, however deep it stands in a list or an optional."""
     args = getattr(kind, "__args__", ())
-    return args if getattr(kind, "__origin__", None) is Literal else \
-        next((choices(arg) for arg in args if choices(arg)), ())
+    return (
+        args
+        if getattr(kind, "__origin__", None) is Literal
+        else next((choices(arg) for arg in args if choices(arg)), ())
+    )
 
 
 def table_of(kind):
--- a/wheathill/config/operator.py
+++ b/wheathill/config/operator.py
@@ -11,11 +11,27 @@
 
 from msgspec import Meta, Struct, field
 
-from wheathill.config import Misconfigured, address, checked, node_of, peers, surroundings
-
-Name = Annotated[str, Meta(min_length=1, max_length=200, pattern=r"^[!-~]+$",
-                           description="printable, no blanks")]
-Address = Annotated[str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT, a numeric address")]
+from wheathill.config import (
+    Misconfigured,
+    address,
+    checked,
+    node_of,
+    peers,
+    surroundings,
+)
+
+Name = Annotated[
+    str,
+    Meta(
+        min_length=1,
+        max_length=200,
+        pattern=r"^[!-~]+$",
+        description="printable, no blanks",
+    ),
+]
+Address = Annotated[
+    str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT, a numeric address")
+]
 Ms = Annotated[float, Meta(gt=0, le=3_600_000)]
 Wait = Annotated[float, Meta(ge=0, le=3_600_000)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
@@ -99,8 +115,8 @@
     proxies: Count
     seeds: list[Address]
     region: Name | None = None
-    part: Share | None = None           # of every limit over all; by `proxies` where left out
-    was: Share | None = None            # its part by the layout before this one
+    part: Share | None = None  # of every limit over all; by `proxies` where left out
+    was: Share | None = None  # its part by the layout before this one
 
 
 class Peers(Table):
@@ -116,8 +132,8 @@
     control: Annotated[str, Meta(min_length=1)] | None = None
     period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
     patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 300.0
-    zone: Name | None = None            # its own, of `zones`
-    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1        # the version of `zones`
+    zone: Name | None = None  # its own, of `zones`
+    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1  # the version of `zones`
     zones: Annotated[list[ZoneTable], Meta(max_length=64)] = []
 
 
@@ -148,12 +164,18 @@
 
 def contradictions(file):
     """What each key allows by itself, but not beside the others."""
-    for what, names in (("listener", [item.name for item in file.listener]), ("desk", file.desk),
-                        ("zone", file.zone), ("server", [item.name for item in file.server])):
+    for what, names in (
+        ("listener", [item.name for item in file.listener]),
+        ("desk", file.desk),
+        ("zone", file.zone),
+        ("server", [item.name for item in file.server]),
+    ):
         for place, name in enumerate(names):
             if name in names[:place]:
                 yield f"{what}[{place}]: {name!r} stands at {what}[{names.index(name)}] already"
-    if not file.fleet.further_dials_s and (file.fleet.further_dials_free or file.fleet.further_dials_share):
+    if not file.fleet.further_dials_s and (
+        file.fleet.further_dials_free or file.fleet.further_dials_share
+    ):
         yield "fleet.further_dials_s: is missing beside further_dials_free or further_dials_share"
     if file.own_zone is not None and file.own_zone not in file.zone:
         yield f"own_zone: {file.own_zone!r} is not one of zone"
@@ -167,56 +189,114 @@
             yield f"listener[{place}].handshake_target_ms: is over its dial_timeout_ms"
         if item.repeat == "referenced" and not item.window_s:
             yield f"listener[{place}].window_s: a referenced listener needs its servers' dedup window"
-    for where, text in (("listen", file.listen), ("discovery", file.discovery),
-                        ("admin_addr", file.admin_addr), *((f"server[{place}].address", item.address)
-                          for place, item in enumerate(file.server))):
+    for where, text in (
+        ("listen", file.listen),
+        ("discovery", file.discovery),
+        ("admin_addr", file.admin_addr),
+        *(
+            (f"server[{place}].address", item.address)
+            for place, item in enumerate(file.server)
+        ),
+    ):
         if text is not None:
             try:
                 address(text, where)
             except Misconfigured as wrong:
                 yield str(wrong)
 
-
     if file.peers is not None:
         yield from peers.contradictions(file)
 
 
 def platform_form(file):
     """The same, in the form that the platform tells a proxy."""
-    hosts = [{"host": item.name, "dial": item.address, "site": item.zone, "block": item.cell,
-              "health": item.state, "share": item.weight, "born_ms": 0} for item in file.server]
+    hosts = [
+        {
+            "host": item.name,
+            "dial": item.address,
+            "site": item.zone,
+            "block": item.cell,
+            "health": item.state,
+            "share": item.weight,
+            "born_ms": 0,
+        }
+        for item in file.server
+    ]
     limits, fleet = file.limits, file.fleet
     # Without a seed of its own each instance still needs another one than its neighbours.
-    seed = file.seed or hashlib.blake2b(f"{file.name} {file.listen}".encode(), digest_size=8).hexdigest()
+    seed = (
+        file.seed
+        or hashlib.blake2b(
+            f"{file.name} {file.listen}".encode(), digest_size=8
+        ).hexdigest()
+    )
     return {
-        "name": file.name, "listen": file.listen, "discovery": file.discovery or False, "seed": seed,
+        "name": file.name,
+        "listen": file.listen,
+        "discovery": file.discovery or False,
+        "seed": seed,
         "admin_addr": file.admin_addr,
         "limits": {"sockets": limits.sockets, "memory_mb": limits.memory_mb},
         "known": {"seq": 0, "whole": True, "hosts": hosts},
         "settings": {
-            "listeners": [{"name": item.name, "repeat": REPEATS[item.repeat], "dedupScope": item.scope,
-                           "windowS": item.window_s, "handshakeTargetS": item.handshake_target_ms / 1000,
-                           "dialTimeoutS": item.dial_timeout_ms / 1000, "utility": item.utility}
-                          for item in file.listener],
-            "tenants": [{"name": name} for name in file.desk], "dcs": file.zone,
-            "zone": file.zone.index(file.own_zone) if file.own_zone else 0, "balancers": fleet.proxies, "slots": fleet.slots,
+            "listeners": [
+                {
+                    "name": item.name,
+                    "repeat": REPEATS[item.repeat],
+                    "dedupScope": item.scope,
+                    "windowS": item.window_s,
+                    "handshakeTargetS": item.handshake_target_ms / 1000,
+                    "dialTimeoutS": item.dial_timeout_ms / 1000,
+                    "utility": item.utility,
+                }
+                for item in file.listener
+            ],
+            "tenants": [{"name": name} for name in file.desk],
+            "dcs": file.zone,
+            "zone": file.zone.index(file.own_zone) if file.own_zone else 0,
+            "balancers": fleet.proxies,
+            "slots": fleet.slots,
             "weightSource": "nominal" if fleet.weights == "registered" else "off",
-            "limits": {"maxDials": limits.dials, "mayProbe": fleet.probes,
-                       "retryAfter": limits.longest_wait_ms > 0,
-                       "maxRetryAfterS": limits.longest_wait_ms / 1000,
-                       "connectTimeoutS": limits.connect_ms / 1000, "idleCloseS": limits.idle_s},
-            "obligations": {"drainGraceS": fleet.drain_grace_ms / 1000,
-                            "startCapacity": fleet.cold_start_share, "coldS": fleet.cold_s,
-                            "tipMultiple": fleet.cold_multiple,
-                            "tipAfterS": fleet.cold_window_ms / 1000,
-                            "onlyDrainingBinds": fleet.only_draining_binds,
-                            **({"ratioSpanS": fleet.further_dials_s, "freeResends": fleet.further_dials_free,
-                                "resendRatio": fleet.further_dials_share} if fleet.further_dials_s else {})},
+            "limits": {
+                "maxDials": limits.dials,
+                "mayProbe": fleet.probes,
+                "retryAfter": limits.longest_wait_ms > 0,
+                "maxRetryAfterS": limits.longest_wait_ms / 1000,
+                "connectTimeoutS": limits.connect_ms / 1000,
+                "idleCloseS": limits.idle_s,
+            },
+            "obligations": {
+                "drainGraceS": fleet.drain_grace_ms / 1000,
+                "startCapacity": fleet.cold_start_share,
+                "coldS": fleet.cold_s,
+                "tipMultiple": fleet.cold_multiple,
+                "tipAfterS": fleet.cold_window_ms / 1000,
+                "onlyDrainingBinds": fleet.only_draining_binds,
+                **(
+                    {
+                        "ratioSpanS": fleet.further_dials_s,
+                        "freeResends": fleet.further_dials_free,
+                        "resendRatio": fleet.further_dials_share,
+                    }
+                    if fleet.further_dials_s
+                    else {}
+                ),
+            },
             "goal": {"logLossPart": file.goal.nines, "ninesFull": file.goal.nines_full},
             "prices": {"crossZone": file.prices.crossing, "moves": file.prices.move},
-            "report": {"how": "on_probe" if fleet.probes else "off", "names": fleet.report_fields},
-            "familyInfo": {"mode": "pass" if file.packets_pass else "proxy", "groups": file.groups,
-                           "messageAimS": [item.message_target_ms / 1000 for item in file.listener]}}}
+            "report": {
+                "how": "on_probe" if fleet.probes else "off",
+                "names": fleet.report_fields,
+            },
+            "familyInfo": {
+                "mode": "pass" if file.packets_pass else "proxy",
+                "groups": file.groups,
+                "messageAimS": [
+                    item.message_target_ms / 1000 for item in file.listener
+                ],
+            },
+        },
+    }
 
 
 def file_of(values):
@@ -232,5 +312,7 @@
     it names none."""
     values = checked.load(path)
     file = file_of(values)
-    node = node_of({**platform_form(file), "peers": values.get("peers")}, surroundings(os.environ))
+    node = node_of(
+        {**platform_form(file), "peers": values.get("peers")}, surroundings(os.environ)
+    )
     return node if file.peers is None else replace(node, peers=peers.told_of(file))
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -16,15 +16,15 @@
     name: str
     cluster: str
     listen: tuple
-    advertise: str          # where the others reach it
+    advertise: str  # where the others reach it
     seeds: tuple
     key: bytes
-    roster: tuple           # who is meant to be there; none: `fleet.proxies` says how many, or the zone's `proxies`
-    control: str | None     # the path of the control socket
+    roster: tuple  # who is meant to be there; none: `fleet.proxies` says how many, or the zone's `proxies`
+    control: str | None  # the path of the control socket
     period: float
     patience: float
-    zone: str | None = None         # its own, where the fleet has some
-    layout: object = None           # a `Layout`, where `zone` is named
+    zone: str | None = None  # its own, where the fleet has some
+    layout: object = None  # a `Layout`, where `zone` is named
 
 
 @dataclass(frozen=True)
@@ -56,8 +56,16 @@
     zones = []
     for zone in peers.zones:
         part = zone.proxies / whole if zone.part is None else zone.part
-        zones.append(Zone(zone.name, zone.region or zone.name, zone.proxies, tuple(zone.seeds), part,
-                          part if zone.was is None else zone.was))
+        zones.append(
+            Zone(
+                zone.name,
+                zone.region or zone.name,
+                zone.proxies,
+                tuple(zone.seeds),
+                part,
+                part if zone.was is None else zone.was,
+            )
+        )
     return Layout(peers.layout, tuple(zones))
 
 
@@ -97,8 +105,11 @@
 
 def contradictions(file):
     peers = file.peers
-    for what, text in (("listen", peers.listen), ("advertise", peers.advertise),
-                       *((f"seeds[{place}]", text) for place, text in enumerate(peers.seeds))):
+    for what, text in (
+        ("listen", peers.listen),
+        ("advertise", peers.advertise),
+        *((f"seeds[{place}]", text) for place, text in enumerate(peers.seeds)),
+    ):
         if text is not None:
             try:
                 address(text, f"peers.{what}")
@@ -118,10 +129,20 @@
     peers = file.peers
     layout = layout_of(peers)
     seeds = peers.seeds or (layout.zone(peers.zone).seeds if layout else ())
-    return Told(name=peers.name or file.name, cluster=peers.cluster, listen=address(peers.listen, "peers.listen"),
-                advertise=peers.advertise or peers.listen, seeds=tuple(seeds), key=read_key(peers.key_file),
-                roster=tuple(peers.roster), control=peers.control, period=peers.period_ms,
-                patience=peers.patience_ms, zone=peers.zone, layout=layout)
+    return Told(
+        name=peers.name or file.name,
+        cluster=peers.cluster,
+        listen=address(peers.listen, "peers.listen"),
+        advertise=peers.advertise or peers.listen,
+        seeds=tuple(seeds),
+        key=read_key(peers.key_file),
+        roster=tuple(peers.roster),
+        control=peers.control,
+        period=peers.period_ms,
+        patience=peers.patience_ms,
+        zone=peers.zone,
+        layout=layout,
+    )
 
 
 def read_key(path):
@@ -133,7 +154,11 @@
     except OSError as wrong:
         raise Misconfigured(f"peers.key_file: {wrong}") from None
     if state.st_uid != os.geteuid() or stat.S_IMODE(state.st_mode) & 0o077:
-        raise Misconfigured(f"peers.key_file: {path} must be readable by its owner alone, who starts the proxy")
+        raise Misconfigured(
+            f"peers.key_file: {path} must be readable by its owner alone, who starts the proxy"
+        )
     if not LEAST_KEY <= len(key) <= MOST_KEY:
-        raise Misconfigured(f"peers.key_file: {path} holds {len(key)} bytes, expected {LEAST_KEY} to {MOST_KEY}")
+        raise Misconfigured(
+            f"peers.key_file: {path} holds {len(key)} bytes, expected {LEAST_KEY} to {MOST_KEY}"
+        )
     return key
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -17,8 +17,13 @@
 
 async def serve(node, log, read):
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: log(
-        "fault", what=repr(context.get("exception") or context["message"]), where=str(context.get("handle"))))
+    loop.set_exception_handler(
+        lambda _, context: log(
+            "fault",
+            what=repr(context.get("exception") or context["message"]),
+            where=str(context.get("handle")),
+        )
+    )
     clock = Clock(loop)
     carrier = Carrier(loop, node.limits, log)
     proxy = Proxy(node, carrier, clock, log)
@@ -30,15 +35,23 @@
         join(proxy, carrier, clock, log)
     if node.admin:
         from wheathill.net.operators import OperatorsDoor
+
         door = OperatorsDoor(proxy)
         if proxy.peers:
             door.paths["/peers"] = {"GET": (proxy.peers.table,)}
         listen(carrier, "admin_addr", door.call, node.admin, door.room)
         log("operators' door", at=":".join(map(str, node.admin)))
-    proxy.door = listen(carrier, "listen", proxy.client, node.listen, proxy.room, node.listen_fd)
-    log("listening", at=":".join(map(str, node.listen)), inherited=node.listen_fd is not None)
+    proxy.door = listen(
+        carrier, "listen", proxy.client, node.listen, proxy.room, node.listen_fd
+    )
+    log(
+        "listening",
+        at=":".join(map(str, node.listen)),
+        inherited=node.listen_fd is not None,
+    )
     if node.listen_fd is not None and node.state:
         from wheathill.handover.upgrade import Upgrade
+
         Upgrade(proxy, carrier, clock, log).begin()
     else:
         proxy.start()
@@ -51,10 +64,18 @@
     """No two processes of one name may be taken for one another, whatever seed their file gives them: the number
     that tells them apart is the system's."""
     from wheathill.peers import instance_of
+
     node = proxy.node
     try:
         proxy.peers = instance_of(node.peers)(
-            node.peers, proxy, carrier, clock, log, int.from_bytes(os.urandom(6), "big") | 1, node.balancer["proxies"])
+            node.peers,
+            proxy,
+            carrier,
+            clock,
+            log,
+            int.from_bytes(os.urandom(6), "big") | 1,
+            node.balancer["proxies"],
+        )
     except OSError as wrong:
         if node.listen_fd is None:
             raise Misconfigured(f"peers: {wrong}") from None
@@ -69,6 +90,7 @@
         if proxy.peers:
             proxy.peers.leave()
         stopped.set()
+
     proxy.stop(all_done)
 
 
@@ -90,7 +112,11 @@
 def allow_sockets(node):
     """As many descriptors as the proxy is told it may hold, where the system lets it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    most = node.limits.sockets if hard == resource.RLIM_INFINITY else min(node.limits.sockets, hard)
+    most = (
+        node.limits.sockets
+        if hard == resource.RLIM_INFINITY
+        else min(node.limits.sockets, hard)
+    )
     if soft != resource.RLIM_INFINITY and soft < most:
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
     return replace(node, limits=replace(node.limits, sockets=most))
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -12,10 +12,22 @@
 from wheathill.policy import Balancer
 
 PHASES = {3: Phase.READY, 0: Phase.DRAINING, 2: Phase.GONE}
-LIST_KINDS = {0: ListKind.CHANGES, 1: ListKind.FULL, 2: ListKind.CACHED, 3: ListKind.FAILED}
-OUTCOMES = {"completed": Outcome.COMPLETED, "errored": Outcome.ERROR, "saturated": Outcome.FULL,
-            "overdue": Outcome.OVERDUE, "refused_conn": Outcome.CONNECT_FAILED, "severed": Outcome.RESET,
-            "recalled": Outcome.CANCELLED, "superseded": Outcome.NEVER_SENT}
+LIST_KINDS = {
+    0: ListKind.CHANGES,
+    1: ListKind.FULL,
+    2: ListKind.CACHED,
+    3: ListKind.FAILED,
+}
+OUTCOMES = {
+    "completed": Outcome.COMPLETED,
+    "errored": Outcome.ERROR,
+    "saturated": Outcome.FULL,
+    "overdue": Outcome.OVERDUE,
+    "refused_conn": Outcome.CONNECT_FAILED,
+    "severed": Outcome.RESET,
+    "recalled": Outcome.CANCELLED,
+    "superseded": Outcome.NEVER_SENT,
+}
 HINTED, REPEAT, MID_FLOW, RETURNING = 1, 2, 8, 16
 LOAD_NOTICE, SLOW_NOTICE = 1, 2
 
@@ -38,12 +50,16 @@
     def start(self, now, seed, config):
         settings = Reader(config)
         self.listeners = read_listeners(settings)
-        self.balancer = Balancer(self, random.Random(seed), **balancer_settings(settings))
+        self.balancer = Balancer(
+            self, random.Random(seed), **balancer_settings(settings)
+        )
         self.balancer.on_start(now)
 
     def list_changed(self, now, scope, _version, lines):
         lines = lines or []
-        if scope not in LIST_KINDS or any(not isinstance(line, list) or len(line) != 7 for line in lines):
+        if scope not in LIST_KINDS or any(
+            not isinstance(line, list) or len(line) != 7 for line in lines
+        ):
             raise Malformed("rosterChange takes a known scope and entries of 7 values")
         entries = []
         for weight, zone, name, cell, started, _machine, phase in lines:
@@ -55,14 +71,24 @@
             entries.append((server, PHASES.get(phase, Phase.GONE), weight, since))
         self.balancer.on_list(now, LIST_KINDS[scope], entries)
 
-    def make_session(self, now, handle, listener, tenant, key, left, load, group, marks):
+    def make_session(
+        self, now, handle, listener, tenant, key, left, load, group, marks
+    ):
         known = listener is not None and 0 <= listener < len(self.listeners)
         marks = marks or 0
-        sess = Session(listener=self.listeners[listener] if known else Listener("", Repeat.ONCE_ONLY),
-                       key=key or handle, deadline=now + (left or 0.0) * 1000, tenant=tenant or 0,
-                       group=group, load=load if marks & HINTED else None,
-                       mid_flow=bool(marks & MID_FLOW), returning=bool(marks & RETURNING),
-                       repeat=bool(marks & REPEAT))
+        sess = Session(
+            listener=self.listeners[listener]
+            if known
+            else Listener("", Repeat.ONCE_ONLY),
+            key=key or handle,
+            deadline=now + (left or 0.0) * 1000,
+            tenant=tenant or 0,
+            group=group,
+            load=load if marks & HINTED else None,
+            mid_flow=bool(marks & MID_FLOW),
+            returning=bool(marks & RETURNING),
+            repeat=bool(marks & REPEAT),
+        )
         self.sessions[handle] = sess
         self.handles[sess] = handle
         return sess
@@ -71,7 +97,9 @@
         self.balancer.on_session(now, self.make_session(now, *fields))
 
     def open_session(self, now, *fields):
-        server = self.servers.get(fields[-1]) or self.servers.setdefault(fields[-1], Server(fields[-1]))
+        server = self.servers.get(fields[-1]) or self.servers.setdefault(
+            fields[-1], Server(fields[-1])
+        )
         self.balancer.on_open_session(now, self.make_session(now, *fields[:-1]), server)
 
     def accepted(self, now, handle, _server, _dial, _spent):
@@ -85,7 +113,9 @@
         if sess is not None:
             if closed:
                 self.forget(sess)
-            self.balancer.on_outcome(now, sess, OUTCOMES.get(code, Outcome.ERROR), bool(closed))
+            self.balancer.on_outcome(
+                now, sess, OUTCOMES.get(code, Outcome.ERROR), bool(closed)
+            )
 
     def hang_up(self, now, handle):
         sess = self.sessions.get(handle)
@@ -101,7 +131,9 @@
 
     def probed(self, now, name, code, _spent, report):
         if name in self.servers:
-            self.balancer.on_probed(now, self.servers[name], OUTCOMES.get(code, Outcome.ERROR), report)
+            self.balancer.on_probed(
+                now, self.servers[name], OUTCOMES.get(code, Outcome.ERROR), report
+            )
 
     def peer(self, now, peer, message):
         """Nothing is told to other proxies yet, so nothing can be heard."""
@@ -144,15 +176,27 @@
 
 
 # Name of an event -> (what it calls, how many values follow the instance).
-EVENTS = {"rosterChange": (Door.list_changed, 3), "accept": (Door.session, 8),
-          "takenOver": (Door.open_session, 9), "accepted": (Door.accepted, 4), "notice": (Door.notice, 5),
-          "reply": (Door.outcome, 7), "hangup": (Door.hang_up, 1), "probeResult": (Door.probed, 4),
-          "datagram": (Door.peer, 2), "ring": (Door.alarm_rang, 1)}
+EVENTS = {
+    "rosterChange": (Door.list_changed, 3),
+    "accept": (Door.session, 8),
+    "takenOver": (Door.open_session, 9),
+    "accepted": (Door.accepted, 4),
+    "notice": (Door.notice, 5),
+    "reply": (Door.outcome, 7),
+    "hangup": (Door.hang_up, 1),
+    "probeResult": (Door.probed, 4),
+    "datagram": (Door.peer, 2),
+    "ring": (Door.alarm_rang, 1),
+}
 
 
 def check(batch):
-    if not isinstance(batch, dict) or not isinstance(batch.get("happened"), list) \
-            or isinstance(batch.get("tS"), bool) or not isinstance(batch.get("tS"), (int, float)):
+    if (
+        not isinstance(batch, dict)
+        or not isinstance(batch.get("happened"), list)
+        or isinstance(batch.get("tS"), bool)
+        or not isinstance(batch.get("tS"), (int, float))
+    ):
         raise Malformed("not a batch with a clock and events")
 
 
@@ -175,7 +219,9 @@
         return
     call, count = EVENTS[name]
     if len(fields) != count:
-        raise Malformed(f"{name} takes {count} values after the instance, not {len(fields)}")
+        raise Malformed(
+            f"{name} takes {count} values after the instance, not {len(fields)}"
+        )
     doors[instance].orders = orders
     call(doors[instance], now, *fields)
 
--- a/wheathill/handover/state.py
+++ b/wheathill/handover/state.py
@@ -9,10 +9,18 @@
 from wheathill.model import Listener, Phase, Server, Session
 
 VERSION = 1
-CHUNK = 1000        # keys, ids or names in one message: none takes the loop for long
-SHORTEST = 40       # bytes of an entry of a list that can be read
-
-SERVER_TIMES = ("started", "told", "late", "heard", "shift_after", "move_after", "asked")
+CHUNK = 1000  # keys, ids or names in one message: none takes the loop for long
+SHORTEST = 40  # bytes of an entry of a list that can be read
+
+SERVER_TIMES = (
+    "started",
+    "told",
+    "late",
+    "heard",
+    "shift_after",
+    "move_after",
+    "asked",
+)
 SERVER_FIGURES = ("weight",)
 
 
@@ -22,36 +30,69 @@
     place = {server: at for at, server in enumerate(servers)}
     # A build that still keeps a credit for cold servers asks for one: it gets none.
     spent = {"credit": 0.0, "credited": proxy.now()}
-    yield from server_chunks([{**told_server(server, proxy.addresses.get(server)), **spent} for server in servers],
-                             proxy.limits.list_line / 2)
+    yield from server_chunks(
+        [
+            {**told_server(server, proxy.addresses.get(server)), **spent}
+            for server in servers
+        ],
+        proxy.limits.list_line / 2,
+    )
     table = balancer.table
-    yield {"table": {**{name: [place.get(server) for server in getattr(table, name)]
-                        for name in ("home", "current", "new")}, "opened": list(table.opened.items())}}
+    yield {
+        "table": {
+            **{
+                name: [place.get(server) for server in getattr(table, name)]
+                for name in ("home", "current", "new")
+            },
+            "opened": list(table.opened.items()),
+        }
+    }
     for name in ("moved", "exceptions"):
-        known = [(key, place[server], when) for key, (server, when) in getattr(table, name).items()
-                 if server in place]
+        known = [
+            (key, place[server], when)
+            for key, (server, when) in getattr(table, name).items()
+            if server in place
+        ]
         yield from chunks(name, known)
     yield from chunks("ids", list(proxy.ids))
     yield from chunks("names", list(proxy.names))
     roster, first = balancer.roster, balancer.first
-    yield {"rest": {
-        "seen": proxy.seen, "discovery": proxy.node.discovery, "out": roster.out, "back": roster.back,
-        "bearable": balancer.levels.bearable, "earned": balancer.probes.earned, "window": first.window,
-        "cut_at": first.cut_at, "next_at": first.next_at, "further": list(balancer.budget.spent),
-        "dials": [(when, place[server], well) for when, server, well in balancer.health.dials
-                  if server in place]}}
+    yield {
+        "rest": {
+            "seen": proxy.seen,
+            "discovery": proxy.node.discovery,
+            "out": roster.out,
+            "back": roster.back,
+            "bearable": balancer.levels.bearable,
+            "earned": balancer.probes.earned,
+            "window": first.window,
+            "cut_at": first.cut_at,
+            "next_at": first.next_at,
+            "further": list(balancer.budget.spent),
+            "dials": [
+                (when, place[server], well)
+                for when, server, well in balancer.health.dials
+                if server in place
+            ],
+        }
+    }
 
 
 def chunks(name, known):
     for at in range(0, len(known), CHUNK):
-        yield {name: known[at:at + CHUNK]}
+        yield {name: known[at : at + CHUNK]}
 
 
 def server_chunks(told, most):
     """Messages of some `most` bytes. All in one where they fit: builds that take but one read that."""
     part, size = [], 0
     for one in told:
-        longer = 700 + len(one["name"]) + 20 * len(one["dialled"]) + 45 * (len(one["samples"]) + len(one["results"]))
+        longer = (
+            700
+            + len(one["name"])
+            + 20 * len(one["dialled"])
+            + 45 * (len(one["samples"]) + len(one["results"]))
+        )
         if part and size + longer > most:
             yield {"servers": part}
             part, size = [], 0
@@ -61,12 +102,20 @@
 
 
 def told_server(server, address):
-    return {"name": server.name, "address": address, "zone": server.zone, "cell": server.cell,
-            "phase": server.phase.value, "listed": server.listed.value, "silent": server.silent,
-            "doubted": server.doubted,
-            "samples": list(server.samples), "results": list(server.results),
-            "dialled": list(server.dialled),
-            **{name: getattr(server, name) for name in SERVER_TIMES + SERVER_FIGURES}}
+    return {
+        "name": server.name,
+        "address": address,
+        "zone": server.zone,
+        "cell": server.cell,
+        "phase": server.phase.value,
+        "listed": server.listed.value,
+        "silent": server.silent,
+        "doubted": server.doubted,
+        "samples": list(server.samples),
+        "results": list(server.results),
+        "dialled": list(server.dialled),
+        **{name: getattr(server, name) for name in SERVER_TIMES + SERVER_FIGURES},
+    }
 
 
 class Told:
@@ -82,8 +131,11 @@
         """That one process may hold: by its descriptors, of which a session takes two while, beyond the limit, there
         are no more ids of sessions that are over than of open ones; and by the longest list. Servers come first."""
         limits = self.limits
-        return {"servers": limits.list_line // SHORTEST, "ids": limits.ids + limits.sockets,
-                "names": limits.names + len(self.parts.get("servers", ()))}.get(name, limits.ids + limits.names)
+        return {
+            "servers": limits.list_line // SHORTEST,
+            "ids": limits.ids + limits.sockets,
+            "names": limits.names + len(self.parts.get("servers", ())),
+        }.get(name, limits.ids + limits.names)
 
     def take(self, name, value):
         if name in self.LISTS:
@@ -111,39 +163,76 @@
         by_name = {server.name: server for server in servers}
         if len(by_name) < len(servers):
             raise ValueError("a server stands there twice")
-        addresses = {server: (expect(told["address"][0], str), int(number(told["address"][1], 0, 65535)))
-                     for server, told in zip(servers, parts["servers"]) if told["address"] is not None}
+        addresses = {
+            server: (
+                expect(told["address"][0], str),
+                int(number(told["address"][1], 0, 65535)),
+            )
+            for server, told in zip(servers, parts["servers"])
+            if told["address"] is not None
+        }
         table = balancer.table
-        slots = {name: [None if at is None else servers[whole(at)]
-                        for at in expect(parts["table"][name], list)]
-                 for name in ("home", "current", "new")}
+        slots = {
+            name: [
+                None if at is None else servers[whole(at)]
+                for at in expect(parts["table"][name], list)
+            ]
+            for name in ("home", "current", "new")
+        }
         size = len(slots["home"])
         if any(len(found) != size for found in slots.values()):
             raise ValueError("tables of unlike sizes")
         opened = {whole(slot): number(when) for slot, when in parts["table"]["opened"]}
         if any(slot >= size or slots["new"][slot] is None for slot in opened):
             raise ValueError("a slot is said to move nowhere")
-        known = {name: {expect(key, str): (servers[whole(at)], number(when)) for key, at, when in parts[name]}
-                 for name in ("moved", "exceptions")}
-        ready = {server: None for server in sorted(servers, key=lambda server: server.name)
-                 if server.phase is Phase.READY}
+        known = {
+            name: {
+                expect(key, str): (servers[whole(at)], number(when))
+                for key, at, when in parts[name]
+            }
+            for name in ("moved", "exceptions")
+        }
+        ready = {
+            server: None
+            for server in sorted(servers, key=lambda server: server.name)
+            if server.phase is Phase.READY
+        }
         # A slot that leads to a server that leaves would break the rule on drains.
-        if any(server is not None and server not in ready for found in slots.values() for server in found) \
-                or not all(server in addresses for server in ready):
-            raise ValueError("a slot leads to a server that is not ready, or one that is has no address")
+        if any(
+            server is not None and server not in ready
+            for found in slots.values()
+            for server in found
+        ) or not all(server in addresses for server in ready):
+            raise ValueError(
+                "a slot leads to a server that is not ready, or one that is has no address"
+            )
         if size != table.size:
             # Of a build with fewer or more slots: filled anew, as by a list.
             slots, opened = {}, {}
-        ids, names = ({expect(name, str): None for name in parts[which]} for which in ("ids", "names"))
+        ids, names = (
+            {expect(name, str): None for name in parts[which]}
+            for which in ("ids", "names")
+        )
         out = {expect(name, str): number(since) for name, since in rest["out"].items()}
-        back = {expect(name, str): (number(since), number(until))
-                for name, (since, until) in rest["back"].items()}
-        dials = [(number(when), servers[whole(at)], expect(well, bool)) for when, at, well in rest["dials"]]
-        figures = {name: number(rest[name], 1e-6, 1e9) for name in ("bearable", "window")}
-        times = {name: -math.inf if rest[name] is None else number(rest[name])
-                 for name in ("cut_at", "next_at")}
+        back = {
+            expect(name, str): (number(since), number(until))
+            for name, (since, until) in rest["back"].items()
+        }
+        dials = [
+            (number(when), servers[whole(at)], expect(well, bool))
+            for when, at, well in rest["dials"]
+        ]
+        figures = {
+            name: number(rest[name], 1e-6, 1e9) for name in ("bearable", "window")
+        }
+        times = {
+            name: -math.inf if rest[name] is None else number(rest[name])
+            for name in ("cut_at", "next_at")
+        }
         # A process from before the budget tells none.
-        further = [(number(when), number(utility)) for when, utility in rest.get("further", ())]
+        further = [
+            (number(when), number(utility)) for when, utility in rest.get("further", ())
+        ]
         earned, seen = number(rest["earned"], -1e9, 1e9), whole(rest["seen"])
         yield proxy.servers.update, by_name
         yield proxy.addresses.update, addresses
@@ -186,8 +275,13 @@
 
 
 def read_server(told):
-    server = Server(expect(told["name"], str), zone=expect(told["zone"], int), cell=whole(told["cell"]),
-                    phase=Phase(told["phase"]), listed=Phase(told["listed"]))
+    server = Server(
+        expect(told["name"], str),
+        zone=expect(told["zone"], int),
+        cell=whole(told["cell"]),
+        phase=Phase(told["phase"]),
+        listed=Phase(told["listed"]),
+    )
     for name in SERVER_TIMES:
         if told[name] is not None:
             setattr(server, name, number(told[name]))
@@ -196,22 +290,39 @@
     server.weight = number(told["weight"], 1e-9, 1e9)
     server.silent = whole(told["silent"])
     server.doubted = expect(told.get("doubted", False), bool)
-    for name, read in (("samples", number), ("results", lambda well: expect(well, bool))):
-        getattr(server, name).extend((number(when), read(what)) for when, what in told[name])
+    for name, read in (
+        ("samples", number),
+        ("results", lambda well: expect(well, bool)),
+    ):
+        getattr(server, name).extend(
+            (number(when), read(what)) for when, what in told[name]
+        )
     server.dialled.extend(map(number, told["dialled"]))
     return server
 
 
 # Sessions
 
+
 def told_session(client, dial):
     """One that is up, with no byte waiting on either side."""
     sess = client.sess
-    return {"line": client.head.line.decode(), "listener": sess.listener.name, "key": sess.key,
-            "tenant": sess.tenant, "group": sess.group, "load": sess.load, "mid_flow": sess.mid_flow,
-            "returning": sess.returning, "repeat": sess.repeat, "accepted": sess.accepted,
-            "came": client.came, "asked": client.asked, "server": dial.server.name,
-            "rest": dial.rest.decode("latin-1")}
+    return {
+        "line": client.head.line.decode(),
+        "listener": sess.listener.name,
+        "key": sess.key,
+        "tenant": sess.tenant,
+        "group": sess.group,
+        "load": sess.load,
+        "mid_flow": sess.mid_flow,
+        "returning": sess.returning,
+        "repeat": sess.repeat,
+        "accepted": sess.accepted,
+        "came": client.came,
+        "asked": client.asked,
+        "server": dial.server.name,
+        "rest": dial.rest.decode("latin-1"),
+    }
 
 
 def read_session(told, listeners):
@@ -219,14 +330,28 @@
     longer name keeps its name until its sessions end."""
     try:
         name = expect(told["listener"], str)
-        sess = Session(listener=listeners.get(name) or Listener(name), key=expect(told["key"], str),
-                       deadline=number(told["accepted"]), tenant=whole(told["tenant"]),
-                       group=None if told["group"] is None else expect(told["group"], str),
-                       load=None if told["load"] is None else number(told["load"]),
-                       **{flag: expect(told[flag], bool) for flag in ("mid_flow", "returning", "repeat")})
+        sess = Session(
+            listener=listeners.get(name) or Listener(name),
+            key=expect(told["key"], str),
+            deadline=number(told["accepted"]),
+            tenant=whole(told["tenant"]),
+            group=None if told["group"] is None else expect(told["group"], str),
+            load=None if told["load"] is None else number(told["load"]),
+            **{
+                flag: expect(told[flag], bool)
+                for flag in ("mid_flow", "returning", "repeat")
+            },
+        )
         sess.accepted = number(told["accepted"])
-        return expect(told["line"], str).encode(), sess, {
-            "came": number(told["came"]), "asked": None if told["asked"] is None else number(told["asked"]),
-            "server": expect(told["server"], str), "rest": expect(told["rest"], str).encode("latin-1")}
+        return (
+            expect(told["line"], str).encode(),
+            sess,
+            {
+                "came": number(told["came"]),
+                "asked": None if told["asked"] is None else number(told["asked"]),
+                "server": expect(told["server"], str),
+                "rest": expect(told["rest"], str).encode("latin-1"),
+            },
+        )
     except (KeyError, TypeError, UnicodeError) as wrong:
         raise ValueError(f"not a session: {wrong!r}") from None
--- a/wheathill/handover/talk.py
+++ b/wheathill/handover/talk.py
@@ -26,11 +26,14 @@
         self.wire = post
         self.proxy = proxy
         self.text = b""
-        self.handles = []       # that came and were not taken yet
+        self.handles = []  # that came and were not taken yet
         self.over = False
 
     def say(self, handles=(), **message):
-        self.wire.send(orjson.dumps(message, default=tuple, option=orjson.OPT_APPEND_NEWLINE), handles)
+        self.wire.send(
+            orjson.dumps(message, default=tuple, option=orjson.OPT_APPEND_NEWLINE),
+            handles,
+        )
 
     def received(self, data, handles=()):
         self.handles += handles
@@ -66,7 +69,7 @@
     def adopt(self, sessions, handles):
         """Two handles each, counted so far as plain descriptors."""
         for place, told in enumerate(sessions):
-            pair = handles[2 * place:2 * place + 2]
+            pair = handles[2 * place : 2 * place + 2]
             try:
                 line, sess, more = read_session(told, self.proxy.listeners)
                 self.proxy.carry(line, sess, pair, **more)
@@ -90,10 +93,10 @@
 
     def __init__(self, post, proxy, hub):
         super().__init__(post, proxy, hub)
-        self.state = "met"          # then asked, and given
-        self.out = []               # handles that were sent and may still have to be taken back
-        self.sent = []              # what was told of their sessions
-        self.held = None            # descriptors, as last told
+        self.state = "met"  # then asked, and given
+        self.out = []  # handles that were sent and may still have to be taken back
+        self.sent = []  # what was told of their sessions
+        self.held = None  # descriptors, as last told
 
     @property
     def agreed(self):
@@ -119,7 +122,11 @@
 
     def hello(self, value):
         mine = [VERSION, self.proxy.node.name]
-        why = "it speaks another version, or for another proxy" if value != mine else self.door.busy()
+        why = (
+            "it speaks another version, or for another proxy"
+            if value != mine
+            else self.door.busy()
+        )
         if why:
             self.say(no=why)
             return self.end(why)
@@ -143,7 +150,11 @@
             return
         handles, told = [], []
         # No more of them are looked at than go over now: all, each time, would be their square.
-        quiet = ((sess, client) for sess, client in self.proxy.clients.items() if client.quiet)
+        quiet = (
+            (sess, client)
+            for sess, client in self.proxy.clients.items()
+            if client.quiet
+        )
         for sess, client in list(islice(quiet, self.limits.carried)):
             state = told_session(client, client.dial)
             pair = self.proxy.hand_over(sess, client)
@@ -220,7 +231,10 @@
             raise ValueError("sessions without their handles")
         # Before a byte of them is read: who dies now has taken none.
         self.say(carried=len(value))
-        handles, self.handles = self.handles[:2 * len(value)], self.handles[2 * len(value):]
+        handles, self.handles = (
+            self.handles[: 2 * len(value)],
+            self.handles[2 * len(value) :],
+        )
         self.adopt(value, handles)
 
     def ended_by(self, why):
--- a/wheathill/handover/upgrade.py
+++ b/wheathill/handover/upgrade.py
@@ -10,11 +10,16 @@
     Of the processes on one clients' socket only one accepts at a time."""
 
     def __init__(self, proxy, carrier, clock, log_event):
-        self.proxy, self.carrier, self.clock, self.log_event = proxy, carrier, clock, log_event
+        self.proxy, self.carrier, self.clock, self.log_event = (
+            proxy,
+            carrier,
+            clock,
+            log_event,
+        )
         self.name = f"wheathill-{proxy.node.mark}.up"
         self.taker = self.giver = self.place = None
         self.tried_since = None
-        self.cold_since = self.free_dials = None     # of the budgets that were given away
+        self.cold_since = self.free_dials = None  # of the budgets that were given away
         proxy.upgrade = self
         proxy.door.hold(True)
 
@@ -24,8 +29,11 @@
         now = self.clock.now()
         self.tried_since = now if self.tried_since is None else self.tried_since
         try:
-            self.taker = self.carrier.reach(self.proxy.node.state, self.name,
-                                            lambda post: Taker(post, self.proxy, self)).machine
+            self.taker = self.carrier.reach(
+                self.proxy.node.state,
+                self.name,
+                lambda post: Taker(post, self.proxy, self),
+            ).machine
         except OSError as wrong:
             self.from_nothing(wrong.strerror)
 
@@ -34,7 +42,9 @@
         if why:
             self.log_event("bad handover", what=why)
         else:
-            self.log_event("took over", servers=len(self.proxy.servers), after=self.took())
+            self.log_event(
+                "took over", servers=len(self.proxy.servers), after=self.took()
+            )
         self.serve(why is None)
 
     def taker_over(self, taker, why):
@@ -61,10 +71,15 @@
 
     def meet(self):
         try:
-            self.place = self.carrier.meet(self.proxy.node.state, self.name,
-                                           lambda post: Giver(post, self.proxy, self))
+            self.place = self.carrier.meet(
+                self.proxy.node.state,
+                self.name,
+                lambda post: Giver(post, self.proxy, self),
+            )
         except OSError as wrong:
-            self.log_event("no handover", why=f"nobody can take over from here: {wrong.strerror}")
+            self.log_event(
+                "no handover", why=f"nobody can take over from here: {wrong.strerror}"
+            )
 
     # The old process
 
@@ -86,7 +101,9 @@
 
     def given(self, giver, whole):
         self.proxy.handed_over = True
-        self.log_event("handed over", whole=whole is True, sessions=len(self.proxy.clients))
+        self.log_event(
+            "handed over", whole=whole is True, sessions=len(self.proxy.clients)
+        )
         if self.place:
             self.place.close()
             self.place = None
--- a/wheathill/lab/cast/callers.py
+++ b/wheathill/lab/cast/callers.py
@@ -72,7 +72,12 @@
 
     def called(self, caller):
         status = caller.answer[9:12].decode("ascii", "replace")
-        self.record.note("call", proxy=self.name, status=status, took=self.host.clock.now() - caller.began)
+        self.record.note(
+            "call",
+            proxy=self.name,
+            status=status,
+            took=self.host.clock.now() - caller.began,
+        )
 
     def stop(self):
         self.on = False
--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -10,15 +10,49 @@
     """Clients of one kind: same listener, desk and habits. Times in ms; `life`, `rest` and `think` are
     means."""
 
-    def __init__(self, host, limits, chance, record, front, listener, runs, session_loads, *, name, zone, desk, groups,
-                 life, rest, think, gives_up, retry, wait, honours, tries, silence, returns, leaves, mid_flow,
-                 load_sigma):
+    def __init__(
+        self,
+        host,
+        limits,
+        chance,
+        record,
+        front,
+        listener,
+        runs,
+        session_loads,
+        *,
+        name,
+        zone,
+        desk,
+        groups,
+        life,
+        rest,
+        think,
+        gives_up,
+        retry,
+        wait,
+        honours,
+        tries,
+        silence,
+        returns,
+        leaves,
+        mid_flow,
+        load_sigma,
+    ):
         self.host, self.limits, self.record, self.front = host, limits, record, front
         self.clock = host.clock
-        self.expovariate, self.uniform, self.random = chance.expovariate, chance.uniform, chance.random
-        self.listener = listener        # as the script has it
-        self.runs = runs                # whether the proxy of a name runs
-        self.session_loads, self.load_sigma, self.normal = session_loads, load_sigma, chance.normalvariate
+        self.expovariate, self.uniform, self.random = (
+            chance.expovariate,
+            chance.uniform,
+            chance.random,
+        )
+        self.listener = listener  # as the script has it
+        self.runs = runs  # whether the proxy of a name runs
+        self.session_loads, self.load_sigma, self.normal = (
+            session_loads,
+            load_sigma,
+            chance.normalvariate,
+        )
         self.name, self.zone, self.desk, self.groups = name, zone, desk, groups
         self.life, self.rest, self.think = life, rest, think
         self.gives_up, self.retry, self.wait = gives_up, retry, wait
@@ -29,14 +63,17 @@
 
     def add(self, count, within):
         for number in range(count):
-            client = Person(self, f"{self.name}{number}",
-                            f"{self.name}g{number % self.groups}" if self.groups else None)
+            client = Person(
+                self,
+                f"{self.name}{number}",
+                f"{self.name}g{number % self.groups}" if self.groups else None,
+            )
             self.clients.append(client)
             self.clock.after(self.uniform(0.0, within), client.begin)
 
     def herd(self, share, within):
         """So many lose their connection at once and come back within a time."""
-        for client in self.clients[:round(len(self.clients) * share)]:
+        for client in self.clients[: round(len(self.clients) * share)]:
             client.drop()
             self.clock.after(self.uniform(0.0, within), client.begin, True)
 
@@ -52,7 +89,7 @@
         self.visits = 0
         self.intention = 0
         self.tried = 0
-        self.due = None         # the alarm for its next visit
+        self.due = None  # the alarm for its next visit
 
     def begin(self, again=False):
         if self.visit is None:
@@ -128,9 +165,9 @@
         self.opened = None
         self.up = False
         self.over = False
-        self.final = False          # nothing may follow
-        self.lives = None           # the alarm that ends it
-        self.asked = None           # when the line that waits for its answer was sent
+        self.final = False  # nothing may follow
+        self.lives = None  # the alarm that ends it
+        self.asked = None  # when the line that waits for its answer was sent
 
     def start(self, address):
         self.crowd.host.dial(self, address, (self.proxy, self.crowd.zone))
@@ -139,23 +176,46 @@
     def connected(self):
         crowd = self.crowd
         values = [f"c={crowd.listener.name}", f"d={crowd.listener.dial_timeout_ms:.0f}"]
-        for key, value in (("t", crowd.desk), ("g", self.person.group), ("r", self.repeat and "1"),
-                           ("again", self.again and "1"), ("mid", self.mid and "1")):
+        for key, value in (
+            ("t", crowd.desk),
+            ("g", self.person.group),
+            ("r", self.repeat and "1"),
+            ("again", self.again and "1"),
+            ("mid", self.mid and "1"),
+        ):
             if value:
                 values.append(f"{key}={value}")
         self.opened = self.clock.now()
         # Known to its server alone: its load is written on no line.
         if not self.mid:
             sigma = crowd.load_sigma
-            crowd.session_loads[self.name] = math.exp(crowd.normal(-sigma * sigma / 2, sigma)) if sigma else 1.0
-        self.record.note("open", sess=self.name, proxy=self.proxy, listener=crowd.listener.name,
-                         crowd=crowd.name, desk=crowd.desk, deadline=crowd.listener.dial_timeout_ms,
-                         mid=self.mid,
-                         effect=f"{self.person.name}/{self.person.intention}")
-        self.wire.send(b"OPEN ", self.name.encode(), b" ", self.person.name.encode(), b" ",
-                       ",".join(values).encode(), END)
+            crowd.session_loads[self.name] = (
+                math.exp(crowd.normal(-sigma * sigma / 2, sigma)) if sigma else 1.0
+            )
+        self.record.note(
+            "open",
+            sess=self.name,
+            proxy=self.proxy,
+            listener=crowd.listener.name,
+            crowd=crowd.name,
+            desk=crowd.desk,
+            deadline=crowd.listener.dial_timeout_ms,
+            mid=self.mid,
+            effect=f"{self.person.name}/{self.person.intention}",
+        )
+        self.wire.send(
+            b"OPEN ",
+            self.name.encode(),
+            b" ",
+            self.person.name.encode(),
+            b" ",
+            ",".join(values).encode(),
+            END,
+        )
         if crowd.leaves and crowd.random() < crowd.leaves:
-            self.clock.after(crowd.uniform(0.0, 40.0), self.change_mind, crowd.random() < 0.5)
+            self.clock.after(
+                crowd.uniform(0.0, 40.0), self.change_mind, crowd.random() < 0.5
+            )
 
     def last_byte_left(self):
         """Of a line that was held: its time counts from here."""
@@ -180,7 +240,9 @@
             if not self.over:
                 self.line(line)
             elif self.final:
-                self.record.note("extra", sess=self.name, what=line[:40].decode("ascii", "replace"))
+                self.record.note(
+                    "extra", sess=self.name, what=line[:40].decode("ascii", "replace")
+                )
 
     def line(self, line):
         word, _, rest = line.partition(b" ")
@@ -189,11 +251,15 @@
             return
         now = self.clock.now()
         text = rest.decode("ascii", "replace")
-        self.record.note("answer", sess=self.name, word=word.decode("ascii", "replace"), rest=text)
+        self.record.note(
+            "answer", sess=self.name, word=word.decode("ascii", "replace"), rest=text
+        )
         if word == b"UP":
             self.up = True
             self.record.handshake(now - self.opened)
-            self.lives = self.clock.after(self.crowd.expovariate(1.0) * self.crowd.life, self.live_out)
+            self.lives = self.clock.after(
+                self.crowd.expovariate(1.0) * self.crowd.life, self.live_out
+            )
             self.set_timer(self.crowd.expovariate(1.0) * self.crowd.think, self.say)
         elif word == b"BUSY":
             self.end("refused", float(text) if text else None)
@@ -207,7 +273,9 @@
         elif word == b"BYE":
             self.end("lived")
         elif self.asked is not None and word != b"LOAD":
-            self.record.message(self.clock.now() - self.asked, self.crowd.listener.message_target_ms)
+            self.record.message(
+                self.clock.now() - self.asked, self.crowd.listener.message_target_ms
+            )
             self.asked = None
             self.set_timer(self.crowd.expovariate(1.0) * self.crowd.think, self.say)
 
@@ -259,7 +327,9 @@
         self.closed("ended")
 
     def lost(self, reset):
-        self.closed("reset" if reset else "ended" if self.opened is not None else "not reached")
+        self.closed(
+            "reset" if reset else "ended" if self.opened is not None else "not reached"
+        )
 
     def closed(self, how):
         if self.over:
@@ -270,10 +340,18 @@
         if self.opened is None:
             # Never came up: the front will notice; nothing was asked.
             self.record.counts["not reached"] += 1
-            return self.person.over("cut", mid=self.name) if self.mid else self.person.over("failed")
+            return (
+                self.person.over("cut", mid=self.name)
+                if self.mid
+                else self.person.over("failed")
+            )
         self.record.note("cut" if self.up else "broken", sess=self.name, how=how)
         # The front sends the packets through another proxy only where this one is gone.
-        mid = self.name if self.up and self.crowd.mid_flow and not self.crowd.runs(self.proxy) else None
+        mid = (
+            self.name
+            if self.up and self.crowd.mid_flow and not self.crowd.runs(self.proxy)
+            else None
+        )
         self.person.over("cut" if self.up else "failed", mid=mid)
 
     def fault(self):
--- a/wheathill/lab/cast/discovery.py
+++ b/wheathill/lab/cast/discovery.py
@@ -14,10 +14,10 @@
         self.clock = clock
         self.record = record
         self.late = late
-        self.silence = silence      # an empty line is due so often, ms
+        self.silence = silence  # an empty line is due so often, ms
         self.seq = 1
-        self.entries = {}           # name -> entry as it stands on the wire, by any proxy
-        self.agents = {}            # proxy name -> Agent
+        self.entries = {}  # name -> entry as it stands on the wire, by any proxy
+        self.agents = {}  # proxy name -> Agent
 
     def set(self, name, late=None, **fields):
         """Changes an entry, and tells every agent of it in its time."""
@@ -38,10 +38,10 @@
         self.host = host
         self.entries = dict(registry.entries)
         self.seq = registry.seq
-        self.dial = dial            # (server, proxy) -> address
+        self.dial = dial  # (server, proxy) -> address
         self.down = False
-        self.moves = 0              # how often it has got another address
-        self.stale = {}             # servers of which it told a drain that was over by then, until it tells so
+        self.moves = 0  # how often it has got another address
+        self.stale = {}  # servers of which it told a drain that was over by then, until it tells so
         registry.agents[name] = self
         self.listen()
 
@@ -76,24 +76,42 @@
     def note_told(self, entries, whole):
         told = [(entry["host"], entry["health"]) for entry in entries]
         for entry in entries:
-            if entry["born_ms"] and entry["health"] == "ready" and \
-                    entry["born_ms"] == self.registry.entries[entry["host"]]["born_ms"]:
-                self.registry.record.note("told start", proxy=self.name, server=entry["host"])
+            if (
+                entry["born_ms"]
+                and entry["health"] == "ready"
+                and entry["born_ms"] == self.registry.entries[entry["host"]]["born_ms"]
+            ):
+                self.registry.record.note(
+                    "told start", proxy=self.name, server=entry["host"]
+                )
         for name, health in told:
             if health != "ready":
-                over = health == "draining" and self.registry.entries[name]["health"] == "ready"
+                over = (
+                    health == "draining"
+                    and self.registry.entries[name]["health"] == "ready"
+                )
                 if over:
                     self.stale[name] = None
-                self.registry.record.note("told", proxy=self.name, server=name, health=health,
-                                          **({"stale": True} if over else {}))
+                self.registry.record.note(
+                    "told",
+                    proxy=self.name,
+                    server=name,
+                    health=health,
+                    **({"stale": True} if over else {}),
+                )
             elif name in self.stale:
                 del self.stale[name]
                 self.registry.record.note("told over", proxy=self.name, server=name)
         if whole:
             present = [name for name, _ in told]
             for name in self.registry.entries:
-                if name not in present and self.registry.entries[name].get("health") == "gone":
-                    self.registry.record.note("told", proxy=self.name, server=name, health="gone")
+                if (
+                    name not in present
+                    and self.registry.entries[name].get("health") == "gone"
+                ):
+                    self.registry.record.note(
+                        "told", proxy=self.name, server=name, health="gone"
+                    )
 
     def tear_off(self):
         for watch in list(self.watches):
@@ -126,8 +144,10 @@
             if line.startswith(b"GET "):
                 self.asked = True
             elif not line and self.asked:
-                self.wire.send(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
-                               b"Transfer-Encoding: chunked\r\n\r\n")
+                self.wire.send(
+                    b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
+                    b"Transfer-Encoding: chunked\r\n\r\n"
+                )
                 self.agent.watches[self] = None
                 if not self.agent.down:
                     self.tell(True, list(self.agent.entries.values()))
@@ -136,7 +156,10 @@
     def tell(self, whole, entries):
         self.agent.note_told(entries, whole)
         hosts = [self.agent.addressed(entry) for entry in entries]
-        self.write(orjson.dumps({"seq": self.agent.seq, "whole": whole, "hosts": hosts}) + b"\n")
+        self.write(
+            orjson.dumps({"seq": self.agent.seq, "whole": whole, "hosts": hosts})
+            + b"\n"
+        )
 
     def write(self, body):
         self.wire.send(b"%x" % len(body), END, body, END)
--- a/wheathill/lab/cast/front.py
+++ b/wheathill/lab/cast/front.py
@@ -15,8 +15,8 @@
         self.notice = notice
         self.ask_every = ask_every
         self.shares, self.chance = shares, chance
-        self.proxies = {}       # name -> (zone, address)
-        self.taking = {}        # those that are dealt to -> which of their starts
+        self.proxies = {}  # name -> (zone, address)
+        self.taking = {}  # those that are dealt to -> which of their starts
         self.starts = 0
         self.turn = 0
 
@@ -26,7 +26,9 @@
         self.ask(name)
 
     def ask(self, name):
-        Asker(self, name, self.limits, self.clock).start(self.host, self.proxies[name][1])
+        Asker(self, name, self.limits, self.clock).start(
+            self.host, self.proxies[name][1]
+        )
 
     def answered(self, name, well):
         if well:
@@ -51,7 +53,9 @@
     def pick(self, zone):
         """(proxy, its address), dealt in turn or by shares within the zone, or in any zone when it has none; None if no
         proxy is there at all."""
-        names = [name for name in self.taking if self.proxies[name][0] == zone] or list(self.taking)
+        names = [name for name in self.taking if self.proxies[name][0] == zone] or list(
+            self.taking
+        )
         if not names:
             return None
         if self.shares:
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -15,26 +15,55 @@
     for each referenced listener, its window in ms and the memory that the gateway's group shares: id -> when
     it ran. `session_loads`: session -> its load beside the mean, as its client has drawn it."""
 
-    def __init__(self, name, host, limits, record, chance, store, dedup, *, cores, speed, queue, setup_ms,
-                 line_ms, probe_ms, holds, warm_from, warm_s, falls_over, fall_window_ms, falls_at, report_ms,
-                 fields, keeps_ms, session_loads, tells_load):
+    def __init__(
+        self,
+        name,
+        host,
+        limits,
+        record,
+        chance,
+        store,
+        dedup,
+        *,
+        cores,
+        speed,
+        queue,
+        setup_ms,
+        line_ms,
+        probe_ms,
+        holds,
+        warm_from,
+        warm_s,
+        falls_over,
+        fall_window_ms,
+        falls_at,
+        report_ms,
+        fields,
+        keeps_ms,
+        session_loads,
+        tells_load,
+    ):
         self.name, self.host = name, host
         self.limits, self.record, self.store, self.dedup = limits, record, store, dedup
         self.clock = host.clock
         self.expovariate = chance.expovariate
         self.cores, self.speed, self.queue = cores, speed, queue
         self.setup_ms, self.line_ms, self.probe_ms = setup_ms, line_ms, probe_ms
-        self.holds = holds              # connections at full load, when warm
+        self.holds = holds  # connections at full load, when warm
         self.warm_from, self.warm = warm_from, warm_s * 1000
-        self.falls_over, self.fall_window, self.falls_at = falls_over, fall_window_ms, falls_at
+        self.falls_over, self.fall_window, self.falls_at = (
+            falls_over,
+            fall_window_ms,
+            falls_at,
+        )
         self.report_every, self.fields = report_ms, fields
         self.keeps = keeps_ms
         self.session_loads, self.tells_load = session_loads, tells_load
         self.slower = 1.0
         self.costlier = 1.0
-        self.tells = 1.0                # its reports tell so many times its load
+        self.tells = 1.0  # its reports tell so many times its load
         self.erring = False
-        self.fallen = None              # called with its name when it has fallen over
+        self.fallen = None  # called with its name when it has fallen over
         self.begin(None)
 
     def begin(self, started):
@@ -42,13 +71,13 @@
         self.started = started
         self.draining = False
         self.busy = 0
-        self.work = 0.0                 # ms of core time done, for the report
+        self.work = 0.0  # ms of core time done, for the report
         self.waiting = deque()
-        self.links = {}                 # connections that are up -> the load of each, by mean 1
-        self.held_load = 0.0            # of all that are up
-        self.kept = {}                  # session -> until when, for packets that come through another proxy
-        self.dialled = deque()          # when, of set-ups while cold
-        self.reported = None            # (when, figures, work done by then)
+        self.links = {}  # connections that are up -> the load of each, by mean 1
+        self.held_load = 0.0  # of all that are up
+        self.kept = {}  # session -> until when, for packets that come through another proxy
+        self.dialled = deque()  # when, of set-ups while cold
+        self.reported = None  # (when, figures, work done by then)
         self.host.listen(self.take)
 
     def take(self, wire, peer):
@@ -61,11 +90,20 @@
         if self.started is None:
             return 1.0
         age = self.clock.now() - self.started
-        return min(1.0, self.warm_from + (1 - self.warm_from) * age / self.warm) if self.warm else 1.0
+        return (
+            min(1.0, self.warm_from + (1 - self.warm_from) * age / self.warm)
+            if self.warm
+            else 1.0
+        )
 
     @property
     def load(self):
-        return self.held_load * self.costlier * self.slower / (self.holds * self.readiness())
+        return (
+            self.held_load
+            * self.costlier
+            * self.slower
+            / (self.holds * self.readiness())
+        )
 
     def fall(self, why):
         self.record.note("fell over", server=self.name, why=why, held=len(self.links))
@@ -117,11 +155,20 @@
         """Made anew at most every so often, so it ages."""
         now = self.clock.now()
         if self.reported is None or now - self.reported[0] >= self.report_every:
-            before, _, work = self.reported or (now - self.report_every, None, self.work)
+            before, _, work = self.reported or (
+                now - self.report_every,
+                None,
+                self.work,
+            )
             used = (self.work - work) / (max(1.0, now - before) * self.cores)
             load = self.load * self.tells
-            figures = {"inflight": len(self.links), "active": len(self.links), "waiting": len(self.waiting),
-                       "cpu": round(min(1.0, self.tells * used + 0.9 * load), 3), "x0": round(load, 3)}
+            figures = {
+                "inflight": len(self.links),
+                "active": len(self.links),
+                "waiting": len(self.waiting),
+                "cpu": round(min(1.0, self.tells * used + 0.9 * load), 3),
+                "x0": round(load, 3),
+            }
             text = ",".join(f"{name}={figures[name]}" for name in self.fields)
             self.reported = now, text.encode(), self.work
         return self.reported[1]
@@ -134,7 +181,7 @@
         self.clock.after(leave_after, self.send_away)
 
     def send_away(self):
-        for link in list(self.links)[:max(1, len(self.links) // 4)]:
+        for link in list(self.links)[: max(1, len(self.links) // 4)]:
             link.leave(b"MOVE")
         if self.links:
             self.clock.after(250.0, self.send_away)
@@ -149,7 +196,7 @@
         self.head = None
         self.up = False
         self.over = False
-        self.first = None           # when the first byte came
+        self.first = None  # when the first byte came
 
     def received(self, data):
         if self.over:
@@ -172,7 +219,11 @@
     def probe(self, line):
         gateway = self.gateway
         gateway.record.counts["probes"] += 1
-        answer = (b"PONG", b" " + gateway.report(), END) if line == b"STATS" else (b"PONG", END)
+        answer = (
+            (b"PONG", b" " + gateway.report(), END)
+            if line == b"STATS"
+            else (b"PONG", END)
+        )
         if not gateway.job(gateway.probe_ms, lambda: self.wire.send(*answer)):
             self.wire.send(b"BUSY", END)
 
@@ -223,7 +274,9 @@
         if self.clock.now() < until:
             self.answer_up()
         else:
-            self.gateway.record.note("not held", server=self.gateway.name, sess=self.head.id)
+            self.gateway.record.note(
+                "not held", server=self.gateway.name, sess=self.head.id
+            )
             self.note_over("not held")
             self.wire.abort(reset=True)
 
@@ -234,11 +287,17 @@
         gateway.links[self] = load
         gateway.held_load += load
         receipt = f"{gateway.name}/{self.head.id}"
-        gateway.record.note("up", server=gateway.name, sess=self.head.id, receipt=receipt)
+        gateway.record.note(
+            "up", server=gateway.name, sess=self.head.id, receipt=receipt
+        )
         self.wire.send(b"UP ", receipt.encode(), END)
         if gateway.tells_load:
             # In microseconds of core time a second, as the bench's servers tell it.
-            self.wire.send(b"LOAD %d" % round(load * 1e6 * gateway.cores * gateway.speed / gateway.holds), END)
+            self.wire.send(
+                b"LOAD %d"
+                % round(load * 1e6 * gateway.cores * gateway.speed / gateway.holds),
+                END,
+            )
 
     def line(self):
         if not self.gateway.job(self.gateway.line_ms, self.echo):
@@ -264,12 +323,14 @@
             self.over = True
             self.gateway.held_load -= self.gateway.links.pop(self, 0.0)
             if not self.gateway.links:
-                self.gateway.held_load = 0.0    # sums of fractions leave a rest
+                self.gateway.held_load = 0.0  # sums of fractions leave a rest
             if self.head is not None:
-                self.gateway.record.note("dial over", server=self.gateway.name, sess=self.head.id, how=how)
+                self.gateway.record.note(
+                    "dial over", server=self.gateway.name, sess=self.head.id, how=how
+                )
 
     def last_byte_left(self):
-        pass        # a proxy's time does not count from here
+        pass  # a proxy's time does not count from here
 
     def keep(self):
         """Its packets may come through another proxy yet."""
--- a/wheathill/lab/cast/sessionless.py
+++ b/wheathill/lab/cast/sessionless.py
@@ -4,7 +4,7 @@
 class Sessionless:
     """Its servers by name, and what a server bears of its connections, as it finds."""
 
-    rights = None           # set by its peers
+    rights = None  # set by its peers
 
     def __init__(self, servers, borne):
         self.servers, self.borne = servers, borne
--- a/wheathill/lab/cores/copies.py
+++ b/wheathill/lab/cores/copies.py
@@ -16,7 +16,7 @@
 from wheathill.store.sync import Sync
 
 LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
-SYNC_MS = 40.0          # between two syncs of a disk
+SYNC_MS = 40.0  # between two syncs of a disk
 
 
 class Disk:
@@ -24,13 +24,17 @@
 
     def __init__(self):
         self.image = None
-        self.last = None        # the id of the replica that ran on it last
+        self.last = None  # the id of the replica that ran on it last
         self.records = []
         self.synced = 0
 
     def copy(self):
         other = Disk()
-        other.image, other.last, other.records = self.image, self.last, self.records[:self.synced]
+        other.image, other.last, other.records = (
+            self.image,
+            self.last,
+            self.records[: self.synced],
+        )
         other.synced = self.synced
         return other
 
@@ -44,33 +48,62 @@
         self.clock = self.host.clock
         self.end = copies.peers.endpoint(self.host, self.received)
         copies.births += 1
-        self.replica = Replica(name, f"{copies.births:x}", self.write, most_cells=copies.most_cells,
-                               most_bytes=copies.most_bytes)
+        self.replica = Replica(
+            name,
+            f"{copies.births:x}",
+            self.write,
+            most_cells=copies.most_cells,
+            most_bytes=copies.most_bytes,
+        )
         now = self.clock.now()
         if disk.image is not None:
             self.replica.load(disk.image, now)
         for record in disk.records:
             if record[0] == "seen":
-                self.replica.seen, self.replica.collected = dict(record[1]), dict(record[2])
+                self.replica.seen, self.replica.collected = (
+                    dict(record[1]),
+                    dict(record[2]),
+                )
                 self.replica.floor = record[3]
             else:
                 self.replica.load_cell(record[1], record[2], now)
         self.replica.own_seen(disk.last)
         disk.last = self.replica.id
         rng = random.Random(f"{copies.seed}/{name}/{copies.births}")
-        self.sync = Sync(self, rng, self.replica, lambda: list(copies.hosts), lambda: copies.counted,
-                         every=500.0, gather=5.0, patience=400.0)
+        self.sync = Sync(
+            self,
+            rng,
+            self.replica,
+            lambda: list(copies.hosts),
+            lambda: copies.counted,
+            every=500.0,
+            gather=5.0,
+            patience=400.0,
+        )
         self.sync.start(now)
         self.clock.after(SYNC_MS, self.sync_disk)
 
     def write(self, key, cell):
-        self.disk.records.append(("cell", key, None if cell is None else msgspec.msgpack.decode(
-            msgspec.msgpack.encode(cell.words()))))
+        self.disk.records.append(
+            (
+                "cell",
+                key,
+                None
+                if cell is None
+                else msgspec.msgpack.decode(msgspec.msgpack.encode(cell.words())),
+            )
+        )
 
     def sync_disk(self):
         """What a start finds: cells first, then the vector that they bring it to."""
-        self.disk.records.append(("seen", dict(self.replica.seen), dict(self.replica.collected),
-                                  self.replica.floor))
+        self.disk.records.append(
+            (
+                "seen",
+                dict(self.replica.seen),
+                dict(self.replica.collected),
+                self.replica.floor,
+            )
+        )
         self.disk.synced = len(self.disk.records)
         self.clock.after(SYNC_MS, self.sync_disk)
 
@@ -90,11 +123,15 @@
 
 
 class Copies:
-    def __init__(self, seed, count=5, most_cells=100_000, most_bytes=10_000_000, **faults):
+    def __init__(
+        self, seed, count=5, most_cells=100_000, most_bytes=10_000_000, **faults
+    ):
         self.seed = seed
         self.most_cells, self.most_bytes = most_cells, most_bytes
         self.rng = random.Random(f"{seed}/copies")
-        self.world = VirtualWorld(seed, {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0})
+        self.world = VirtualWorld(
+            seed, {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
+        )
         self.clock = self.world.clock
         self.faults = Faults(random.Random(f"{seed}/faults"), 1.0, 0.5, **faults)
         self.peers = VirtualPeers(self.clock, self.faults)
@@ -108,7 +145,7 @@
     def kill(self, name):
         """What was not synced is lost."""
         disk = self.disks[name]
-        del disk.records[disk.synced:]
+        del disk.records[disk.synced :]
         self.hosts[name].end()
         del self.copies[name]
 
@@ -173,7 +210,11 @@
                 self.kill(name)
             self.start(name, old)
         # Who is away for long does not count: tombstones go without it.
-        self.counted = [name for name in names if name in self.copies] if draw.random() < 0.5 else names
+        self.counted = (
+            [name for name in names if name in self.copies]
+            if draw.random() < 0.5
+            else names
+        )
 
     def calm(self, ms):
         """All faults over; what runs meets."""
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -15,7 +15,7 @@
 
 LIMITS = Limits(sockets=1000, connect=100.0, longest_dial=1000.0, idle=1000.0)
 NETWORK = {"same": 1.0, "cross": 5.0, "client": 1.0, "jitter": 0.2, "hop": 0.0}
-LOOK = 100.0            # ms between two looks at the shares
+LOOK = 100.0  # ms between two looks at the shares
 
 
 class Member(Sessionless):
@@ -29,7 +29,9 @@
     def list(self, peers, name, draining, started):
         """Its own list says so."""
         server = self.servers.setdefault(name, Server(name))
-        phase, server.started = peers.on_entry(name, Phase.DRAINING if draining else Phase.READY, started)
+        phase, server.started = peers.on_entry(
+            name, Phase.DRAINING if draining else Phase.READY, started
+        )
         server.listed = phase
 
     def told_by_peers(self, server, phase, born):
@@ -41,19 +43,42 @@
 class Fleet:
     """`zones`: {zone: (region, how many)}. A member is named ZONE-N; the first two of each zone are its seeds."""
 
-    def __init__(self, zones, seed=1, loss=0.0, period=1000.0, parts=None, versions=None, held=None):
+    def __init__(
+        self,
+        zones,
+        seed=1,
+        loss=0.0,
+        period=1000.0,
+        parts=None,
+        versions=None,
+        held=None,
+    ):
         self.world = VirtualWorld(seed, NETWORK)
         self.world.net.links = self.world.ways
-        self.clock, self.net, self.ways = self.world.clock, self.world.net, self.world.ways
+        self.clock, self.net, self.ways = (
+            self.world.clock,
+            self.world.net,
+            self.world.ways,
+        )
         self.random = random.Random(f"{seed}/faults")
         self.seed, self.period, self.loss = seed, period, loss
         self.zones = zones
-        self.names = {zone: [f"{zone}-{number}" for number in range(count)] for zone, (_, count) in zones.items()}
-        self.zone_of = {name: zone for zone, names in self.names.items() for name in names}
+        self.names = {
+            zone: [f"{zone}-{number}" for number in range(count)]
+            for zone, (_, count) in zones.items()
+        }
+        self.zone_of = {
+            name: zone for zone, names in self.names.items() for name in names
+        }
         self.layouts = {1: self.layout(1)}
-        self.files = dict.fromkeys(self.zone_of, 1)     # name -> version of the layout in its file
+        self.files = dict.fromkeys(
+            self.zone_of, 1
+        )  # name -> version of the layout in its file
         self.hosts, self.peers, self.proxies, self.starts = {}, {}, {}, {}
-        self.largest, self.over = 0.0, []       # the largest sum of shares; (when, sum) where it passed the whole
+        self.largest, self.over = (
+            0.0,
+            [],
+        )  # the largest sum of shares; (when, sum) where it passed the whole
         self.lines = []
         for name, zone in self.zone_of.items():
             host = self.hosts[name] = VirtualHost(self.net, name, zone)
@@ -69,7 +94,9 @@
         for zone, (region, count) in self.zones.items():
             part = parts[zone] if parts else count / whole
             seeds = tuple("%s:%d" % self.address(name) for name in self.names[zone][:2])
-            found.append(Zone(zone, region, count, seeds, part, was[zone] if was else part))
+            found.append(
+                Zone(zone, region, count, seeds, part, was[zone] if was else part)
+            )
         return Layout(version, tuple(found))
 
     @staticmethod
@@ -84,13 +111,36 @@
         host = self.hosts[name]
         host.begin()
         seeds = next(each.seeds for each in layout.zones if each.name == zone)
-        told = Told(name=name, cluster="lab", listen=listen, advertise="%s:%d" % listen, seeds=seeds, key=b"the lab's own",
-                    roster=(), control=None, period=self.period, patience=0.3 * self.period, zone=zone, layout=layout)
+        told = Told(
+            name=name,
+            cluster="lab",
+            listen=listen,
+            advertise="%s:%d" % listen,
+            seeds=seeds,
+            key=b"the lab's own",
+            roster=(),
+            control=None,
+            period=self.period,
+            patience=0.3 * self.period,
+            zone=zone,
+            layout=layout,
+        )
         proxy = self.proxies[name] = Member(host.clock)
-        birth = random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
-        log = lambda event, **fields: self.lines.append((self.clock.now(), name, event, fields))
+        birth = (
+            random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
+        )
+        log = lambda event, **fields: self.lines.append(
+            (self.clock.now(), name, event, fields)
+        )
         peers = self.peers[name] = instance_of(told)(
-            told, proxy, VirtualCarrier(host, LIMITS, raise_fault), host.clock, log, birth, len(self.zone_of))
+            told,
+            proxy,
+            VirtualCarrier(host, LIMITS, raise_fault),
+            host.clock,
+            log,
+            birth,
+            len(self.zone_of),
+        )
         host.clock.soon(peers.start)
 
     def start_all(self, within=1000.0):
@@ -109,7 +159,9 @@
         return self.ways.between(ones, others, one_way=False)
 
     def of_region(self, region):
-        return [name for name, zone in self.zone_of.items() if self.zones[zone][0] == region]
+        return [
+            name for name, zone in self.zone_of.items() if self.zones[zone][0] == region
+        ]
 
     def cut(self, ones, on=True):
         self.ways.cut(self.pairs(dict.fromkeys(ones)), on)
@@ -129,19 +181,35 @@
             what = chance.random()
             if what < 0.75:
                 zone = chance.choice(list(self.zones))
-                names = self.names[zone] if what < 0.1 else chance.sample(self.names[zone], 1)
+                names = (
+                    self.names[zone]
+                    if what < 0.1
+                    else chance.sample(self.names[zone], 1)
+                )
                 for name in names:
                     if name in self.peers:
                         self.kill(name)
-                        self.clock.after(chance.choice((50.0, 1500.0, 15_000.0)) * chance.uniform(0.5, 1.5) / restarts,
-                                         self.start, name)
+                        self.clock.after(
+                            chance.choice((50.0, 1500.0, 15_000.0))
+                            * chance.uniform(0.5, 1.5)
+                            / restarts,
+                            self.start,
+                            name,
+                        )
             elif cuts:
                 zone = chance.choice(list(self.zones))
                 within = self.names[zone]
-                names = chance.choice((self.of_region(chance.choice(regions)), within,
-                                       chance.sample(within, chance.randint(1, len(within)))))
+                names = chance.choice(
+                    (
+                        self.of_region(chance.choice(regions)),
+                        within,
+                        chance.sample(within, chance.randint(1, len(within))),
+                    )
+                )
                 self.cut(names)
-                self.clock.after(chance.uniform(500.0, 20_000.0), self.cut, names, False)
+                self.clock.after(
+                    chance.uniform(500.0, 20_000.0), self.cut, names, False
+                )
 
     # Running and looking
 
@@ -191,12 +259,24 @@
     def in_force(self, server, since, names=None, draining=True):
         """Seconds after `since`, of each that was told; who was not is missing."""
         what = server, "draining" if draining else "ready"
-        return [(proxy.told[what] - since) / 1000 for name, proxy in self.proxies.items()
-                if what in proxy.told and (names is None or name in names)]
+        return [
+            (proxy.told[what] - since) / 1000
+            for name, proxy in self.proxies.items()
+            if what in proxy.told and (names is None or name in names)
+        ]
 
     def rates(self, seconds):
         """Bytes and messages sent a second, of each, over the next seconds."""
-        before = {name: (peers.links.bytes, peers.links.sent) for name, peers in self.peers.items()}
+        before = {
+            name: (peers.links.bytes, peers.links.sent)
+            for name, peers in self.peers.items()
+        }
         self.run(seconds)
-        return {name: tuple((new - old) / seconds for new, old in zip((peers.links.bytes, peers.links.sent), before[name]))
-                for name, peers in self.peers.items() if name in before}
+        return {
+            name: tuple(
+                (new - old) / seconds
+                for new, old in zip((peers.links.bytes, peers.links.sent), before[name])
+            )
+            for name, peers in self.peers.items()
+            if name in before
+        }
--- a/wheathill/lab/cores/members.py
+++ b/wheathill/lab/cores/members.py
@@ -11,7 +11,13 @@
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.peers.membership import ALIVE, DEAD, SUSPECT, Membership
 
-USUAL = {"period": 1000.0, "patience": 300.0, "helpers": 3, "kept": 60_000.0, "sync_every": 10_000.0}
+USUAL = {
+    "period": 1000.0,
+    "patience": 300.0,
+    "helpers": 3,
+    "kept": 60_000.0,
+    "sync_every": 10_000.0,
+}
 LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
 
 
@@ -23,12 +29,20 @@
         self.clock = host.clock
         self.end = cluster.peers.endpoint(host, self.received)
         rng = random.Random(f"{cluster.seed}/{host.name}/{start}")
-        self.membership = Membership(self, rng, cluster.claims.get(host.name, host.name), host.name,
-                                     rng.getrandbits(48), **cluster.settings)
+        self.membership = Membership(
+            self,
+            rng,
+            cluster.claims.get(host.name, host.name),
+            host.name,
+            rng.getrandbits(48),
+            **cluster.settings,
+        )
         self.sent = self.knocks = 0
 
     def received(self, data, came_from):
-        self.membership.on_message(self.clock.now(), came_from, self.cluster.decode(data))
+        self.membership.on_message(
+            self.clock.now(), came_from, self.cluster.decode(data)
+        )
 
     def send(self, address, words):
         self.sent += 1
@@ -36,8 +50,14 @@
 
     def knock(self, name, birth, address, wait, why):
         self.knocks += 1
-        self.cluster.peers.knock(self.host, address, wait, lambda how: self.membership.on_knock(
-            self.clock.now(), name, birth, how, why))
+        self.cluster.peers.knock(
+            self.host,
+            address,
+            wait,
+            lambda how: self.membership.on_knock(
+                self.clock.now(), name, birth, how, why
+            ),
+        )
 
     def alarm(self, at, what):
         self.clock.at(at, self.ring, what)
@@ -56,24 +76,31 @@
     """`count` instances, the first of which is everybody's seed. `claims`: host -> another name than its
     own."""
 
-    def __init__(self, count, seed=1, delay=1.0, jitter=0.5, claims=None, faults=None, **settings):
+    def __init__(
+        self, count, seed=1, delay=1.0, jitter=0.5, claims=None, faults=None, **settings
+    ):
         import msgspec
+
         self.encode, self.decode = msgspec.msgpack.encode, msgspec.msgpack.decode
         self.seed = seed
         self.settings = {**USUAL, **settings}
         self.claims = claims or {}
-        self.world = VirtualWorld(seed, {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0})
+        self.world = VirtualWorld(
+            seed, {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
+        )
         self.clock = self.world.clock
-        self.faults = Faults(random.Random(f"{seed}/faults"), delay, jitter, **(faults or {}))
+        self.faults = Faults(
+            random.Random(f"{seed}/faults"), delay, jitter, **(faults or {})
+        )
         self.peers = VirtualPeers(self.clock, self.faults)
         self.lines = []
         self.instances = {}
         self.starts = {}
-        self.dead = {}              # host -> since when it is really gone
-        self.paused = {}            # who stands still, and is no death
-        self.found = {}             # host -> {instance: when it had it as dead}
-        self.false = []             # (when, who, about whom): taken for dead without being so
-        self.suspected = 0          # the same, suspected only
+        self.dead = {}  # host -> since when it is really gone
+        self.paused = {}  # who stands still, and is no death
+        self.found = {}  # host -> {instance: when it had it as dead}
+        self.false = []  # (when, who, about whom): taken for dead without being so
+        self.suspected = 0  # the same, suspected only
         names = [f"i{number:03d}" for number in range(count)]
         self.hosts = {name: self.world.host(name, "east", LIMITS) for name in names}
         for name in names:
@@ -86,7 +113,9 @@
         self.dead.pop(name, None)
         self.found.pop(name, None)
         number = self.starts[name] = self.starts.get(name, 0) + 1
-        instance = self.instances[name] = Instance(self, host, len(self.instances), number)
+        instance = self.instances[name] = Instance(
+            self, host, len(self.instances), number
+        )
         instance.membership.start(self.clock.now(), [next(iter(self.hosts))])
 
     def kill(self, name):
@@ -116,30 +145,50 @@
             return
         if member.state == DEAD:
             if member.address in self.dead:
-                self.found.setdefault(member.address, {}).setdefault(instance.host.name, self.clock.now())
+                self.found.setdefault(member.address, {}).setdefault(
+                    instance.host.name, self.clock.now()
+                )
             else:
                 self.false.append((self.clock.now(), instance.host.name, member.name))
         elif member.state == SUSPECT and member.address not in self.dead:
             self.suspected += 1
 
     def running(self):
-        return [instance for name, instance in self.instances.items() if name not in self.dead and name not in self.paused]
+        return [
+            instance
+            for name, instance in self.instances.items()
+            if name not in self.dead and name not in self.paused
+        ]
 
     def views(self):
         """What each running instance has, as {name: state}."""
-        return {instance.host.name: {name: member.state for name, member in sorted(
-            instance.membership.members.items())} for instance in self.running()}
+        return {
+            instance.host.name: {
+                name: member.state
+                for name, member in sorted(instance.membership.members.items())
+            }
+            for instance in self.running()
+        }
 
     def agreed(self):
         """Whether all running instances have exactly each other as there."""
         there = sorted(instance.membership.me.name for instance in self.running())
-        return all(there == sorted(member.name for member in instance.membership.alive()
-                                   if member.state == ALIVE) for instance in self.running())
+        return all(
+            there
+            == sorted(
+                member.name
+                for member in instance.membership.alive()
+                if member.state == ALIVE
+            )
+            for instance in self.running()
+        )
 
     def digest(self):
-        return [(name, member.name, member.state, member.incarnation)
-                for name, instance in self.instances.items()
-                for member in instance.membership.members.values()]
+        return [
+            (name, member.name, member.state, member.incarnation)
+            for name, instance in self.instances.items()
+            for member in instance.membership.members.values()
+        ]
 
 
 def measure(count, loss, seeds, kills=1, quiet=20.0, watched=40.0, machines=False):
@@ -161,12 +210,21 @@
             known = [at - (quiet * 1000) for at in when if at is not None]
             if known:
                 first.append(min(known))
-                everyone.append(max(known) if len(known) == len(alive) else float("inf"))
+                everyone.append(
+                    max(known) if len(known) == len(alive) else float("inf")
+                )
         sent = sum(instance.sent for instance in cluster.instances.values()) - before
         messages.append(sent / watched / len(alive))
         false += len(cluster.false)
         suspected += cluster.suspected
         time += (quiet + watched) * count / 3600
-    return {"instances": count, "loss": loss, "first_ms": median(first), "all_ms": median(everyone),
-            "false_deaths": false, "false_suspicions": suspected, "instance_hours": round(time, 2),
-            "messages": round(median(messages), 2)}
+    return {
+        "instances": count,
+        "loss": loss,
+        "first_ms": median(first),
+        "all_ms": median(everyone),
+        "false_deaths": false,
+        "false_suspicions": suspected,
+        "instance_hours": round(time, 2),
+        "messages": round(median(messages), 2),
+    }
--- a/wheathill/lab/cores/ways.py
+++ b/wheathill/lab/cores/ways.py
@@ -14,10 +14,14 @@
     overtaken is held for up to four more of the longest usual ways."""
 
     def __init__(self, chance, delay, jitter, loss=0.0, doubled=0.0, overtaken=0.0):
-        self.random, self.expovariate, self.uniform = chance.random, chance.expovariate, chance.uniform
+        self.random, self.expovariate, self.uniform = (
+            chance.random,
+            chance.expovariate,
+            chance.uniform,
+        )
         self.delay, self.jitter = delay, jitter
         self.loss, self.doubled, self.overtaken = loss, doubled, overtaken
-        self.cuts = {}          # (from, to) -> None
+        self.cuts = {}  # (from, to) -> None
         self.sent = self.lost = 0
 
     def cut(self, ones, others, both=True):
@@ -44,8 +48,11 @@
 
     def wait(self):
         usual = self.delay * (1.0 + self.jitter * self.expovariate(1.0))
-        return usual + (self.uniform(0.0, 4 * self.delay * (1 + self.jitter))
-                        if self.overtaken and self.random() < self.overtaken else 0.0)
+        return usual + (
+            self.uniform(0.0, 4 * self.delay * (1 + self.jitter))
+            if self.overtaken and self.random() < self.overtaken
+            else 0.0
+        )
 
 
 class VirtualPeers:
@@ -60,11 +67,16 @@
         end = self.endpoints[host.name] = VirtualEndpoint(self, host, received)
         return end
 
-
     def knock(self, host, to, wait, told):
         """Connections' starts: asked again as TCP does within the first 15 s of each (RFC 6298)."""
-        tries = sorted(start + again for start in (number * wait / Knocks.TRIES for number in range(Knocks.TRIES))
-                       for again in (0.0, 1000.0, 3000.0, 7000.0) if start + again < wait)
+        tries = sorted(
+            start + again
+            for start in (
+                number * wait / Knocks.TRIES for number in range(Knocks.TRIES)
+            )
+            for again in (0.0, 1000.0, 3000.0, 7000.0)
+            if start + again < wait
+        )
         self.ask(host, to, told, tries, wait)
 
     def ask(self, host, to, told, tries, wait):
@@ -73,7 +85,9 @@
             for there in self.faults.ways(host.name, to)[:1]:
                 for back in self.faults.ways(to, host.name)[:1]:
                     how = "up" if other.alive else "refused"
-                    return self.clock.after(there + back, host.gate, host.life, told, how)
+                    return self.clock.after(
+                        there + back, host.gate, host.life, told, how
+                    )
         first, *more = tries
         if more:
             self.clock.after(more[0] - first, self.ask, host, to, told, more, wait)
@@ -103,12 +117,13 @@
 
     def __init__(self, loop, clock, faults):
         self.loop, self.clock, self.faults = loop, clock, faults
-        self.addresses = {}     # name -> address
+        self.addresses = {}  # name -> address
         self.names = {}
 
     async def endpoint(self, name, received):
         transport, end = await self.loop.create_datagram_endpoint(
-            lambda: SocketEndpoint(self, name, received), local_addr=("127.0.0.1", 0))
+            lambda: SocketEndpoint(self, name, received), local_addr=("127.0.0.1", 0)
+        )
         address = transport.get_extra_info("sockname")
         self.addresses[name], self.names[address] = address, name
         return end
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -24,9 +24,13 @@
 
     def go(self, now, sess):
         tried = [dial.server for dial in sess.dials]
-        able = [server for server in self.balancer.roster.servers
-                if server not in tried and self.balancer.roster.may_dial(now, server, False)
-                and may_redial(now, sess, server)]
+        able = [
+            server
+            for server in self.balancer.roster.servers
+            if server not in tried
+            and self.balancer.roster.may_dial(now, server, False)
+            and may_redial(now, sess, server)
+        ]
         if able:
             sess.server = self.pick(able)
             self.next.enter(now, sess)
@@ -37,7 +41,11 @@
         pass
 
     def back(self, now, sess, outcome):
-        if len(sess.dials) < self.most_dials and sess.deadline > now and outcome is not Outcome.CANCELLED:
+        if (
+            len(sess.dials) < self.most_dials
+            and sess.deadline > now
+            and outcome is not Outcome.CANCELLED
+        ):
             self.go(now, sess)
         else:
             self.give_up(sess)
@@ -63,9 +71,14 @@
         plain.failed = lambda now: None
 
     def tick(self, now):
-        for server in list(dict.fromkeys(sess.server for held in self.table.sessions for sess in held)):
+        for server in list(
+            dict.fromkeys(sess.server for held in self.table.sessions for sess in held)
+        ):
             if server.phase.value == "draining":
-                self.send_away(list(server.sessions), max(1, 3 - int((now - server.told) / self.TICK)))
+                self.send_away(
+                    list(server.sessions),
+                    max(1, 3 - int((now - server.told) / self.TICK)),
+                )
 
 
 def at_random(rng, able):
@@ -81,27 +94,43 @@
 
 
 def two_choices(rng, able):
-    return min(rng.sample(able, min(2, len(able))), key=lambda server: len(server.sessions))
+    return min(
+        rng.sample(able, min(2, len(able))), key=lambda server: len(server.sessions)
+    )
 
 
 def true_sight(gateways, rng, able):
     """Lowest true load, of those that run; a gateway's set-ups under way count as if they were up."""
+
     def load(server):
         gateway = gateways[server.name]
         host = gateway.host
         well = host.alive and not host.silent and not host.paused and not gateway.erring
         coming = (gateway.busy + len(gateway.waiting)) / gateway.holds
         return not well, gateway.load + coming / gateway.readiness(), rng.random()
+
     return min(able, key=load)
 
 
-POLICIES = ("module", "random", "weighted-random", "least-connections", "two-choices", "true-sight")
+POLICIES = (
+    "module",
+    "random",
+    "weighted-random",
+    "least-connections",
+    "two-choices",
+    "true-sight",
+)
 
 
 def decisions(policy, gateways):
     """What a proxy is given in the place of Balancer."""
     if policy == "module":
         return Balancer
-    pick = {"random": at_random, "weighted-random": by_weight, "least-connections": least_connections,
-            "two-choices": two_choices, "true-sight": partial(true_sight, gateways)}[policy]
+    pick = {
+        "random": at_random,
+        "weighted-random": by_weight,
+        "least-connections": least_connections,
+        "two-choices": two_choices,
+        "true-sight": partial(true_sight, gateways),
+    }[policy]
     return partial(Baseline, pick)
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -39,16 +39,20 @@
         self.zone_of = zone_of or {}
         self.agree, self.false, self.known, self.odd = agree, false, known, odd
         self.awake = Awake()
-        self.running, self.paused, self.cut = {}, {}, {}    # name (or pair) -> since when; who runs listens, too
-        self.names = {}         # of all that ever ran
-        self.gone = {}          # name -> since when it doesn't run
-        self.held = {}          # (who, whom) -> since when it is held for gone
-        self.fine = {}          # (who, whom) -> since when both run and reach each other
-        self.still = {}         # (who, whom) -> the same, but that the other stands still
-        self.differ = None      # since when views differ
-        self.changed = 0.0      # when the truth last changed
-        self.digests = {}       # name -> (when asked, digest)
-        self.said = {}          # breaches told, once each
+        self.running, self.paused, self.cut = (
+            {},
+            {},
+            {},
+        )  # name (or pair) -> since when; who runs listens, too
+        self.names = {}  # of all that ever ran
+        self.gone = {}  # name -> since when it doesn't run
+        self.held = {}  # (who, whom) -> since when it is held for gone
+        self.fine = {}  # (who, whom) -> since when both run and reach each other
+        self.still = {}  # (who, whom) -> the same, but that the other stands still
+        self.differ = None  # since when views differ
+        self.changed = 0.0  # when the truth last changed
+        self.digests = {}  # name -> (when asked, digest)
+        self.said = {}  # breaches told, once each
 
     def on_truth(self, now, running, paused, cut, starting):
         for name in running:
@@ -56,12 +60,26 @@
             self.names[name] = None
         for name, had in starting.items():
             if had > self.agree:
-                self.once(now, name, f"doesn't listen yet, {had:.0f} ms of its own time after its start")
+                self.once(
+                    now,
+                    name,
+                    f"doesn't listen yet, {had:.0f} ms of its own time after its start",
+                )
         self.awake.look(now, running, paused, starting)
-        running = [name for name in running if name not in self.odd and name not in starting]
-        cut = [pair for pair in cut
-               if not any(name in self.odd for name in pair.split()) and self.together(*pair.split())]
-        for kept, here in ((self.running, running), (self.paused, paused), (self.cut, cut)):
+        running = [
+            name for name in running if name not in self.odd and name not in starting
+        ]
+        cut = [
+            pair
+            for pair in cut
+            if not any(name in self.odd for name in pair.split())
+            and self.together(*pair.split())
+        ]
+        for kept, here in (
+            (self.running, running),
+            (self.paused, paused),
+            (self.cut, cut),
+        ):
             for key in here:
                 if key not in kept:
                     kept[key] = now
@@ -75,12 +93,25 @@
         for one in running:
             for other in running:
                 if one != other and self.together(one, other):
-                    fine = one in well and other in well and f"{one} {other}" not in cut \
+                    fine = (
+                        one in well
+                        and other in well
+                        and f"{one} {other}" not in cut
                         and f"{other} {one}" not in cut
+                    )
                     self.keep(self.fine, (one, other), fine, now)
-                    self.keep(self.still, (one, other), one in well and other in paused and not cut, now)
+                    self.keep(
+                        self.still,
+                        (one, other),
+                        one in well and other in paused and not cut,
+                        now,
+                    )
         for kept in (self.fine, self.still):
-            for pair in [pair for pair in kept if pair[0] not in running or pair[1] not in running]:
+            for pair in [
+                pair
+                for pair in kept
+                if pair[0] not in running or pair[1] not in running
+            ]:
                 del kept[pair]
 
     def together(self, one, other):
@@ -95,7 +126,7 @@
 
     def on_host(self, now, name, state):
         if name not in self.names:
-            return      # a server
+            return  # a server
         # All that may be over before the truth is next looked at.
         self.changed = now
         self.awake.host(name)
@@ -116,7 +147,11 @@
         if event == "peer" and fields["state"] == "dead":
             since = self.fine.get((node, fields["peer"]))
             if since is not None and now - since > self.false:
-                self.once(now, node, f"buries {fields['peer']} at {now:.0f}, reaching it since {since:.0f}")
+                self.once(
+                    now,
+                    node,
+                    f"buries {fields['peer']} at {now:.0f}, reaching it since {since:.0f}",
+                )
 
     def on_believes(self, now, proxy, digest, members, **_):
         if proxy not in self.running or proxy not in self.awake.since:
@@ -124,38 +159,77 @@
         for other, state in members.items():
             if state in GONE:
                 held = self.held.setdefault((proxy, other), now)
-                since, still = self.fine.get((proxy, other)), self.still.get((proxy, other))
+                since, still = (
+                    self.fine.get((proxy, other)),
+                    self.still.get((proxy, other)),
+                )
                 # Who has just become reachable again is met within the same time as views become equal.
-                if since is not None and now - max(held, since + self.agree - self.false) > self.false:
-                    self.once(now, proxy, f"holds {other} for {state} since {held:.0f}, reaching it since {since:.0f}")
+                if (
+                    since is not None
+                    and now - max(held, since + self.agree - self.false) > self.false
+                ):
+                    self.once(
+                        now,
+                        proxy,
+                        f"holds {other} for {state} since {held:.0f}, reaching it since {since:.0f}",
+                    )
                 # Who was buried before, out of reach, can't deny it while it stands still, and is not met by a knock.
                 if still is not None and held >= still and now - held > self.false:
-                    self.once(now, proxy, f"holds {other} for {state}, which only stands still since {still:.0f}")
+                    self.once(
+                        now,
+                        proxy,
+                        f"holds {other} for {state}, which only stands still since {still:.0f}",
+                    )
             else:
                 self.held.pop((proxy, other), None)
             since = max(self.gone.get(other, now), self.awake.since[proxy])
             if state not in GONE and other in self.gone and now - since > self.known:
-                self.once(now, proxy, f"holds {other} for {state}, which is gone for {now - since:.0f} ms")
+                self.once(
+                    now,
+                    proxy,
+                    f"holds {other} for {state}, which is gone for {now - since:.0f} ms",
+                )
         for (one, other), since in self.fine.items():
             if one == proxy and other not in members and now - since > self.agree:
-                self.once(now, proxy, f"does not know {other} after {now - since:.0f} ms")
+                self.once(
+                    now, proxy, f"does not know {other} after {now - since:.0f} ms"
+                )
         self.digests[proxy] = now, digest
         if now - self.changed > self.agree and not self.paused and not self.cut:
-            fresh = {name: found for name, (when, found) in self.digests.items()
-                     if when - self.changed > self.agree and name in self.running}
+            fresh = {
+                name: found
+                for name, (when, found) in self.digests.items()
+                if when - self.changed > self.agree and name in self.running
+            }
             # Who leaves says so a moment before its process ends, and views are asked one after another.
-            views = {(self.zone_of.get(name), found): None for name, found in fresh.items()}
+            views = {
+                (self.zone_of.get(name), found): None for name, found in fresh.items()
+            }
             zones = {self.zone_of.get(name): None for name in fresh}
-            if len(views) <= len(zones) or self.differ is not None and self.differ < self.changed:
+            if (
+                len(views) <= len(zones)
+                or self.differ is not None
+                and self.differ < self.changed
+            ):
                 self.differ = None
             elif self.differ is None:
                 self.differ = now
             elif now - self.differ > self.false:
-                self.once(now, proxy, f"views differ {now - self.changed:.0f} ms after the last change: " + " ".join(
-                    f"{name}={found}" for name, found in sorted(fresh.items())))
+                self.once(
+                    now,
+                    proxy,
+                    f"views differ {now - self.changed:.0f} ms after the last change: "
+                    + " ".join(
+                        f"{name}={found}" for name, found in sorted(fresh.items())
+                    ),
+                )
 
     def once(self, now, proxy, what):
-        key = ("", "views differ") if what.startswith("views differ") else (proxy, what[:24])
+        key = (
+            ("", "views differ")
+            if what.startswith("views differ")
+            else (proxy, what[:24])
+        )
         if key not in self.said:
             self.said[key] = now
             self.breach(now, f"{proxy} {what}")
@@ -181,7 +255,7 @@
         self.zone_of, self.agree, self.apart, self.told = zone_of, agree, apart, told
         self.awake = Awake()
         self.truth, self.changed = None, 0.0
-        self.alone = {}         # zone -> since when none of it reaches another zone
+        self.alone = {}  # zone -> since when none of it reaches another zone
         self.said = {}
 
     def on_truth(self, now, running, paused, cut, starting):
@@ -193,22 +267,32 @@
             within = [name for name in running if self.zone_of[name] == zone]
             others = [name for name in running if self.zone_of[name] != zone]
             alone = bool(within and others) and all(
-                f"{one} {other}" in cut or f"{other} {one}" in cut for one in within for other in others)
+                f"{one} {other}" in cut or f"{other} {one}" in cut
+                for one in within
+                for other in others
+            )
             if alone:
                 self.alone.setdefault(zone, now)
             else:
                 self.alone.pop(zone, None)
 
     def on_host(self, now, name, state):
-        if name in self.zone_of:        # servers come and go as well
+        if name in self.zone_of:  # servers come and go as well
             self.changed = now
             self.awake.host(name)
 
     def due(self, zone, proxy):
         """From when on it answers for what it says of its zone, which is cut off. Some member that was awake all the
         time, or the first one since, has to find it out; who came later is told."""
-        first = min(self.awake.since[name] for name in self.awake.since if self.zone_of[name] == zone)
-        return max(max(self.alone[zone], first) + self.apart, self.awake.since[proxy] + self.told)
+        first = min(
+            self.awake.since[name]
+            for name in self.awake.since
+            if self.zone_of[name] == zone
+        )
+        return max(
+            max(self.alone[zone], first) + self.apart,
+            self.awake.since[proxy] + self.told,
+        )
 
     def reaches_another(self, proxy):
         """Whether any other zone can be reached from here, by way of others if need be: a part of a zone may be cut off
@@ -219,8 +303,12 @@
         while ahead:
             here = ahead.pop()
             for name in running:
-                if name not in seen and name not in paused and \
-                        f"{here} {name}" not in cut and f"{name} {here}" not in cut:
+                if (
+                    name not in seen
+                    and name not in paused
+                    and f"{here} {name}" not in cut
+                    and f"{name} {here}" not in cut
+                ):
                     if self.zone_of[name] != self.zone_of[proxy]:
                         return True
                     seen[name] = None
@@ -236,12 +324,23 @@
             if now - self.changed > self.agree and self.reaches_another(proxy):
                 self.once(now, f"{proxy} says that it is cut off, and is not")
         elif zone in self.alone and now > self.due(zone, proxy):
-            self.once(now, f"{proxy} says that its region is {region_state}, {now - self.alone[zone]:.0f} ms after it "
-                           f"was cut off")
-        if len(running) == len(self.zone_of) and not paused and not cut and now - self.changed > 2 * self.agree \
-                and fleet_state != "agreed":
-            self.once(now, f"{proxy} says that the fleet is {fleet_state}, {now - self.changed:.0f} ms after all was "
-                           f"well")
+            self.once(
+                now,
+                f"{proxy} says that its region is {region_state}, {now - self.alone[zone]:.0f} ms after it "
+                f"was cut off",
+            )
+        if (
+            len(running) == len(self.zone_of)
+            and not paused
+            and not cut
+            and now - self.changed > 2 * self.agree
+            and fleet_state != "agreed"
+        ):
+            self.once(
+                now,
+                f"{proxy} says that the fleet is {fleet_state}, {now - self.changed:.0f} ms after all was "
+                f"well",
+            )
 
     def once(self, now, what):
         key = what.split(",")[0]
@@ -261,7 +360,7 @@
         super().__init__(*args)
         self.shares = {}
         self.running = []
-        self.over = None        # since when the sum is over one
+        self.over = None  # since when the sum is over one
         self.largest = 0.0
 
     def on_host(self, now, name, state):
@@ -276,7 +375,9 @@
     def on_truth(self, now, running, paused, cut, **_):
         """Of what all have said since they were asked last."""
         self.running = running
-        self.shares = {name: share for name, share in self.shares.items() if name in running}
+        self.shares = {
+            name: share for name, share in self.shares.items() if name in running
+        }
         total = sum(self.shares.values())
         self.largest = max(self.largest, total)
         if total <= 1.001:
@@ -284,8 +385,13 @@
         elif self.over is None:
             self.over = now
         elif now - self.over > self.OVERLAP:
-            self.breach(now, f"shares sum to {total:.3f}: " + " ".join(
-                f"{name}={share:g}" for name, share in sorted(self.shares.items())))
+            self.breach(
+                now,
+                f"shares sum to {total:.3f}: "
+                + " ".join(
+                    f"{name}={share:g}" for name, share in sorted(self.shares.items())
+                ),
+            )
             self.over = float("inf")
 
 
@@ -298,10 +404,10 @@
     def __init__(self, *args, grace, within):
         super().__init__(*args)
         self.grace, self.within = grace, within
-        self.told = {}          # server -> {proxy that was told: when}
-        self.of = {}            # session -> its proxy
+        self.told = {}  # server -> {proxy that was told: when}
+        self.of = {}  # session -> its proxy
         self.awake = Awake()
-        self.fine = {}          # proxy -> since when it is awake and reaches all others
+        self.fine = {}  # proxy -> since when it is awake and reaches all others
         self.said = {}
 
     def on_told(self, now, proxy, server, health, stale=False):
@@ -326,7 +432,11 @@
     def on_truth(self, now, running, paused, cut, starting):
         self.awake.look(now, running, paused, starting)
         cut_off = dict.fromkeys(name for pair in cut for name in pair.split())
-        self.fine = {name: self.fine.get(name, now) for name in self.awake.since if name not in cut_off}
+        self.fine = {
+            name: self.fine.get(name, now)
+            for name in self.awake.since
+            if name not in cut_off
+        }
 
     def on_open(self, now, sess, proxy, **_):
         self.of[sess] = proxy
@@ -335,15 +445,26 @@
         proxy = self.of.get(sess)
         if proxy not in self.fine:
             return
-        known = [(max(when, self.fine[other]), other) for other, when in self.told.get(server, {}).items()
-                 if other != proxy and other in self.fine]
+        known = [
+            (max(when, self.fine[other]), other)
+            for other, when in self.told.get(server, {}).items()
+            if other != proxy and other in self.fine
+        ]
         if not known:
             return
         when, other = min(known)
         late = first - max(when, self.fine[proxy])
-        if late > self.grace + self.within + self.slack and (proxy, server) not in self.said:
+        if (
+            late > self.grace + self.within + self.slack
+            and (proxy, server) not in self.said
+        ):
             self.said[proxy, server] = now
-            self.breach(now, f"{proxy} dialled it {late:.0f} ms after {other} was told that it drains", sess, server)
+            self.breach(
+                now,
+                f"{proxy} dialled it {late:.0f} ms after {other} was told that it drains",
+                sess,
+                server,
+            )
 
 
 class Apart(Judge):
@@ -351,17 +472,23 @@
     suffers."""
 
     rule = "apart"
-    REASONS = {"cluster": "another cluster", "key": "another key", "version": "another version"}
+    REASONS = {
+        "cluster": "another cluster",
+        "key": "another key",
+        "version": "another version",
+    }
 
     def __init__(self, *args, odd, within):
         super().__init__(*args)
         self.odd = {item.on: item for item in odd}
         self.within = within
         self.awake = Awake()
-        self.seen = {}          # (odd one, reason) -> None, once others have dropped what it says
-        self.holders = {}       # name -> {proxy: since when it holds that name and is not alone}
+        self.seen = {}  # (odd one, reason) -> None, once others have dropped what it says
+        self.holders = {}  # name -> {proxy: since when it holds that name and is not alone}
         self.said = {}
-        self.nobody = {item.claims: 0.0 for item in odd if item.claims}     # name -> since when nobody holds it
+        self.nobody = {
+            item.claims: 0.0 for item in odd if item.claims
+        }  # name -> since when nobody holds it
 
     def on_host(self, now, name, state):
         """The next process of its name holds nothing yet, and one that stood still may say what holds no more."""
@@ -372,17 +499,26 @@
     def on_truth(self, now, running, paused, cut, starting):
         self.awake.look(now, running, paused, starting)
         for name in self.nobody:
-            since = [self.awake.since[proxy] for proxy in self.claims(name) if proxy in self.awake.since]
+            since = [
+                self.awake.since[proxy]
+                for proxy in self.claims(name)
+                if proxy in self.awake.since
+            ]
             if self.holders.get(name) or not since:
                 self.nobody[name] = now
             elif now - max(self.nobody[name], min(since)) > self.within:
-                self.once(now, f"nobody holds the name {name}, which a running one claims")
+                self.once(
+                    now, f"nobody holds the name {name}, which a running one claims"
+                )
         for holders in self.holders.values():
             for proxy in [proxy for proxy in holders if proxy not in running]:
                 del holders[proxy]
 
     def claims(self, name):
-        return [name, *(proxy for proxy, item in self.odd.items() if item.claims == name)]
+        return [
+            name,
+            *(proxy for proxy, item in self.odd.items() if item.claims == name),
+        ]
 
     def on_believes(self, now, proxy, name, alone, dropped, members, **_):
         if proxy not in self.awake.since:
@@ -395,7 +531,11 @@
             holders.setdefault(proxy, now)
         if len(holders) > 1 and now - sorted(holders.values())[1] > self.within:
             self.once(now, f"{' and '.join(sorted(holders))} hold the name {name}")
-        if odd is not None and not odd.claims and (odd.cluster or odd.key or odd.version):
+        if (
+            odd is not None
+            and not odd.claims
+            and (odd.cluster or odd.key or odd.version)
+        ):
             for other, state in members.items():
                 if other != name:
                     self.once(now, f"{proxy} knows {other}")
@@ -416,7 +556,9 @@
         for name, item in self.odd.items():
             for field, reason in self.REASONS.items():
                 if getattr(item, field) and (name, reason) not in self.seen:
-                    self.breach(now, f"nobody has dropped what {name} says as of {reason}")
+                    self.breach(
+                        now, f"nobody has dropped what {name} says as of {reason}"
+                    )
 
 
 class Effects(Judge):
@@ -439,7 +581,7 @@
         self.running, self.paused, self.cut = [], [], []
         self.changed = None
         self.digests = {}
-        self.deaths = {}        # name -> (when, {who says so: when})
+        self.deaths = {}  # name -> (when, {who says so: when})
         self.found = {"agreed": [], "first": [], "all": []}
 
     def on_truth(self, now, running, paused, cut, starting):
@@ -460,20 +602,30 @@
         if self.changed is None or self.paused or self.cut:
             return
         self.digests[proxy] = digest
-        if all(name in self.digests for name in self.running) and \
-                len(dict.fromkeys(self.digests[name] for name in self.running)) == 1:
+        if (
+            all(name in self.digests for name in self.running)
+            and len(dict.fromkeys(self.digests[name] for name in self.running)) == 1
+        ):
             self.found["agreed"].append(round(now - self.changed))
             self.changed = None
 
     def on_log(self, now, node, event, **fields):
-        if event != "peer" or fields["state"] != "dead" or fields["peer"] not in self.deaths:
+        if (
+            event != "peer"
+            or fields["state"] != "dead"
+            or fields["peer"] not in self.deaths
+        ):
             return
         when, told = self.deaths[fields["peer"]]
         if not told:
             self.found["first"].append(round(now - when))
         told.setdefault(node, now)
         # Who was not awake when it happened has nothing to find out.
-        here = [name for name, since in self.awake.since.items() if since <= when and name not in self.deaths]
+        here = [
+            name
+            for name, since in self.awake.since.items()
+            if since <= when and name not in self.deaths
+        ]
         if all(name in told for name in here):
             self.found["all"].append(round(now - when))
             del self.deaths[fields["peer"]]
