--- a/wheathill/lab/judging/judges.py
+++ b/wheathill/lab/judging/judges.py
@@ -10,19 +10,37 @@
 
 class Breach:
     def __init__(self, rule, now, what, sess=None, server=None, last=()):
-        self.rule, self.now, self.what, self.sess, self.server = rule, now, what, sess, server
+        self.rule, self.now, self.what, self.sess, self.server = (
+            rule,
+            now,
+            what,
+            sess,
+            server,
+        )
         self.last = list(last)
 
     def __str__(self):
-        where = " ".join(filter(None, (self.sess and f"session {self.sess}", self.server)))
+        where = " ".join(
+            filter(None, (self.sess and f"session {self.sess}", self.server))
+        )
         return f"rule {self.rule} at {self.now:.1f} ms, {where}: {self.what}"
 
     def told(self):
-        last = [f"{now:.1f} {kind} " + " ".join(
-                    f"{key}={value}" for key, value in fields.items() if key != "sess")
-                for now, kind, fields in self.last]
-        return {"rule": self.rule, "ms": self.now, "what": self.what, "sess": self.sess,
-                "server": self.server, "last": last}
+        last = [
+            f"{now:.1f} {kind} "
+            + " ".join(
+                f"{key}={value}" for key, value in fields.items() if key != "sess"
+            )
+            for now, kind, fields in self.last
+        ]
+        return {
+            "rule": self.rule,
+            "ms": self.now,
+            "what": self.what,
+            "sess": self.sess,
+            "server": self.server,
+            "last": last,
+        }
 
 
 class Judge:
@@ -34,7 +52,9 @@
         self.slack = slack
 
     def breach(self, now, what, sess=None, server=None):
-        self.breaches.append(Breach(self.rule, now, what, sess, server, self.histories.get(sess, ())))
+        self.breaches.append(
+            Breach(self.rule, now, what, sess, server, self.histories.get(sess, ()))
+        )
 
     def see(self, now, kind, fields):
         handler = getattr(self, "on_" + kind.replace(" ", "_"), None)
@@ -53,15 +73,22 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.open = {}          # session -> what is known of it
-        self.receipts = {}      # session -> receipts that servers made for it
-        self.ends = {}          # session -> when its server ended it
-        self.down = {}          # proxies and servers that are gone, silent or paused -> since when
-        self.anew = {}          # servers -> when they last started: what was open there before is lost
+        self.open = {}  # session -> what is known of it
+        self.receipts = {}  # session -> receipts that servers made for it
+        self.ends = {}  # session -> when its server ended it
+        self.down = {}  # proxies and servers that are gone, silent or paused -> since when
+        self.anew = {}  # servers -> when they last started: what was open there before is lost
 
     def on_open(self, now, sess, proxy, deadline, mid, **_):
-        self.open[sess] = {"at": now, "until": now + deadline + self.slack, "proxy": proxy, "answer": None,
-                           "mid": mid, "over": False, "stopped": False}
+        self.open[sess] = {
+            "at": now,
+            "until": now + deadline + self.slack,
+            "proxy": proxy,
+            "answer": None,
+            "mid": mid,
+            "over": False,
+            "stopped": False,
+        }
         self.ends.pop(sess, None)
 
     def on_line_out(self, now, sess):
@@ -75,7 +102,11 @@
             if since is not None and state == "up":
                 # Whose time ended while its proxy stood still can't be answered in time; but UP is never late.
                 for known in self.open.values():
-                    if known["proxy"] == name and known["answer"] is None and since < known["until"] < now + 500.0:
+                    if (
+                        known["proxy"] == name
+                        and known["answer"] is None
+                        and since < known["until"] < now + 500.0
+                    ):
                         known["stopped"] = True
         else:
             self.down[name] = now
@@ -103,10 +134,18 @@
     def on_answer(self, now, sess, word, rest):
         known = self.open[sess]
         if known["answer"] is not None:
-            return self.breach(now, f"a second answer, {word}, after {known['answer']}", sess)
+            return self.breach(
+                now, f"a second answer, {word}, after {known['answer']}", sess
+            )
         known["answer"] = word
-        if now > known["until"] and (word == "UP" and known["stopped"] or not self.excused(known)):
-            self.breach(now, f"{word} came {now - known['until']:.0f} ms after the dial timeout", sess)
+        if now > known["until"] and (
+            word == "UP" and known["stopped"] or not self.excused(known)
+        ):
+            self.breach(
+                now,
+                f"{word} came {now - known['until']:.0f} ms after the dial timeout",
+                sess,
+            )
         if word == "UP":
             if rest not in self.receipts.get(sess, {}):
                 self.breach(now, f"UP {rest}, which no server gave for it", sess)
@@ -124,8 +163,11 @@
     def on_cut(self, now, sess, how):
         known = self.open[sess]
         server = known["server"]
-        lost = server in self.down or known["up"] <= self.anew.get(server, -1.0) or \
-            server in self.ends.get(sess, {})
+        lost = (
+            server in self.down
+            or known["up"] <= self.anew.get(server, -1.0)
+            or server in self.ends.get(sess, {})
+        )
         if not self.excused(known) and not lost:
             self.breach(now, f"cut off without MOVE while {server} holds it", sess)
         known["over"] = True
@@ -144,7 +186,11 @@
 
     def close(self, now):
         for sess, known in self.open.items():
-            if known["answer"] is None and now > known["until"] and not self.excused(known):
+            if (
+                known["answer"] is None
+                and now > known["until"]
+                and not self.excused(known)
+            ):
                 self.breach(known["until"], "no answer before the dial timeout", sess)
 
 
@@ -158,10 +204,10 @@
     def __init__(self, *args, repeats):
         super().__init__(*args)
         self.repeats = repeats
-        self.listeners = {}     # session -> listener
-        self.out = {}           # session -> {server: since}
-        self.past = {}          # session -> {server: how its dial there ended, None while it has not}
-        self.ran = {}           # session -> [(when, server)]
+        self.listeners = {}  # session -> listener
+        self.out = {}  # session -> {server: since}
+        self.past = {}  # session -> {server: how its dial there ended, None while it has not}
+        self.ran = {}  # session -> [(when, server)]
 
     def on_open(self, now, sess, listener, mid, **_):
         # Packets of an open connection run nothing anew.
@@ -175,8 +221,12 @@
             if self.repeat(sess)[0] == "once-only":
                 for other, how in past.items():
                     if how != "answered BUSY":
-                        self.breach(now, f"dialled again, once-only, though the dial at {other} may have run",
-                                    sess, server)
+                        self.breach(
+                            now,
+                            f"dialled again, once-only, though the dial at {other} may have run",
+                            sess,
+                            server,
+                        )
             past[server] = None
         out = self.out.setdefault(sess, {})
         for other, since in out.items():
@@ -192,7 +242,9 @@
             self.past[sess][server] = how
         dial = self.out.get(sess, {}).pop(server, None)
         if dial is not None and dial[1] is not None and now - dial[1] > self.slack:
-            self.breach(now, f"two dials out at once for {now - dial[1]:.0f} ms", sess, server)
+            self.breach(
+                now, f"two dials out at once for {now - dial[1]:.0f} ms", sess, server
+            )
 
     def on_fell_over(self, now, server, **_):
         self.lose(server)
@@ -210,23 +262,42 @@
         ran = self.ran.setdefault(sess, [])
         repeat, scope, window = self.repeat(sess)
         if ran and repeat == "once-only":
-            self.breach(now, f"ran at {ran[0][1]} and again at {server}, once-only", sess, server)
+            self.breach(
+                now,
+                f"ran at {ran[0][1]} and again at {server}, once-only",
+                sess,
+                server,
+            )
         elif ran and repeat == "referenced" and not copy:
-            self.breach(now, f"ran at {ran[0][1]} and again at {server}, outside its group or window", sess,
-                        server)
+            self.breach(
+                now,
+                f"ran at {ran[0][1]} and again at {server}, outside its group or window",
+                sess,
+                server,
+            )
         ran.append((now, server))
 
     def on_answer(self, now, sess, word, rest):
         repeat, scope, _ = self.repeat(sess)
-        if word == "BUSY" and self.ran.get(sess) and \
-                (repeat == "once-only" or repeat == "referenced" and scope != "all"):
-            self.breach(now, f"refused although it ran at {self.ran[sess][-1][1]}", sess)
+        if (
+            word == "BUSY"
+            and self.ran.get(sess)
+            and (repeat == "once-only" or repeat == "referenced" and scope != "all")
+        ):
+            self.breach(
+                now, f"refused although it ran at {self.ran[sess][-1][1]}", sess
+            )
 
     def close(self, now):
         for sess, out in self.out.items():
             for server, (_, since) in out.items():
                 if since is not None and now - since > self.slack:
-                    self.breach(now, f"two dials out at once, the one at {server} to the end", sess, server)
+                    self.breach(
+                        now,
+                        f"two dials out at once, the one at {server} to the end",
+                        sess,
+                        server,
+                    )
 
 
 class Drains(Judge):
@@ -238,9 +309,9 @@
         super().__init__(*args)
         self.grace = grace
         self.gone_binds = gone_binds
-        self.proxies = {}       # session -> its proxy
-        self.told = {}          # (proxy, server) -> when
-        self.held = {}          # the same, by an operator's call
+        self.proxies = {}  # session -> its proxy
+        self.told = {}  # (proxy, server) -> when
+        self.held = {}  # the same, by an operator's call
 
     def on_open(self, now, sess, proxy, mid, **_):
         self.proxies[sess] = proxy
@@ -269,8 +340,12 @@
         known = self.told.get((proxy, server)), self.held.get((proxy, server))
         told = min((when for when in known if when is not None), default=None)
         if told is not None and first > told + self.grace + self.slack:
-            self.breach(now, f"{proxy} dialled it {first - told:.0f} ms after it was told that it leaves",
-                        sess, server)
+            self.breach(
+                now,
+                f"{proxy} dialled it {first - told:.0f} ms after it was told that it leaves",
+                sess,
+                server,
+            )
 
 
 class ColdServers(Judge):
@@ -285,14 +360,16 @@
     def __init__(self, *args, multiple, window, proxies):
         super().__init__(*args)
         self.multiple, self.window, self.proxies = multiple, window, proxies
-        self.born = {}          # server -> (when, holds, share at the start, warm-up)
+        self.born = {}  # server -> (when, holds, share at the start, warm-up)
         self.dials = {}
         self.quiet = {}
-        self.largest = 0.0      # multiple of what a server bears, of dials that reached it in a window
-        self.over = None        # the most dials in a window above what chance may add, below 0 if under; None: no dial
-        self.knows = {}         # (proxy, server) of the present start -> None
-        self.of = {}            # session -> proxy
-        self.blind = {}         # server -> when it was last dialled by a proxy that wasn't told
+        self.largest = (
+            0.0  # multiple of what a server bears, of dials that reached it in a window
+        )
+        self.over = None  # the most dials in a window above what chance may add, below 0 if under; None: no dial
+        self.knows = {}  # (proxy, server) of the present start -> None
+        self.of = {}  # session -> proxy
+        self.blind = {}  # server -> when it was last dialled by a proxy that wasn't told
 
     def on_cold(self, now, server, holds, warm_from, warm):
         self.born[server] = now, holds, warm_from, warm
@@ -302,9 +379,16 @@
 
     def on_fell_over(self, now, server, why, **_):
         # What it bears is its own word: pushed over by proxies that all knew that it is cold, whatever was counted.
-        if why.startswith("cold") and self.blind.get(server, -self.window) <= now - self.window:
-            self.breach(now, f"{why}, by {len(self.dials.get(server, ()))} dials within {self.window:.0f} ms of proxies "
-                             "that were told", server=server)
+        if (
+            why.startswith("cold")
+            and self.blind.get(server, -self.window) <= now - self.window
+        ):
+            self.breach(
+                now,
+                f"{why}, by {len(self.dials.get(server, ()))} dials within {self.window:.0f} ms of proxies "
+                "that were told",
+                server=server,
+            )
 
     def on_told_start(self, now, proxy, server):
         self.knows[proxy, server] = None
@@ -334,9 +418,13 @@
         over = len(dials) - self.multiple * bears - chance
         self.over = over if self.over is None else max(self.over, over)
         if len(dials) > allowed and now >= self.quiet.get(server, 0.0):
-            self.quiet[server] = now + self.window      # once for each time it is flooded
-            self.breach(now, f"{len(dials)} dials within {self.window:.0f} ms, {allowed:.1f} allowed", sess,
-                        server)
+            self.quiet[server] = now + self.window  # once for each time it is flooded
+            self.breach(
+                now,
+                f"{len(dials)} dials within {self.window:.0f} ms, {allowed:.1f} allowed",
+                sess,
+                server,
+            )
 
 
 class BudgetOfDials(Judge):
@@ -349,10 +437,10 @@
     def __init__(self, *args, free, share, span):
         super().__init__(*args)
         self.free, self.share, self.span = free, share, span
-        self.of = {}            # session -> its proxy
-        self.past = {}          # session -> dials seen
-        self.taken = {}         # proxy -> when, of sessions
-        self.further = {}       # proxy -> when, of dials
+        self.of = {}  # session -> its proxy
+        self.past = {}  # session -> dials seen
+        self.taken = {}  # proxy -> when, of sessions
+        self.further = {}  # proxy -> when, of dials
 
     def on_open(self, now, sess, proxy, **_):
         if self.of.get(sess) != proxy:
@@ -382,8 +470,13 @@
             taken.popleft()
         allowed = self.free + self.share * len(taken)
         if len(further) > allowed:
-            self.breach(now, f"{len(further)} further dials of {proxy} within {self.span:.0f} ms, "
-                             f"{allowed:.1f} allowed", sess, server)
+            self.breach(
+                now,
+                f"{len(further)} further dials of {proxy} within {self.span:.0f} ms, "
+                f"{allowed:.1f} allowed",
+                sess,
+                server,
+            )
 
 
 class Faults(Judge):
@@ -393,15 +486,21 @@
 
     def on_log(self, now, event, **fields):
         if event == "fault":
-            self.breach(now, f"{fields.get('node')}: {fields.get('where')} {fields.get('what')} "
-                             f"{fields.get('line', '')}")
+            self.breach(
+                now,
+                f"{fields.get('node')}: {fields.get('where')} {fields.get('what')} "
+                f"{fields.get('line', '')}",
+            )
 
     def on_syntax(self, now, server):
         self.breach(now, "a line that no client sent", server=server)
 
     def on_call(self, now, proxy, status, took):
         if status != "200" or took > 1000.0:
-            self.breach(now, f"an operator's call at {proxy}: {status or 'no answer'} after {took:.0f} ms")
+            self.breach(
+                now,
+                f"an operator's call at {proxy}: {status or 'no answer'} after {took:.0f} ms",
+            )
 
     def on_over_memory(self, now, proxy, mb):
         self.breach(now, f"{proxy} holds {mb} MB, more than it may")
@@ -410,17 +509,36 @@
         self.breach(now, f"{proxy} ended by itself with {code}")
 
 
-def judge(events, now, *, slack, repeats, grace, multiple, window, proxies, budget=None, gone_binds=True,
-          kept=8, more=()):
+def judge(
+    events,
+    now,
+    *,
+    slack,
+    repeats,
+    grace,
+    multiple,
+    window,
+    proxies,
+    budget=None,
+    gone_binds=True,
+    kept=8,
+    more=(),
+):
     """All breaches of a run that ended at `now`, in order of time. `budget`: (free, share, span in ms). `more`:
     makes further judges, of what they all share."""
     breaches, histories = [], {}
     common = breaches, histories, slack
-    judges = [OneAnswer(*common), NoEffectTwice(*common, repeats=repeats),
-              Drains(*common, grace=grace, gone_binds=gone_binds),
-              ColdServers(*common, multiple=multiple, window=window, proxies=proxies), Faults(*common)]
+    judges = [
+        OneAnswer(*common),
+        NoEffectTwice(*common, repeats=repeats),
+        Drains(*common, grace=grace, gone_binds=gone_binds),
+        ColdServers(*common, multiple=multiple, window=window, proxies=proxies),
+        Faults(*common),
+    ]
     if budget is not None:
-        judges.append(BudgetOfDials(*common, **dict(zip(("free", "share", "span"), budget))))
+        judges.append(
+            BudgetOfDials(*common, **dict(zip(("free", "share", "span"), budget)))
+        )
     judges += [make(*common) for make in more]
     for event in events:
         sess = event[2].get("sess")
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -36,12 +36,18 @@
 class DialsTwiceAtOnce(Proxy):
     def connect(self, client, server, time_out):
         super().connect(client, server, time_out)
-        other = next((each for each in self.balancer.roster.servers if each is not server), None)
+        other = next(
+            (each for each in self.balancer.roster.servers if each is not server), None
+        )
         if other is not None:
             second = Dialled(client, other, self, self.limits, self.clock)
             second.tell_over = lambda outcome: None
             second.address = self.addresses[other]
-            second.start(self.carrier.connect(second, second.address), time_out, self.limits.connect)
+            second.start(
+                self.carrier.connect(second, second.address),
+                time_out,
+                self.limits.connect,
+            )
 
 
 class DialsDrained(Proxy):
@@ -89,7 +95,9 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.placement.usable = lambda now, sess, server: server.phase is Phase.READY
+        self.balancer.placement.usable = lambda now, sess, server: (
+            server.phase is Phase.READY
+        )
 
     def may_send(self, dial):
         return dial.server.phase is Phase.READY
@@ -120,7 +128,9 @@
     def __init__(self, *args):
         super().__init__(*args)
         count = self.balancer.budget.dialled
-        self.balancer.budget.dialled = lambda now, sess: sess.mid_flow or count(now, sess)
+        self.balancer.budget.dialled = lambda now, sess: (
+            sess.mid_flow or count(now, sess)
+        )
 
 
 class Hides(Proxy):
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -20,7 +20,8 @@
 def forgets_who_is_cut_off():
     told = Facts.member
     Facts.member = lambda self, now, name, birth, state, certain: told(
-        self, now, name, birth, state, certain or state == DEAD)
+        self, now, name, birth, state, certain or state == DEAD
+    )
 
 
 def rumour_beats_own_sight():
@@ -34,13 +35,15 @@
 def never_denies():
     def hear_of_me(self, now, state, address, incarnation, birth, by):
         pass
+
     Membership.hear_of_me = hear_of_me
 
 
 def keeps_its_birth():
     begin = Peers.__init__
     Peers.__init__ = lambda self, told, proxy, carrier, clock, log, birth, meant: begin(
-        self, told, proxy, carrier, clock, log, sum(told.name.encode()), meant)
+        self, told, proxy, carrier, clock, log, sum(told.name.encode()), meant
+    )
 
 
 def buries_who_stands_still():
@@ -56,9 +59,12 @@
 
     def only_alive(self, now):
         kept = self.members
-        self.members = {name: member for name, member in kept.items() if member.state != DEAD}
+        self.members = {
+            name: member for name, member in kept.items() if member.state != DEAD
+        }
         sync(self, now)
         self.members = {**kept, **self.members}
+
     Membership.sync = only_alive
 
 
@@ -73,7 +79,9 @@
 
 def goes_past_any_other():
     """Of its name, whoever holds it."""
-    Membership.contest = lambda self, now, address, incarnation, birth: self.go_past(incarnation)
+    Membership.contest = lambda self, now, address, incarnation, birth: self.go_past(
+        incarnation
+    )
 
 
 def takes_its_zone_for_all():
@@ -86,6 +94,7 @@
     def within(self):
         self.abroad = {}
         tell_on(self)
+
     ZonedPeers.tell_on = within
     ZonedPeers.ask_difference = lambda self, now, address: None
 
@@ -94,11 +103,25 @@
     Zones.out_of_reach = lambda self, now: []
 
 
-MUTANTS = {call.__name__.replace("_", "-"): call for call in (
-    counts_only_the_alive, forgets_who_is_cut_off, rumour_beats_own_sight, never_denies, keeps_its_birth,
-    buries_who_stands_still, takes_no_successor, never_asks_the_dead, keeps_drains_to_itself,
-    own_list_undoes_drains, goes_past_any_other, takes_its_zone_for_all, keeps_news_in_its_zone,
-    holds_on_to_a_zone_that_is_cut_off)}
+MUTANTS = {
+    call.__name__.replace("_", "-"): call
+    for call in (
+        counts_only_the_alive,
+        forgets_who_is_cut_off,
+        rumour_beats_own_sight,
+        never_denies,
+        keeps_its_birth,
+        buries_who_stands_still,
+        takes_no_successor,
+        never_asks_the_dead,
+        keeps_drains_to_itself,
+        own_list_undoes_drains,
+        goes_past_any_other,
+        takes_its_zone_for_all,
+        keeps_news_in_its_zone,
+        holds_on_to_a_zone_that_is_cut_off,
+    )
+}
 
 
 def goes_by_the_file():
@@ -112,7 +135,11 @@
     Seal.VERSION += 1
 
 
-VARIANTS = {**MUTANTS, "goes-by-the-file": goes_by_the_file, "speaks-another-version": speaks_another_version}
+VARIANTS = {
+    **MUTANTS,
+    "goes-by-the-file": goes_by_the_file,
+    "speaks-another-version": speaks_another_version,
+}
 
 
 def program(name):
--- a/wheathill/lab/judging/service.py
+++ b/wheathill/lab/judging/service.py
@@ -46,7 +46,12 @@
     """(when the first of a group began, when the last of it was over or its last proxy had started)."""
     groups = []
     for now, kind, fields in events:
-        if kind in ("event", "event over") or kind == "host" and fields["state"] == "up" and groups:
+        if (
+            kind in ("event", "event over")
+            or kind == "host"
+            and fields["state"] == "up"
+            and groups
+        ):
             if groups and now - groups[-1][1] < QUIET:
                 groups[-1][1] = now
             elif kind == "event":
@@ -72,8 +77,16 @@
         before = served.share(start - SECOND, start)
         if before is None or last - end < SECOND + STAYS:
             continue
-        found.append({"from_ms": round(start), "over_ms": round(end), "share": round(before, 4),
-                      "back_ms": served.back(end, last, before),
-                      "listeners": {name: each.back(end, last, each.share(start - SECOND, start) or 0.0)
-                                    for name, each in sorted(by_listener.items())}})
+        found.append(
+            {
+                "from_ms": round(start),
+                "over_ms": round(end),
+                "share": round(before, 4),
+                "back_ms": served.back(end, last, before),
+                "listeners": {
+                    name: each.back(end, last, each.share(start - SECOND, start) or 0.0)
+                    for name, each in sorted(by_listener.items())
+                },
+            }
+        )
     return found
--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -19,16 +19,32 @@
 from wheathill.net.lines import END
 from wheathill.net.machine import Machine
 
-LIMITS = SimpleNamespace(line=8192, read=65536, sockets=1_000_000, spare_sockets=0, backlog=4096, accepts=64,
-                         accept_pause=10.0, keep_alive=600_000.0, linger=1000.0, buffer=65536)
-EVERY = 1.0                 # between two looks at what is due, ms
-AT_A_LOOK = 256             # lines written before what came is read
-SIGNIFICANT = 3             # digits of a latency
+LIMITS = SimpleNamespace(
+    line=8192,
+    read=65536,
+    sockets=1_000_000,
+    spare_sockets=0,
+    backlog=4096,
+    accepts=64,
+    accept_pause=10.0,
+    keep_alive=600_000.0,
+    linger=1000.0,
+    buffer=65536,
+)
+EVERY = 1.0  # between two looks at what is due, ms
+AT_A_LOOK = 256  # lines written before what came is read
+SIGNIFICANT = 3  # digits of a latency
 # How a session may end, and which of them are its server's to do: at its first line, and instead of UP.
 SERVERS_ENDS = ("by_bye", "by_server_reset")
 UNANSWERED = ("by_busy", "by_err", "by_leaving")
 # Where many fail the proxy takes few in: one in 26 does.
-WAYS = (*SERVERS_ENDS, *UNANSWERED, "by_nonsense", "by_looking", *15 * ("by_bye", "by_finishing", "by_client_reset"))
+WAYS = (
+    *SERVERS_ENDS,
+    *UNANSWERED,
+    "by_nonsense",
+    "by_looking",
+    *15 * ("by_bye", "by_finishing", "by_client_reset"),
+)
 
 
 class Served(Machine):
@@ -50,7 +66,9 @@
             elif line.startswith(b"OPEN "):
                 self.open = True
                 key = line.split(b" ")[2]
-                self.way = key.partition(b"-")[0].decode() if key.startswith(b"by_") else ""
+                self.way = (
+                    key.partition(b"-")[0].decode() if key.startswith(b"by_") else ""
+                )
                 if self.way in UNANSWERED:
                     return self.end_it(self.way)
                 self.door.served[self] = None
@@ -100,9 +118,22 @@
 
     def connected(self):
         self.tries += 1
-        group = b",g=t%d" % (self.number % self.door.groups) if self.door.groups else b""
-        self.wire.send(b"OPEN %s-%d-%d k%s-%d c=any,d=%d%s" % (
-            self.door.name, self.number, self.tries, self.door.name, self.number, self.door.patience, group), END)
+        group = (
+            b",g=t%d" % (self.number % self.door.groups) if self.door.groups else b""
+        )
+        self.wire.send(
+            b"OPEN %s-%d-%d k%s-%d c=any,d=%d%s"
+            % (
+                self.door.name,
+                self.number,
+                self.tries,
+                self.door.name,
+                self.number,
+                self.door.patience,
+                group,
+            ),
+            END,
+        )
 
     def received(self, data):
         self.lines.feed(data)
@@ -161,8 +192,11 @@
             return self.wire.send(b"PING", END)
         if self.way == "by_nonsense":
             return self.wire.send(b"WHAT", END)
-        self.wire.send(b"OPEN %s-%d %s-%d c=any,d=2000" % (
-            self.door.name, self.number, self.way.encode(), self.number), END)
+        self.wire.send(
+            b"OPEN %s-%d %s-%d c=any,d=2000"
+            % (self.door.name, self.number, self.way.encode(), self.number),
+            END,
+        )
         if self.way == "by_leaving":
             self.set_timer(20.0, self.leave)
 
@@ -221,8 +255,14 @@
         self.up[caller] = None
         if self.awaited and len(self.up) >= self.awaited[0]:
             (_, since), self.awaited = self.awaited, None
-            self.say({"up": len(self.up), "after_ms": self.clock.now() - since, "counts": self.counts,
-                      "ms": quantiles([round(ms * 1e6) for ms in self.ups])})
+            self.say(
+                {
+                    "up": len(self.up),
+                    "after_ms": self.clock.now() - since,
+                    "counts": self.counts,
+                    "ms": quantiles([round(ms * 1e6) for ms in self.ups]),
+                }
+            )
 
     awaited = None
     over = 2000.0
@@ -230,8 +270,12 @@
     # Commands
 
     def do_serve(self, doors, host):
-        self.doors = [self.carrier.listen(lambda wire: self.served_at(wire), (host, 0), lambda: True)
-                      for _ in range(doors)]
+        self.doors = [
+            self.carrier.listen(
+                lambda wire: self.served_at(wire), (host, 0), lambda: True
+            )
+            for _ in range(doors)
+        ]
         return {"at": [door.sock.getsockname() for door in self.doors]}
 
     def served_at(self, wire):
@@ -256,13 +300,25 @@
     def do_deliver(self, rate, seconds, seed):
         """Lines at `rate` a second to clients drawn at random; answers when the last is written."""
         machines, draw = list(self.served), random.Random(seed).choices
-        self.open_load(rate, seconds, lambda due: b"D %d" % due, iter(draw(machines, k=int(rate * seconds) + 1)))
+        self.open_load(
+            rate,
+            seconds,
+            lambda due: b"D %d" % due,
+            iter(draw(machines, k=int(rate * seconds) + 1)),
+        )
 
     def do_ask(self, every, seconds):
         """A line from each client every so many seconds, evenly spread; its server echoes it."""
         callers = list(self.up)
-        self.open_load(len(callers) / every, seconds, lambda due: b"Q %d" % due,
-                       (callers[place % len(callers)] for place in range(int(len(callers) / every * seconds) + 1)))
+        self.open_load(
+            len(callers) / every,
+            seconds,
+            lambda due: b"Q %d" % due,
+            (
+                callers[place % len(callers)]
+                for place in range(int(len(callers) / every * seconds) + 1)
+            ),
+        )
 
     def open_load(self, rate, seconds, line, to):
         start, self.worst, written = time.monotonic_ns(), 0.0, 0
@@ -280,12 +336,18 @@
                 machine.wire.send(line(due), END)
                 written += 1
             if written >= count:
-                self.say({"written": written, "behind_ms": self.worst,
-                          "seconds": (time.monotonic_ns() - start) / 1e9})
+                self.say(
+                    {
+                        "written": written,
+                        "behind_ms": self.worst,
+                        "seconds": (time.monotonic_ns() - start) / 1e9,
+                    }
+                )
             elif start + written * gap <= now:
                 self.loop.call_soon(look)
             else:
                 self.clock.after(EVERY, look)
+
         look()
 
     def do_come(self, proxy, count, rate, name, groups=0, seed=0):
@@ -329,8 +391,16 @@
     def do_back(self):
         """Answers as soon as all have lost their connection and are up again, with how long each took from the loss
         on, its own wait included."""
-        if len(self.up) == len(self.callers) <= self.counts["lost"] + self.counts["moved"]:
-            return {"up": len(self.up), "counts": self.counts, "ms": quantiles([round(ms * 1e6) for ms in self.ups])}
+        if (
+            len(self.up)
+            == len(self.callers)
+            <= self.counts["lost"] + self.counts["moved"]
+        ):
+            return {
+                "up": len(self.up),
+                "counts": self.counts,
+                "ms": quantiles([round(ms * 1e6) for ms in self.ups]),
+            }
         self.clock.after(20.0, self.do, "back", {})
 
     def do_stay_away(self):
@@ -339,13 +409,21 @@
 
     def do_took(self):
         """Latencies since the last time it was asked, of deliveries and of echoes."""
-        found = {"deliveries": quantiles(self.took[b"D"]), "echoes": quantiles(self.took[b"Q"]), "counts": self.counts}
+        found = {
+            "deliveries": quantiles(self.took[b"D"]),
+            "echoes": quantiles(self.took[b"Q"]),
+            "counts": self.counts,
+        }
         self.fresh()
         return found
 
     def do_count(self):
-        return {"up": len(self.up), "served": len(self.served), "held": len(self.held),
-                "processor_s": time.process_time()}
+        return {
+            "up": len(self.up),
+            "served": len(self.served),
+            "held": len(self.held),
+            "processor_s": time.process_time(),
+        }
 
     # The way to whoever started it
 
@@ -370,7 +448,8 @@
 def quantiles(took):
     """`took` in ns; ms at the usual places of an HDR histogram, and its counts for adding up."""
     from hdrh.histogram import HdrHistogram
-    histogram = HdrHistogram(1, 60_000_000, SIGNIFICANT)      # us
+
+    histogram = HdrHistogram(1, 60_000_000, SIGNIFICANT)  # us
     for ns in took:
         histogram.record_value(max(1, ns // 1000))
     return {"count": histogram.total_count, "encoded": histogram.encode().decode()}
@@ -379,17 +458,25 @@
 def merged(parts):
     """Quantiles, ms, of several processes' histograms together."""
     from hdrh.histogram import HdrHistogram
+
     whole = HdrHistogram(1, 60_000_000, SIGNIFICANT)
     for part in parts:
         whole.add(HdrHistogram.decode(part["encoded"].encode()))
-    return {"count": whole.total_count, **{f"p{name}": whole.get_value_at_percentile(at) / 1000 for name, at in (
-        ("50", 50.0), ("99", 99.0), ("99_9", 99.9), ("100", 100.0))}}
+    return {
+        "count": whole.total_count,
+        **{
+            f"p{name}": whole.get_value_at_percentile(at) / 1000
+            for name, at in (("50", 50.0), ("99", 99.0), ("99_9", 99.9), ("100", 100.0))
+        },
+    }
 
 
 def main():
     loop = asyncio.new_event_loop()
     asyncio.set_event_loop(loop)
-    loop.set_exception_handler(lambda _, context: (sys.stderr.write(repr(context) + "\n"), os._exit(3)))
+    loop.set_exception_handler(
+        lambda _, context: (sys.stderr.write(repr(context) + "\n"), os._exit(3))
+    )
     ends = Ends(loop)
     loop.add_reader(sys.stdin.fileno(), ends.told)
     loop.run_forever()
--- a/wheathill/lab/scale/fit.py
+++ b/wheathill/lab/scale/fit.py
@@ -4,8 +4,13 @@
 import math
 
 # In order of simplicity.
-FORMS = {"constant": lambda size: 0.0, "log": math.log, "linear": float, "square": lambda size: float(size) * size}
-NO_WORSE = 0.5          # a form that is less simple has to lower the residual to so much of the simpler one's
+FORMS = {
+    "constant": lambda size: 0.0,
+    "log": math.log,
+    "linear": float,
+    "square": lambda size: float(size) * size,
+}
+NO_WORSE = 0.5  # a form that is less simple has to lower the residual to so much of the simpler one's
 
 
 def evenly(figure):
@@ -25,11 +30,21 @@
         self.form, f = form, FORMS[form]
         rows = [(weight(y) ** 2, f(size), y) for size, y in points]
         whole = sum(w for w, _, _ in rows)
-        x_mean, y_mean = sum(w * x for w, x, _ in rows) / whole, sum(w * y for w, _, y in rows) / whole
+        x_mean, y_mean = (
+            sum(w * x for w, x, _ in rows) / whole,
+            sum(w * y for w, _, y in rows) / whole,
+        )
         spread = sum(w * (x - x_mean) ** 2 for w, x, _ in rows)
-        self.slope = sum(w * (x - x_mean) * (y - y_mean) for w, x, y in rows) / spread if spread else 0.0
+        self.slope = (
+            sum(w * (x - x_mean) * (y - y_mean) for w, x, y in rows) / spread
+            if spread
+            else 0.0
+        )
         self.base = y_mean - self.slope * x_mean
-        off = math.sqrt(sum(w * (self.base + self.slope * x - y) ** 2 for w, x, y in rows) / len(rows))
+        off = math.sqrt(
+            sum(w * (self.base + self.slope * x - y) ** 2 for w, x, y in rows)
+            / len(rows)
+        )
         scale = 1.0 if weight is relatively else abs(y_mean)
         self.residual = off / scale if scale else 0.0
 
@@ -37,14 +52,25 @@
         return self.base + self.slope * FORMS[self.form](size)
 
     def told(self):
-        return {"form": self.form, "base": self.base, "slope": self.slope, "residual": round(self.residual, 4)}
+        return {
+            "form": self.form,
+            "base": self.base,
+            "slope": self.slope,
+            "residual": round(self.residual, 4),
+        }
 
 
 def fits(points):
     """All forms, relatively, the one that fits best first; figures over 0, two points at the least. A form with a falling
     or negative line is no cost, and comes last."""
     found = [Fit(form, points, relatively) for form in FORMS]
-    return sorted(found, key=lambda fit: (fit.slope < 0 or fit.base < 0 and fit.at(points[0][0]) <= 0, fit.residual))
+    return sorted(
+        found,
+        key=lambda fit: (
+            fit.slope < 0 or fit.base < 0 and fit.at(points[0][0]) <= 0,
+            fit.residual,
+        ),
+    )
 
 
 def simplest(points, forms=tuple(FORMS)):
@@ -63,18 +89,33 @@
     if len(below) < 2:
         return None
     said = (simplest(below, forms) if len(below) > 2 else Fit("linear", below)).at(size)
-    return {"size": size, "predicted": said, "measured": figure, "error": (said - figure) / figure if figure else None}
+    return {
+        "size": size,
+        "predicted": said,
+        "measured": figure,
+        "error": (said - figure) / figure if figure else None,
+    }
 
 
 def grown(points, size, forms=tuple(FORMS)):
     """What a tool prints of a figure: its simplest fit, what that says of `size`, and how far the largest was off."""
     line = simplest(points, forms)
-    return {**line.told(), f"at {size}": line.at(size), "largest": predicted(points, forms)}
+    return {
+        **line.told(),
+        f"at {size}": line.at(size),
+        "largest": predicted(points, forms),
+    }
 
 
 def line_of(name, found, size):
     """What `grown` found, for people."""
     largest = found["largest"]
-    return f"    {name:34} {found['form']:8} {found['base']:.4g} + {found['slope']:.4g} x, residual " \
-           f"{100 * found['residual']:.0f}%, at {size}: {found[f'at {size}']:.4g}" + (
-               f"; largest predicted {largest['predicted']:.4g}, measured {largest['measured']:.4g}" if largest else "")
+    return (
+        f"    {name:34} {found['form']:8} {found['base']:.4g} + {found['slope']:.4g} x, residual "
+        f"{100 * found['residual']:.0f}%, at {size}: {found[f'at {size}']:.4g}"
+        + (
+            f"; largest predicted {largest['predicted']:.4g}, measured {largest['measured']:.4g}"
+            if largest
+            else ""
+        )
+    )
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -17,8 +17,8 @@
 import orjson
 
 # What a proxy without peers has loaded as well, and no more: `wheathill.peers` is imported once its cost can be told.
-import wheathill.cli        # noqa: F401
-import wheathill.daemon     # noqa: F401
+import wheathill.cli  # noqa: F401
+import wheathill.daemon  # noqa: F401
 from wheathill.config import operator
 from wheathill.lab.cast.sessionless import Sessionless
 from wheathill.lab.scale.layout import Layout
@@ -30,7 +30,7 @@
 from wheathill.net.log import Log
 from wheathill.net.proxy import Proxy
 
-FRESH = 500.0       # ms since a server was last heard, where the proxy sees it
+FRESH = 500.0  # ms since a server was last heard, where the proxy sees it
 
 
 class StretchedClock(Clock):
@@ -98,6 +98,7 @@
 
     def __init__(self, layout):
         from wheathill.peers.links import Peer
+
         self.layout, self.peer = layout, Peer
 
     def get(self, address, default=None):
@@ -112,11 +113,26 @@
     """The instance of member `number`, not yet started, knows all of `numbers`; `full`: as `Hollow.start`."""
     log, now = peers.log_event, peers.clock.now()
     peers.look = peers.log_event = lambda *_, **__: None
-    others = [other for other in numbers if other != number and (
-        not layout.zoned or layout.zone(other) == layout.zone(number))]
+    others = [
+        other
+        for other in numbers
+        if other != number
+        and (not layout.zoned or layout.zone(other) == layout.zone(number))
+    ]
     for other in others:
-        peers.membership.hear(now, [["alive", layout.name(other), layout.address(other), 0,
-                                     layout.birth(other, 1), layout.name(other)]])
+        peers.membership.hear(
+            now,
+            [
+                [
+                    "alive",
+                    layout.name(other),
+                    layout.address(other),
+                    0,
+                    layout.birth(other, 1),
+                    layout.name(other),
+                ]
+            ],
+        )
     del peers.look
     peers.links.peers = Acquainted(layout)
     if full:
@@ -146,22 +162,34 @@
         self.starts = 0
         self.peers = None
         self.share = 0.0
-        self.told = {}      # server -> (when, content) as first told
+        self.told = {}  # server -> (when, content) as first told
         self.began = 0.0
 
     def start(self, wait=0.0, together=None, full=False):
         """`wait`: ms until it says anything; `together`: numbers of all members where it is to know them from the start,
         else None; `full`: also all that its links would hold of them after a while."""
         from wheathill.peers import instance_of
+
         crew, layout = self.crew, self.crew.layout
         told = layout.told(self.number)
         self.starts += 1
         self.told = {}
         self.clock = StretchedClock(crew.loop, crew.clock.rate)
         self.began = self.clock.now()
-        self.carrier = ShapedCarrier(crew.carrier, crew.shape, self.number) if crew.shape else crew.carrier
-        peers = self.peers = instance_of(told)(told, StandIn(self, crew.servers), self.carrier, self.clock, self.log,
-                                               layout.birth(self.number, self.starts), layout.members)
+        self.carrier = (
+            ShapedCarrier(crew.carrier, crew.shape, self.number)
+            if crew.shape
+            else crew.carrier
+        )
+        peers = self.peers = instance_of(told)(
+            told,
+            StandIn(self, crew.servers),
+            self.carrier,
+            self.clock,
+            self.log,
+            layout.birth(self.number, self.starts),
+            layout.members,
+        )
         for change in range(layout.changes):
             peers.on_entry(f"change-{change}", Phase.READY, 0.0)
         if together:
@@ -189,7 +217,9 @@
         # A process that died may still be told by what was on its way within this call.
         if share != self.share and (self.peers is not None or not share):
             tick = round(now)
-            self.crew.shares[tick] = self.crew.shares.get(tick, 0.0) + share - self.share
+            self.crew.shares[tick] = (
+                self.crew.shares.get(tick, 0.0) + share - self.share
+            )
             self.share = share
 
     def told_of(self, server, phase, born):
@@ -202,7 +232,11 @@
     def log(self, event, **fields):
         if self.crew.log_line:
             self.crew.log_line(event, **fields)
-        if event == "peer" and fields["state"] in ("dead", "left") and fields["peer"] in self.crew.gone:
+        if (
+            event == "peer"
+            and fields["state"] in ("dead", "left")
+            and fields["peer"] in self.crew.gone
+        ):
             self.crew.known.setdefault((self.name, fields["peer"]), self.clock.now())
         elif event in ("fault", "peers: dropped"):
             self.crew.counts[f"{event} {fields.get('why') or fields.get('what')}"] += 1
@@ -219,10 +253,10 @@
         self.loop = loop
         self.counts = Counter()
         self.log_line = None
-        self.shares = {}        # fleet's ms -> by how much the sum of the shares changed then
-        self.gone = {}          # name -> when it was killed for good
-        self.known = {}         # (member, name) -> when it knew
-        self.late = 0.0         # ms of the machine's time by which an alarm was late at the most since it was asked
+        self.shares = {}  # fleet's ms -> by how much the sum of the shares changed then
+        self.gone = {}  # name -> when it was killed for good
+        self.known = {}  # (member, name) -> when it knew
+        self.late = 0.0  # ms of the machine's time by which an alarm was late at the most since it was asked
 
     def call(self, order):
         return getattr(self, "do_" + order.pop("do"))(**order)
@@ -235,20 +269,29 @@
         self.carrier = Carrier(self.loop, node.limits, self.log)
         if prompt:
             # Beside a proxy without sessions, as a real one: what that costs is taken off.
-            self.log_line = Log(node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY))
+            self.log_line = Log(
+                node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+            )
             self.proxy = Proxy(node, self.carrier, self.clock, self.log_line)
             self.proxy.start()
         rng = random.Random(f"{self.layout.seed}/process {numbers[:1]}")
         self.random = rng.random
-        self.shape = Shape(self.layout, self.clock, rng, loss, prompt) if shaped else None
-        servers = [Seen(f"s{number:04d}", self.clock) for number in range(self.layout.servers)]
-        servers += [Seen(f"change-{change}", None) for change in range(self.layout.changes)]
+        self.shape = (
+            Shape(self.layout, self.clock, rng, loss, prompt) if shaped else None
+        )
+        servers = [
+            Seen(f"s{number:04d}", self.clock) for number in range(self.layout.servers)
+        ]
+        servers += [
+            Seen(f"change-{change}", None) for change in range(self.layout.changes)
+        ]
         self.servers = {server.name: server for server in servers}
         self.members = {}
         self.empty = resident_mb()
         if numbers:
             # A process without members stands for a proxy without peers, and has none of this.
-            import wheathill.peers.instance         # noqa: F401
+            import wheathill.peers.instance  # noqa: F401
+
             self.members = {number: Hollow(self, number) for number in numbers}
 
     def log(self, event, **fields):
@@ -257,7 +300,11 @@
     def do_start(self, numbers, together=False, full=False):
         """Within a period of one another: processes of different machines do not tick at one moment."""
         for number in numbers:
-            self.members[number].start(self.random() * self.layout.period, together and range(self.layout.members), full)
+            self.members[number].start(
+                self.random() * self.layout.period,
+                together and range(self.layout.members),
+                full,
+            )
         return self.clock.now()
 
     def do_kill(self, numbers):
@@ -289,12 +336,21 @@
     def do_figures(self):
         """Counts so far of each member, and what the process has used."""
         late, self.late = self.late, 0.0
-        return {"members": {hollow.number: hollow.figures() for hollow in self.running()},
-                "cpu_s": time.process_time(), "now": self.clock.now(), "late_ms": late}
+        return {
+            "members": {hollow.number: hollow.figures() for hollow in self.running()},
+            "cpu_s": time.process_time(),
+            "now": self.clock.now(),
+            "late_ms": late,
+        }
 
     def do_memory(self):
         """In MB: resident, the same before it had members, and in use."""
-        return {"all": resident_mb(), "empty": self.empty, "used": allocated_mb(), "members": len(self.running())}
+        return {
+            "all": resident_mb(),
+            "empty": self.empty,
+            "used": allocated_mb(),
+            "members": len(self.running()),
+        }
 
     def watch(self, due):
         now = self.loop.time()
@@ -309,7 +365,9 @@
             found["members"] += 1
             found["agreed"] += facts.state == "agreed"
             found["cut off"] += facts.state == "cut off"
-            found["know all"] += len(facts.there) + 1 == names[self.layout.zone(hollow.number)]
+            found["know all"] += (
+                len(facts.there) + 1 == names[self.layout.zone(hollow.number)]
+            )
         return found
 
     def do_views(self, births):
@@ -317,9 +375,16 @@
         are not, with how many they lack and how many they wrongly count as there."""
         wrong, right = [], 0
         for hollow in self.running():
-            there = {member.name: member.birth for member in hollow.peers.membership.alive()}
-            meant = {name: birth for name, birth in births.items() if not self.layout.zoned or
-                     self.layout.zone(self.layout.number(name)) == self.layout.zone(hollow.number)}
+            there = {
+                member.name: member.birth for member in hollow.peers.membership.alive()
+            }
+            meant = {
+                name: birth
+                for name, birth in births.items()
+                if not self.layout.zoned
+                or self.layout.zone(self.layout.number(name))
+                == self.layout.zone(hollow.number)
+            }
             lacks = sum(there.get(name) != birth for name, birth in meant.items())
             extra = sum(births.get(name) != birth for name, birth in there.items())
             right += not (lacks or extra)
@@ -328,12 +393,22 @@
         return {"right": right, "wrong": wrong[:5]}
 
     def do_judged(self):
-        return {"told": {hollow.number: {server: when for server, (when, _) in hollow.told.items()}
-                         for hollow in self.running()},
-                "began": {hollow.number: hollow.began for hollow in self.running()},
-                "shares": list(self.shares.items()),
-                "known": [[member, name, when - self.gone[name]] for (member, name), when in self.known.items()],
-                "counts": self.counts, "shaped": self.shape.counts if self.shape else {}}
+        return {
+            "told": {
+                hollow.number: {
+                    server: when for server, (when, _) in hollow.told.items()
+                }
+                for hollow in self.running()
+            },
+            "began": {hollow.number: hollow.began for hollow in self.running()},
+            "shares": list(self.shares.items()),
+            "known": [
+                [member, name, when - self.gone[name]]
+                for (member, name), when in self.known.items()
+            ],
+            "counts": self.counts,
+            "shaped": self.shape.counts if self.shape else {},
+        }
 
 
 FILE = """
@@ -359,8 +434,11 @@
 
 async def serve(make):
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(lambda _, context: crew.log(
-        "fault", what=repr(context.get("exception") or context["message"])))
+    loop.set_exception_handler(
+        lambda _, context: crew.log(
+            "fault", what=repr(context.get("exception") or context["message"])
+        )
+    )
     crew = make(loop)
     crew.watch(loop.time())
     over = asyncio.Event()
@@ -373,8 +451,9 @@
             over.set()
         while (end := rest.find(b"\n")) >= 0:
             order = bytes(rest[:end])
-            del rest[:end + 1]
+            del rest[: end + 1]
             answer(crew, order)
+
     loop.add_reader(0, read)
     await over.wait()
 
@@ -384,9 +463,11 @@
         told = {"answer": crew.call(orjson.loads(order))}
     except Exception as wrong:
         told = {"wrong": repr(wrong)}
-    data = memoryview(orjson.dumps(told, option=orjson.OPT_NON_STR_KEYS | orjson.OPT_APPEND_NEWLINE))
+    data = memoryview(
+        orjson.dumps(told, option=orjson.OPT_NON_STR_KEYS | orjson.OPT_APPEND_NEWLINE)
+    )
     while data:
-        data = data[os.write(1, data):]
+        data = data[os.write(1, data) :]
 
 
 def main(make=Crew):
--- a/wheathill/lab/scale/honest.py
+++ b/wheathill/lab/scale/honest.py
@@ -19,11 +19,11 @@
 from wheathill.lab.worlds.processes import dies_with_the_lab
 from wheathill.peers.show import ask
 
-BASES = 4               # real ones without peers
+BASES = 4  # real ones without peers
 WITHIN = 0.15
 # Of the memory what is in use: the few hundred KB of thirty members are less than what a start takes and gives back.
 HELD = ("messages_per_s", "bytes_per_s", "core_share", "memory_mb")
-START = 30.0            # s for a daemon to answer, on a busy machine
+START = 30.0  # s for a daemon to answer, on a busy machine
 
 
 class Real:
@@ -33,12 +33,25 @@
         self.control = os.path.join(folder, f"{name}.control")
         path = os.path.join(folder, f"{name}.toml")
         with open(path, "w") as out:
-            out.write(operators_file(name, f"127.0.0.1:{free_port()}", [{"name": "all"}],
-                                     [("s", "127.0.0.1:1", "ready")], meant, told, key_path, self.control))
-        self.process = subprocess.Popen([sys.executable, "-m", "wheathill.lab.scale.telling", "daemon", path],
-                                        stdout=subprocess.DEVNULL, stderr=subprocess.DEVNULL,
-                                        preexec_fn=dies_with_the_lab,
-                                        env={**os.environ, "TMPDIR": folder, "ALLOCATED": path + ".allocated"})
+            out.write(
+                operators_file(
+                    name,
+                    f"127.0.0.1:{free_port()}",
+                    [{"name": "all"}],
+                    [("s", "127.0.0.1:1", "ready")],
+                    meant,
+                    told,
+                    key_path,
+                    self.control,
+                )
+            )
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "wheathill.lab.scale.telling", "daemon", path],
+            stdout=subprocess.DEVNULL,
+            stderr=subprocess.DEVNULL,
+            preexec_fn=dies_with_the_lab,
+            env={**os.environ, "TMPDIR": folder, "ALLOCATED": path + ".allocated"},
+        )
         self.allocated = path + ".allocated"
 
     def cpu_s(self):
@@ -73,18 +86,31 @@
     reals = []
     with tempfile.TemporaryDirectory(prefix="scale") as folder, held:
         key_path = os.path.join(folder, "key")
-        with open(key_path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)) as out:
+        with open(
+            key_path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)
+        ) as out:
             out.write(layout.told(0).key)
         try:
             for number in range(members + BASES):
-                reals.append(Real(folder, layout.name(number), members,
-                                  layout.told(number) if number < members else None, key_path))
+                reals.append(
+                    Real(
+                        folder,
+                        layout.name(number),
+                        members,
+                        layout.told(number) if number < members else None,
+                        key_path,
+                    )
+                )
             peers, bases = reals[:members], reals[members:]
             start = time.monotonic()
             await_all(peers, start + START)
             say(f"{members} real ones answer after {time.monotonic() - start:.1f} s")
             time.sleep(before)
-            first, spent, began = [one.links() for one in peers], [one.cpu_s() for one in reals], time.monotonic()
+            first, spent, began = (
+                [one.links() for one in peers],
+                [one.cpu_s() for one in reals],
+                time.monotonic(),
+            )
             time.sleep(rest)
             took = time.monotonic() - began
             used = [(one.cpu_s() - old) / took for one, old in zip(reals, spent)]
@@ -97,14 +123,22 @@
                 one.process.kill()
                 one.process.wait()
     base = mean(used[members:])
-    return {"messages_per_s": mean((new["sent"] + new["taken"] - old["sent"] - old["taken"]) / took
-                                   for old, new in zip(first, last)),
-            "bytes_per_s": mean((new["bytes"] + new["bytes_in"] - old["bytes"] - old["bytes_in"]) / took
-                                for old, new in zip(first, last)),
-            "core_share": mean(used[:members]) - base,
-            "memory_mb": mean(in_use[:members]) - median(in_use[members:]),
-            "resident_mb": mean(memory[:members]) - median(memory[members:]),
-            "agreed": state.count("agreed"), "base_core_share": base, "base_resident_mb": median(memory[members:])}
+    return {
+        "messages_per_s": mean(
+            (new["sent"] + new["taken"] - old["sent"] - old["taken"]) / took
+            for old, new in zip(first, last)
+        ),
+        "bytes_per_s": mean(
+            (new["bytes"] + new["bytes_in"] - old["bytes"] - old["bytes_in"]) / took
+            for old, new in zip(first, last)
+        ),
+        "core_share": mean(used[:members]) - base,
+        "memory_mb": mean(in_use[:members]) - median(in_use[members:]),
+        "resident_mb": mean(memory[:members]) - median(memory[members:]),
+        "agreed": state.count("agreed"),
+        "base_core_share": base,
+        "base_resident_mb": median(memory[members:]),
+    }
 
 
 def await_all(reals, until):
@@ -115,17 +149,34 @@
             waiting.pop()
         except Misconfigured:
             if time.monotonic() > until:
-                raise Misconfigured(f"{len(waiting)} of the real proxies do not answer") from None
+                raise Misconfigured(
+                    f"{len(waiting)} of the real proxies do not answer"
+                ) from None
             time.sleep(0.2)
 
 
 def hollow(members, seed, before, rest, processes, say):
     # What a run has before its rest is 0.3 of it.
-    plan = fleet.Plan(members=members, zones=1, regions=1, seconds=before / 0.3, seed=seed, rest=rest, servers=0,
-                      changes=0, shaped=False, faults=False, zoned=False, processes=processes)
+    plan = fleet.Plan(
+        members=members,
+        zones=1,
+        regions=1,
+        seconds=before / 0.3,
+        seed=seed,
+        rest=rest,
+        servers=0,
+        changes=0,
+        shaped=False,
+        faults=False,
+        zoned=False,
+        processes=processes,
+    )
     found = fleet.play(plan, say)
-    return {**{name: found[name]["mean"] for name in (*HELD, "resident_mb")},
-            "core_share_shared": found["core_share_shared"]["mean"], "agreed": found["agreed_at_rest"]}
+    return {
+        **{name: found[name]["mean"] for name in (*HELD, "resident_mb")},
+        "core_share_shared": found["core_share_shared"]["mean"],
+        "agreed": found["agreed_at_rest"],
+    }
 
 
 def compare(members, seed, before, rest, processes, say):
@@ -134,8 +185,13 @@
         waited = pool.submit(hollow, members, seed, before, rest, processes, say)
         one = real(members, seed, before, rest, say)
         other = waited.result()
-    apart = {name: other[name] / one[name] - 1.0
-             for name in (*HELD, "resident_mb")}
-    return {"members": members, "seed": seed, "rest_s": rest, "real": one, "hollow": other,
-            "apart": {name: round(value, 4) for name, value in apart.items()},
-            "honest": all(abs(apart[name]) <= WITHIN for name in HELD)}
+    apart = {name: other[name] / one[name] - 1.0 for name in (*HELD, "resident_mb")}
+    return {
+        "members": members,
+        "seed": seed,
+        "rest_s": rest,
+        "real": one,
+        "hollow": other,
+        "apart": {name: round(value, 4) for name, value in apart.items()},
+        "honest": all(abs(apart[name]) <= WITHIN for name in HELD),
+    }
--- a/wheathill/lab/scale/judge.py
+++ b/wheathill/lab/scale/judge.py
@@ -10,8 +10,13 @@
 
     def rank(share):
         return round(ordered[min(len(ordered) - 1, int(share * len(ordered)))], digits)
-    return {"mean": round(sum(ordered) / len(ordered), digits),
-            "p50": rank(0.50), "p99": rank(0.99), "max": round(ordered[-1], digits)}
+
+    return {
+        "mean": round(sum(ordered) / len(ordered), digits),
+        "p50": rank(0.50),
+        "p99": rank(0.99),
+        "max": round(ordered[-1], digits),
+    }
 
 
 def largest_sum(changes):
@@ -31,15 +36,24 @@
     """One region from `began` to `ended`, or none. `out`: only what leaves it is lost."""
 
     def __init__(self, layout, region, began, ended, out=False):
-        self.layout, self.region, self.began, self.ended, self.out = layout, region, began, ended, out
+        self.layout, self.region, self.began, self.ended, self.out = (
+            layout,
+            region,
+            began,
+            ended,
+            out,
+        )
 
     def parts(self, one, other):
-        return self.region is not None and \
-            (self.layout.region(one) == self.region) != (self.layout.region(other) == self.region)
+        return self.region is not None and (self.layout.region(one) == self.region) != (
+            self.layout.region(other) == self.region
+        )
 
     def since(self, one, other, when):
         """From when on `other` can have heard what `one` said first at `when`."""
-        silent = self.parts(one, other) and (not self.out or self.layout.region(one) == self.region)
+        silent = self.parts(one, other) and (
+            not self.out or self.layout.region(one) == self.region
+        )
         return self.ended if silent and self.began <= when < self.ended else when
 
 
@@ -79,7 +93,11 @@
             if found is None:
                 never += 1
                 continue
-            parted = cut.parts(member, dead) and cut.began <= found and when < cut.ended <= found
+            parted = (
+                cut.parts(member, dead)
+                and cut.began <= found
+                and when < cut.ended <= found
+            )
             took.append(max(0.0, found - (cut.ended if parted else when)))
     return took, never
 
@@ -101,5 +119,8 @@
         since = max(cut.since(issuer, proxy, issued), began)
         if when > since + within:
             late.append([server, proxy, round(when - since, 2)])
-    return {"opened_anew": len(late), "opened_anew_first": late[:5],
-            "never_in_use": [server for server, count in before.items() if not count]}
+    return {
+        "opened_anew": len(late),
+        "opened_anew_first": late[:5],
+        "never_in_use": [server for server, count in before.items() if not count],
+    }
--- a/wheathill/lab/scale/layout.py
+++ b/wheathill/lab/scale/layout.py
@@ -12,7 +12,7 @@
 
 PORT = 19_700
 SEEDS = 3
-A_HOST = 250            # members for each of the third numbers of an address
+A_HOST = 250  # members for each of the third numbers of an address
 
 
 @cache
@@ -78,10 +78,22 @@
         """As the operator's file would tell it. Seeds are the first of all, or of its zone."""
         zone = self.zone(number)
         more = {"zone": f"z{zone + 1}", "layout": self.of_zones()} if self.zoned else {}
-        seeds = self.seeds(range(zone, self.members, self.zones) if self.zoned else range(self.members))
-        return Told(name=self.name(number), cluster="scale", listen=self.where(number), advertise=self.address(number),
-                    seeds=seeds, key=b"the scale test's own key", roster=(), control=None, period=self.period,
-                    patience=self.patience, **more)
+        seeds = self.seeds(
+            range(zone, self.members, self.zones) if self.zoned else range(self.members)
+        )
+        return Told(
+            name=self.name(number),
+            cluster="scale",
+            listen=self.where(number),
+            advertise=self.address(number),
+            seeds=seeds,
+            key=b"the scale test's own key",
+            roster=(),
+            control=None,
+            period=self.period,
+            patience=self.patience,
+            **more,
+        )
 
     def seeds(self, numbers):
         return tuple(self.address(seed) for seed in numbers[:SEEDS])
@@ -93,7 +105,16 @@
         for zone in range(self.zones):
             numbers = range(zone, self.members, self.zones)
             part = len(numbers) / self.members
-            found.append(Zone(f"z{zone + 1}", f"r{zone % self.regions + 1}", len(numbers), self.seeds(numbers), part, part))
+            found.append(
+                Zone(
+                    f"z{zone + 1}",
+                    f"r{zone % self.regions + 1}",
+                    len(numbers),
+                    self.seeds(numbers),
+                    part,
+                    part,
+                )
+            )
         return Zones(1, tuple(found))
 
     def distance(self):
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -34,11 +34,21 @@
     def serve(self):
         daemon.Clock = lambda loop: StretchedClock(loop, self.crew.clock.rate)
         instance_of = wheathill.peers.instance_of
-        wheathill.peers.instance_of = lambda told: lambda *given: self.join(instance_of(told), *given)
+        wheathill.peers.instance_of = lambda told: (
+            lambda *given: self.join(instance_of(told), *given)
+        )
         node = daemon.allow_sockets(operator.read(self.crew.path))
-        self.crew.log_line = Log(node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY))
-        serving = self.crew.loop.create_task(daemon.serve(node, self.log, lambda: operator.read(self.crew.path)))
-        serving.add_done_callback(lambda task: self.log("fault", what=repr(task.exception() or "it has ended")))
+        self.crew.log_line = Log(
+            node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+        )
+        serving = self.crew.loop.create_task(
+            daemon.serve(node, self.log, lambda: operator.read(self.crew.path))
+        )
+        serving.add_done_callback(
+            lambda task: self.log(
+                "fault", what=repr(task.exception() or "it has ended")
+            )
+        )
 
     def join(self, kind, told, proxy, carrier, clock, log, _birth, meant):
         layout, crew = self.crew.layout, self.crew
@@ -51,9 +61,17 @@
         def told_of(server, phase, born):
             self.told_of(server.name, phase, born)
             told_by_peers(server, phase, born)
+
         proxy.balancer.on_fleet, proxy.told_by_peers = on_fleet, told_of
-        self.peers = kind(told, proxy, ShapedCarrier(carrier, crew.shape, self.number) if crew.shape else carrier,
-                          clock, log, layout.birth(self.number, self.starts), meant)
+        self.peers = kind(
+            told,
+            proxy,
+            ShapedCarrier(carrier, crew.shape, self.number) if crew.shape else carrier,
+            clock,
+            log,
+            layout.birth(self.number, self.starts),
+            meant,
+        )
         if self.together:
             acquaint(self.peers, layout, self.number, self.together, self.full)
         return self.peers
@@ -62,7 +80,20 @@
 class Process(Crew):
     """The crew of one."""
 
-    def do_build(self, layout, number, rate, loss, shaped, region, out, path, key_path, sockets, servers):
+    def do_build(
+        self,
+        layout,
+        number,
+        rate,
+        loss,
+        shaped,
+        region,
+        out,
+        path,
+        key_path,
+        sockets,
+        servers,
+    ):
         layout["ways"] = tuple(layout["ways"])
         self.layout = Layout(**layout)
         self.clock = StretchedClock(self.loop, rate)
@@ -71,24 +102,41 @@
         self.shape = Shape(self.layout, self.clock, rng, loss) if shaped else None
         if region is not None:
             self.shape.set_cut(region, out)
-        self.path, self.key_path, self.sockets, self.servers = path, key_path, sockets, servers
+        self.path, self.key_path, self.sockets, self.servers = (
+            path,
+            key_path,
+            sockets,
+            servers,
+        )
         self.members = {number: Member(self, number)}
         self.write()
 
     def write(self):
         """Its file, as its list is now."""
-        number, = self.members
+        (number,) = self.members
         layout = self.layout
-        text = operators_file(layout.name(number), "%s:%d" % layout.door(number),
-                              [{"name": "all", "repeat": "repeatable"}], self.servers, layout.members,
-                              layout.told(number), self.key_path, limits={"sockets": self.sockets})
+        text = operators_file(
+            layout.name(number),
+            "%s:%d" % layout.door(number),
+            [{"name": "all", "repeat": "repeatable"}],
+            self.servers,
+            layout.members,
+            layout.told(number),
+            self.key_path,
+            limits={"sockets": self.sockets},
+        )
         with open(self.path + ".new", "w") as out:
             out.write(text)
         os.rename(self.path + ".new", self.path)
 
     def do_start(self, process, wait, together=False, full=False):
-        hollow, = self.members.values()
-        hollow.start(wait * self.random() * self.layout.period, together and range(self.layout.members), full, process)
+        (hollow,) = self.members.values()
+        hollow.start(
+            wait * self.random() * self.layout.period,
+            together and range(self.layout.members),
+            full,
+            process,
+        )
         return self.clock.now()
 
     def do_ready(self):
@@ -98,8 +146,10 @@
     def do_change(self, number, change):
         """Its operator writes into its file that a server drains, and has it read again."""
         name = f"change-{change}"
-        self.servers = [[server, where, "draining" if server == name else state]
-                        for server, where, state in self.servers]
+        self.servers = [
+            [server, where, "draining" if server == name else state]
+            for server, where, state in self.servers
+        ]
         self.write()
         os.kill(os.getpid(), signal.SIGHUP)
         hollow = self.members[number]
--- a/wheathill/lab/scale/memory.py
+++ b/wheathill/lab/scale/memory.py
@@ -14,14 +14,29 @@
 
 
 class Mallinfo(ctypes.Structure):
-    _fields_ = [(name, ctypes.c_size_t) for name in (
-        "arena", "ordblks", "smblks", "hblks", "hblkhd", "usmblks", "fsmblks", "uordblks", "fordblks", "keepcost")]
+    _fields_ = [
+        (name, ctypes.c_size_t)
+        for name in (
+            "arena",
+            "ordblks",
+            "smblks",
+            "hblks",
+            "hblkhd",
+            "usmblks",
+            "fsmblks",
+            "uordblks",
+            "fordblks",
+            "keepcost",
+        )
+    ]
 
 
 def resident_mb(process="self"):
     """Its own: pages of files, as of the libraries, are those of all processes."""
     with open(f"/proc/{process}/status") as status:
-        return next(int(line.split()[1]) / 1024 for line in status if line.startswith("RssAnon"))
+        return next(
+            int(line.split()[1]) / 1024 for line in status if line.startswith("RssAnon")
+        )
 
 
 def allocated_mb():
@@ -40,4 +55,4 @@
     LIBC.mallinfo2.restype = Mallinfo
     info = LIBC.mallinfo2()
     # Arenas of Python's allocator are mapped by itself, not by the C library.
-    return (int(own.replace(b",", b"")) + info.uordblks + info.hblkhd) / 2 ** 20
+    return (int(own.replace(b",", b"")) + info.uordblks + info.hblkhd) / 2**20
--- a/wheathill/lab/scale/parts.py
+++ b/wheathill/lab/scale/parts.py
@@ -14,9 +14,13 @@
 from wheathill.__main__ import main
 from wheathill.net.proxy import Proxy
 
-WRAPPED = {Proxy: ("sweep", "log_figures"), policy.Balancer: ("tick", "relieve"),
-           policy.SlotTable: ("close", "halve"), policy.LoadLevels: ("believe", "learn", "levels"),
-           policy.Probes: ("due",)}
+WRAPPED = {
+    Proxy: ("sweep", "log_figures"),
+    policy.Balancer: ("tick", "relieve"),
+    policy.SlotTable: ("close", "halve"),
+    policy.LoadLevels: ("believe", "learn", "levels"),
+    policy.Probes: ("due",),
+}
 
 
 class Parts:
@@ -24,8 +28,8 @@
 
     def __init__(self):
         self.spent, self.calls = {}, {}
-        self.open = []          # what the parts within each took
-        self.full = []          # ms of each full collection
+        self.open = []  # what the parts within each took
+        self.full = []  # ms of each full collection
         self.since = time.process_time(), time.monotonic()
 
     def time(self, name, call, *args):
@@ -61,8 +65,15 @@
     def tell(self, *_):
         now = time.process_time(), time.monotonic()
         whole, seconds = now[0] - self.since[0], now[1] - self.since[1]
-        found = {"seconds": seconds, "processor_s": whole, "full_collections_ms": self.full, "parts": {
-            name: {"s": spent, "calls": self.calls[name]} for name, spent in self.spent.items()}}
+        found = {
+            "seconds": seconds,
+            "processor_s": whole,
+            "full_collections_ms": self.full,
+            "parts": {
+                name: {"s": spent, "calls": self.calls[name]}
+                for name, spent in self.spent.items()
+            },
+        }
         path = os.environ["SCALE_PARTS"]
         with open(path + ".new", "w") as out:
             json.dump(found, out)
--- a/wheathill/lab/scale/rig.py
+++ b/wheathill/lab/scale/rig.py
@@ -13,10 +13,12 @@
 
 from wheathill.lab.scale import seen
 from wheathill.lab.worlds.processes import dies_with_the_lab
-from wheathill.lab.worlds.sockets import LOOPBACK as HOST     # of this process alone: no port of it is another's
+from wheathill.lab.worlds.sockets import (
+    LOOPBACK as HOST,
+)  # of this process alone: no port of it is another's
 from wheathill.lab.worlds.sockets import SPARE_FILES
 
-DOORS = 4                   # servers that one process stands in for
+DOORS = 4  # servers that one process stands in for
 # What a proxy keeps back of its descriptors, and some: a connection takes two of the rest.
 KEPT_BACK = 100
 
@@ -34,8 +36,12 @@
     """A process of stand-ins (`ends`)."""
 
     def __init__(self):
-        self.process = subprocess.Popen([sys.executable, "-m", "wheathill.lab.scale.ends"], stdin=subprocess.PIPE,
-                                        stdout=subprocess.PIPE, preexec_fn=more_files)
+        self.process = subprocess.Popen(
+            [sys.executable, "-m", "wheathill.lab.scale.ends"],
+            stdin=subprocess.PIPE,
+            stdout=subprocess.PIPE,
+            preexec_fn=more_files,
+        )
         self.pid = self.process.pid
         self.rest = b""
 
@@ -82,11 +88,17 @@
         files = resource.getrlimit(resource.RLIMIT_NOFILE)[1]
         self.at = HOST, free_port()
         with open(self.config, "w") as out:
-            json.dump(configuration(name, self.at, servers, files - SPARE_FILES, seed), out)
+            json.dump(
+                configuration(name, self.at, servers, files - SPARE_FILES, seed), out
+            )
         with open(self.log, "wb") as log:
-            self.process = subprocess.Popen([sys.executable, "-m", module], stdout=log, stderr=log,
-                                            env={**os.environ, "NODE_CONFIG": self.config, **env},
-                                            preexec_fn=more_files)
+            self.process = subprocess.Popen(
+                [sys.executable, "-m", module],
+                stdout=log,
+                stderr=log,
+                env={**os.environ, "NODE_CONFIG": self.config, **env},
+                preexec_fn=more_files,
+            )
         self.pid = self.process.pid
         self.logged("ready", 30.0)
 
@@ -96,7 +108,11 @@
         while time.monotonic() < until:
             with open(self.log, "rb") as log:
                 for line in log:
-                    if line.endswith(b"\n") and line.startswith(b"{") and json.loads(line)["event"] == event:
+                    if (
+                        line.endswith(b"\n")
+                        and line.startswith(b"{")
+                        and json.loads(line)["event"] == event
+                    ):
                         return json.loads(line)
             if self.process.poll() is not None:
                 break
@@ -118,15 +134,36 @@
 
 
 def configuration(name, at, servers, files, seed):
-    hosts = [{"host": f"server-{place}", "dial": "%s:%d" % tuple(where), "site": "x", "class": "m", "block": 1,
-              "health": "ready", "share": 1.0, "born_ms": 0} for place, where in enumerate(servers)]
-    return {"name": name, "seed": f"{seed:x}", "listen": "%s:%d" % at, "discovery": False,
-            "limits": {"sockets": files, "memory_mb": 2048}, "known": {"seq": 1, "whole": True, "hosts": hosts},
-            "settings": {"listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 10.0}],
-                         "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
-                         # Late answers here are the machine's: no server is held full, and no client moved, by them.
-                         "familyInfo": {"mode": "proxy", "groups": True, "messageAimS": [60.0]}, "dcs": ["x"], "tenants": [],
-                         "obligations": {"drainGraceS": 0.5}}}
+    hosts = [
+        {
+            "host": f"server-{place}",
+            "dial": "%s:%d" % tuple(where),
+            "site": "x",
+            "class": "m",
+            "block": 1,
+            "health": "ready",
+            "share": 1.0,
+            "born_ms": 0,
+        }
+        for place, where in enumerate(servers)
+    ]
+    return {
+        "name": name,
+        "seed": f"{seed:x}",
+        "listen": "%s:%d" % at,
+        "discovery": False,
+        "limits": {"sockets": files, "memory_mb": 2048},
+        "known": {"seq": 1, "whole": True, "hosts": hosts},
+        "settings": {
+            "listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 10.0}],
+            "limits": {"maxDials": 3, "retryAfter": True, "maxRetryAfterS": 1.0},
+            # Late answers here are the machine's: no server is held full, and no client moved, by them.
+            "familyInfo": {"mode": "proxy", "groups": True, "messageAimS": [60.0]},
+            "dcs": ["x"],
+            "tenants": [],
+            "obligations": {"drainGraceS": 0.5},
+        },
+    }
 
 
 class Rig:
@@ -139,8 +176,11 @@
         try:
             self.servers = [self.stand() for _ in range(processes)]
             self.clients = [self.stand() for _ in range(processes)]
-            self.listed = [where for found in ask_all(self.servers, "serve", doors=DOORS, host=HOST)
-                           for where in found["at"]]
+            self.listed = [
+                where
+                for found in ask_all(self.servers, "serve", doors=DOORS, host=HOST)
+                for where in found["at"]
+            ]
         except BaseException:
             self.close()
             raise
@@ -151,7 +191,15 @@
         return one
 
     def proxy(self, **more):
-        self.proxies.append(Proxy(self.folder.name, f"p{len(self.proxies)}", self.listed, self.seed, **more))
+        self.proxies.append(
+            Proxy(
+                self.folder.name,
+                f"p{len(self.proxies)}",
+                self.listed,
+                self.seed,
+                **more,
+            )
+        )
         return self.proxies[-1]
 
     def come(self, proxy, count, rate, clients=None, within=120.0):
@@ -159,8 +207,15 @@
         clients = clients or self.clients
         for place, one in enumerate(clients):
             part = count // len(clients) + (place < count % len(clients))
-            one.tell("come", proxy=proxy.at, count=part, rate=rate / len(clients), groups=self.groups,
-                     name=f"c{one.pid}", seed=self.seed + place)
+            one.tell(
+                "come",
+                proxy=proxy.at,
+                count=part,
+                rate=rate / len(clients),
+                groups=self.groups,
+                name=f"c{one.pid}",
+                seed=self.seed + place,
+            )
         return [one.answer(within + count / rate) for one in clients]
 
     def __enter__(self):
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -22,27 +22,40 @@
     not delayed, as that would wake up the process once more for each message, and its cost is to be told."""
 
     def __init__(self, layout, clock, rng, loss, prompt=False):
-        self.layout, self.clock, self.random, self.loss = layout, clock, rng.random, loss
+        self.layout, self.clock, self.random, self.loss = (
+            layout,
+            clock,
+            rng.random,
+            loss,
+        )
         self.prompt = prompt
         self.cut, self.out = None, False
         self.counts = Counter()
         self.distance = layout.distance()
-        self.ticks = {}         # ms -> what is to be called then: one alarm for all of them
-        self.held = []          # (wire, arguments) of streams across a cut
+        self.ticks = {}  # ms -> what is to be called then: one alarm for all of them
+        self.held = []  # (wire, arguments) of streams across a cut
 
     def cuts(self, one, other):
-        return self.cut is not None and (self.layout.region(one) == self.cut) != (self.layout.region(other) == self.cut)
+        return self.cut is not None and (self.layout.region(one) == self.cut) != (
+            self.layout.region(other) == self.cut
+        )
 
     def loses(self, one, other):
         """Whether the cut takes a datagram of one to the other."""
-        return self.cuts(one, other) and (not self.out or self.layout.region(one) == self.cut)
+        return self.cuts(one, other) and (
+            not self.out or self.layout.region(one) == self.cut
+        )
 
     def wait(self, one, other):
         """ms for this message from one to the other."""
         if self.prompt:
             return 0.0
         near = self.layout.zone(one) == self.layout.zone(other)
-        far = self.layout.ways[0] if near else self.distance[self.layout.region(one), self.layout.region(other)]
+        far = (
+            self.layout.ways[0]
+            if near
+            else self.distance[self.layout.region(one), self.layout.region(other)]
+        )
         return far * (1.0 + JITTER * self.random())
 
     def at(self, when, call, *args):
@@ -85,7 +98,7 @@
     def __init__(self, inner, shape, number):
         self.inner, self.shape, self.number = inner, shape, number
         self.loop, self.limits, self.log = inner.loop, inner.limits, inner.log
-        self.wires = {}         # that this member has opened
+        self.wires = {}  # that this member has opened
 
     def listen(self, make_machine, address, room):
         return self.inner.listen(make_machine, address, room)
@@ -108,14 +121,20 @@
         self.open = True
 
     def send(self, data, address):
-        shape, one, other = self.shape, self.carrier.number, self.shape.layout.number_at(address[0])
+        shape, one, other = (
+            self.shape,
+            self.carrier.number,
+            self.shape.layout.number_at(address[0]),
+        )
         if shape.loses(one, other):
             shape.counts["datagrams cut off"] += 1
         elif shape.loss and shape.random() < shape.loss:
             shape.counts["datagrams lost"] += 1
         else:
             shape.counts["datagrams delayed"] += 1
-            shape.at(shape.clock.now() + shape.wait(one, other), self.put, data, address)
+            shape.at(
+                shape.clock.now() + shape.wait(one, other), self.put, data, address
+            )
 
     def put(self, data, address):
         if self.open:
@@ -135,7 +154,10 @@
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
         self.wire = None
         self.full = self.refused = self.over = False
-        self.latest = {True: 0.0, False: 0.0}       # when the last of each way arrives; True: out
+        self.latest = {
+            True: 0.0,
+            False: 0.0,
+        }  # when the last of each way arrives; True: out
         carrier.wires[self] = None
         self.attempt(FIRST_AGAIN)
 
@@ -152,7 +174,9 @@
         elif shape.loss and shape.random() > (1.0 - shape.loss) ** 2:
             shape.counts["connection attempts lost"] += 1
         else:
-            return shape.at(shape.clock.now() + shape.wait(self.one, self.other), self.dial)
+            return shape.at(
+                shape.clock.now() + shape.wait(self.one, self.other), self.dial
+            )
         shape.clock.after(again, self.attempt, 2 * again)
 
     def dial(self):
@@ -189,7 +213,11 @@
         if not self.over:
             self.leave()
             if self.wire is not None:
-                self.shape.at(max(self.shape.clock.now(), self.latest[True]), self.wire.abort, reset)
+                self.shape.at(
+                    max(self.shape.clock.now(), self.latest[True]),
+                    self.wire.abort,
+                    reset,
+                )
 
     def vanish(self):
         """Its process is dead."""
@@ -217,7 +245,7 @@
         self.carry(False, self.end, reset)
 
     def let_go(self):
-        pass        # what is still on its way is told later
+        pass  # what is still on its way is told later
 
     def blocked(self, on):
         self.full = on
--- a/wheathill/lab/scale/slope.py
+++ b/wheathill/lab/scale/slope.py
@@ -5,17 +5,28 @@
 
 from wheathill.lab.scale import fit, fleet
 
-FIGURES = {"bytes_per_s": "bytes a second", "messages_per_s": "messages a second", "core_share": "share of a core",
-           "memory_mb": "MB"}
+FIGURES = {
+    "bytes_per_s": "bytes a second",
+    "messages_per_s": "messages a second",
+    "core_share": "share of a core",
+    "memory_mb": "MB",
+}
 
 
 def points_of(runs):
-    return {name: [(run["members"], run[name]["mean"]) for run in runs if run[name]["mean"]] for name in FIGURES}
+    return {
+        name: [(run["members"], run[name]["mean"]) for run in runs if run[name]["mean"]]
+        for name in FIGURES
+    }
 
 
 def fitted(runs):
     """{figure: fits, the best first}"""
-    return {name: fit.fits(points) for name, points in points_of(runs).items() if len(points) >= 2}
+    return {
+        name: fit.fits(points)
+        for name, points in points_of(runs).items()
+        if len(points) >= 2
+    }
 
 
 def predict(runs, size):
@@ -25,7 +36,9 @@
 
 def lines(runs):
     for name, found in fitted(runs).items():
-        points = ", ".join(f"{size}: {value:.6g}" for size, value in points_of(runs)[name])
+        points = ", ".join(
+            f"{size}: {value:.6g}" for size, value in points_of(runs)[name]
+        )
         yield f"{FIGURES[name]}: {points}"
         for each in found:
             yield f"  {each.form:<9} {each.base:.4g} + {each.slope:.4g} x, residual {each.residual:.1%}"
@@ -39,13 +52,34 @@
         runs.append(one(size, plan, stretches, say))
     predicted = predict(runs, sizes[-1]) if len(runs) >= 2 else {}
     for name, value in predicted.items():
-        say(f"predicted for {sizes[-1]}: {value:.6g} {FIGURES[name]} ({fitted(runs)[name][0].form})")
+        say(
+            f"predicted for {sizes[-1]}: {value:.6g} {FIGURES[name]} ({fitted(runs)[name][0].form})"
+        )
     runs.append(one(sizes[-1], plan, stretches, say))
-    errors = {name: round(value / runs[-1][name]["mean"] - 1.0, 4) for name, value in predicted.items()
-              if runs[-1][name]["mean"]}
-    return {"sizes": list(sizes), "runs": runs, "predicted": predicted, "error": errors,
-            "fits": {name: [each.told() for each in found] for name, found in fitted(runs).items()}}
+    errors = {
+        name: round(value / runs[-1][name]["mean"] - 1.0, 4)
+        for name, value in predicted.items()
+        if runs[-1][name]["mean"]
+    }
+    return {
+        "sizes": list(sizes),
+        "runs": runs,
+        "predicted": predicted,
+        "error": errors,
+        "fits": {
+            name: [each.told() for each in found]
+            for name, found in fitted(runs).items()
+        },
+    }
 
 
 def one(size, plan, stretches, say):
-    return fleet.play(replace(plan, members=size, zones=min(plan.zones, size), rate=stretches.get(size, plan.rate)), say)
+    return fleet.play(
+        replace(
+            plan,
+            members=size,
+            zones=min(plan.zones, size),
+            rate=stretches.get(size, plan.rate),
+        ),
+        say,
+    )
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -24,31 +24,72 @@
 
 SHARDS = 420_000
 SERVERS = 8_000
-RATES = (0.1, 1.0, 10.0, 100.0, 1000.0)     # sessions a second, for which probes are counted
-USUAL = dict(zone=0, proxies=2800, report_names=["x0"], may_probe=True, must_ask=False, ask_every=10_000.0,
-             drain_grace=500.0, sized=True, start_share=0.2, cold_for=10_000.0, cold_multiple=3.0,
-             cold_window=1000.0, most_dials=3, longest_wait=1000.0, crossing_price=0.0, move_price=0.0,
-             passes_through=False)
+RATES = (
+    0.1,
+    1.0,
+    10.0,
+    100.0,
+    1000.0,
+)  # sessions a second, for which probes are counted
+USUAL = dict(
+    zone=0,
+    proxies=2800,
+    report_names=["x0"],
+    may_probe=True,
+    must_ask=False,
+    ask_every=10_000.0,
+    drain_grace=500.0,
+    sized=True,
+    start_share=0.2,
+    cold_for=10_000.0,
+    cold_multiple=3.0,
+    cold_window=1000.0,
+    most_dials=3,
+    longest_wait=1000.0,
+    crossing_price=0.0,
+    move_price=0.0,
+    passes_through=False,
+)
 
 
 def host(place):
-    return {"host": f"server-{place:05}.zone-{place % 15}",
-            "dial": f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:7000", "site": f"zone-{place % 15}", "class": "m",
-            "block": 1, "health": "ready", "share": 1.0, "born_ms": 1_700_000_000_000}
+    return {
+        "host": f"server-{place:05}.zone-{place % 15}",
+        "dial": f"10.{place >> 16}.{place >> 8 & 255}.{place & 255}:7000",
+        "site": f"zone-{place % 15}",
+        "class": "m",
+        "block": 1,
+        "health": "ready",
+        "share": 1.0,
+        "born_ms": 1_700_000_000_000,
+    }
 
 
 def proxy():
     """One that holds no sockets; its log goes nowhere."""
     loop = asyncio.new_event_loop()
-    node = node_of({"name": "p", "seed": "1", "listen": "127.0.0.1:1", "discovery": False, "known": {},
-                    "limits": {"sockets": 20_000, "memory_mb": 192},
-                    "settings": {"listeners": [{"name": "any", "repeat": "retryable", "dialTimeoutS": 2.0}],
-                                 "limits": {"mayProbe": True}, "familyInfo": {"mode": "proxy"},
-                                 "report": {"how": "on_probe", "names": ["x0"]},
-                                 "dcs": [f"zone-{zone}" for zone in range(15)]}})
-    log = lambda *_, **__: None     # noqa: E731
+    node = node_of(
+        {
+            "name": "p",
+            "seed": "1",
+            "listen": "127.0.0.1:1",
+            "discovery": False,
+            "known": {},
+            "limits": {"sockets": 20_000, "memory_mb": 192},
+            "settings": {
+                "listeners": [
+                    {"name": "any", "repeat": "retryable", "dialTimeoutS": 2.0}
+                ],
+                "limits": {"mayProbe": True},
+                "familyInfo": {"mode": "proxy"},
+                "report": {"how": "on_probe", "names": ["x0"]},
+                "dcs": [f"zone-{zone}" for zone in range(15)],
+            },
+        }
+    )
+    log = lambda *_, **__: None  # noqa: E731
     found = Proxy(node, Carrier(loop, node.limits, log), Clock(loop), log)
-    found.alarm = log               # nothing rings: the clock's work is called by hand
+    found.alarm = log  # nothing rings: the clock's work is called by hand
     return found, loop
 
 
@@ -79,7 +120,9 @@
     text = orjson.dumps(whole)
     del whole
     here.listed(orjson.loads(text))
-    found["list_bytes_held_a_server"] = (tracemalloc.get_traced_memory()[0] - before) / count
+    found["list_bytes_held_a_server"] = (
+        tracemalloc.get_traced_memory()[0] - before
+    ) / count
     tracemalloc.stop()
     loop.close()
     del here
@@ -88,11 +131,13 @@
     found["probes"] = probes(count, seed)
     # Who comes back after a break pays for none; its servers are asked first all the same.
     found["probes_returning"] = probes(count, seed, returning=True)
-    say(f"{count:6} servers: a list of {found['list_bytes'] / 1000:.0f} KB in force after {found['list_ms']:.0f} ms, the same "
+    say(
+        f"{count:6} servers: a list of {found['list_bytes'] / 1000:.0f} KB in force after {found['list_ms']:.0f} ms, the same "
         f"again {found['list_again_ms']:.0f}, one change {found['change_ms']:.1f} ms and {found['change_bytes']} bytes; "
         f"{found['list_bytes_held_a_server'] / 1000:.1f} KB each; {found['with_slot']} have a slot, the most {found['most_slots']}; "
         f"one leaves {found['leave_ms']:.1f} ms, a fifteenth {found['zone_leaves_ms']:.0f} ms; a tick "
-        f"{found['tick_ms']:.1f} ms, {found['tick_probing_ms']:.1f} while probing")
+        f"{found['tick_ms']:.1f} ms, {found['tick_probing_ms']:.1f} while probing"
+    )
     return found
 
 
@@ -102,19 +147,25 @@
     here.next_watch = here.clock.after(1e6, int)
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
-    pieces = [text[start:start + here.limits.read] for start in range(0, len(text) + 1, here.limits.read)]
+    pieces = [
+        text[start : start + here.limits.read]
+        for start in range(0, len(text) + 1, here.limits.read)
+    ]
 
     def take(parts):
         for part in parts:
             watch.take(part)
         watch.take(b"\n")
+
     found = {"list_bytes": len(text), "list_longest": here.limits.list_line}
     with Timer() as first:
         take(pieces)
     ready = len(here.balancer.roster.servers)
     found["list_ms"], found["list_taken"] = first.ms, ready == count
     found["list_again_ms"] = timed(take, pieces)
-    drains = orjson.dumps({"seq": 2, "whole": False, "hosts": [{**host(1), "health": "draining"}]})
+    drains = orjson.dumps(
+        {"seq": 2, "whole": False, "hosts": [{**host(1), "health": "draining"}]}
+    )
     back = orjson.dumps({"seq": 3, "whole": False, "hosts": [host(1)]})
     found["change_bytes"] = len(drains)
     found["change_ms"] = (timed(take, [drains]) + timed(take, [back])) / 2
@@ -129,14 +180,26 @@
     here, loop = proxy()
     table = here.balancer.table
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
-    found = {"weigh_ms": sum(timed(table.weigh, server) for server in servers),
-             "join_ms": timed(table.update, 0.0, servers, {}, servers)}
-    found["draws_bytes_a_server"] = fmean(len(server.draws) * server.draws.itemsize for server in servers)
+    found = {
+        "weigh_ms": sum(timed(table.weigh, server) for server in servers),
+        "join_ms": timed(table.update, 0.0, servers, {}, servers),
+    }
+    found["draws_bytes_a_server"] = fmean(
+        len(server.draws) * server.draws.itemsize for server in servers
+    )
     held = Counter(table.current)
-    found |= {"slots": table.size, "with_slot": len(held), "most_slots": max(held.values()),
-              "shards_a_slot": SHARDS / table.size, "may_be_halved": sum(one > table.least + 1 for one in held.values()),
-              # A group's members go to its slot's server, then to those of the slots that follow.
-              "reach": fmean(1 + len(set(table.others(slot)) - {table.current[slot]}) for slot in range(table.size))}
+    found |= {
+        "slots": table.size,
+        "with_slot": len(held),
+        "most_slots": max(held.values()),
+        "shards_a_slot": SHARDS / table.size,
+        "may_be_halved": sum(one > table.least + 1 for one in held.values()),
+        # A group's members go to its slot's server, then to those of the slots that follow.
+        "reach": fmean(
+            1 + len(set(table.others(slot)) - {table.current[slot]})
+            for slot in range(table.size)
+        ),
+    }
     live = dict.fromkeys(servers)
     one = table.current[0]
     del live[one]
@@ -154,9 +217,9 @@
     """Actions that note probes and dials, and do nothing."""
 
     def __init__(self):
-        self.probed = []        # not answered yet
+        self.probed = []  # not answered yet
         self.sent = 0
-        self.dialled = []       # not up yet
+        self.dialled = []  # not up yet
 
     def dial(self, sess, server, time_out):
         self.dialled.append(sess)
@@ -176,7 +239,9 @@
     made = Balancer(actions, random.Random(seed), **USUAL)
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
-    made.on_list(0.0, ListKind.FULL, [(server, Phase.READY, 1.0, None) for server in servers])
+    made.on_list(
+        0.0, ListKind.FULL, [(server, Phase.READY, 1.0, None) for server in servers]
+    )
     return made, actions, servers
 
 
@@ -202,7 +267,10 @@
         for second in range(1, 21):
             while came < rate * second:
                 now = 1000.0 * came / rate
-                made.on_session(now, Session(listener, f"k{came}", now + 2000.0, returning=returning))
+                made.on_session(
+                    now,
+                    Session(listener, f"k{came}", now + 2000.0, returning=returning),
+                )
                 answer(made, actions, now)
                 came += 1
             made.tick(1000.0 * second)
@@ -225,19 +293,38 @@
         made.on_outcome(now, sess, Outcome.COMPLETED, True)
 
 
-SLOPES = ("list_bytes", "list_ms", "list_again_ms", "change_ms", "weigh_ms", "join_ms", "leave_ms", "zone_leaves_ms",
-          "tick_ms", "tick_probing_ms", "list_bytes_held_a_server")
+SLOPES = (
+    "list_bytes",
+    "list_ms",
+    "list_again_ms",
+    "change_ms",
+    "weigh_ms",
+    "join_ms",
+    "leave_ms",
+    "zone_leaves_ms",
+    "tick_ms",
+    "tick_probing_ms",
+    "list_bytes_held_a_server",
+)
 
 
 def measure(counts, *, seed, say):
     by_servers = [at_servers(count, seed, say) for count in counts]
     found = {"seed": seed, "by_servers": by_servers, "slopes": {}}
     for name in SLOPES:
-        found["slopes"][name] = fit.grown([(one["servers"], one[name]) for one in by_servers], SERVERS,
-                                          ("constant", "linear", "square"))
+        found["slopes"][name] = fit.grown(
+            [(one["servers"], one[name]) for one in by_servers],
+            SERVERS,
+            ("constant", "linear", "square"),
+        )
         say(fit.line_of(name, found["slopes"][name], SERVERS))
     for one in by_servers:
-        say(f"    {one['servers']:6} servers: probes a second by sessions a second " + ", ".join(
-            f"{rate}: {sent:g}" for rate, sent in one["probes"].items()) + "; where all of them return " + ", ".join(
-            f"{rate}: {sent:g}" for rate, sent in one["probes_returning"].items()))
+        say(
+            f"    {one['servers']:6} servers: probes a second by sessions a second "
+            + ", ".join(f"{rate}: {sent:g}" for rate, sent in one["probes"].items())
+            + "; where all of them return "
+            + ", ".join(
+                f"{rate}: {sent:g}" for rate, sent in one["probes_returning"].items()
+            )
+        )
     return found
--- a/wheathill/lab/scale/visits.py
+++ b/wheathill/lab/scale/visits.py
@@ -15,8 +15,18 @@
 from wheathill.net.lines import END
 from wheathill.net.machine import Machine
 
-LIMITS = SimpleNamespace(line=8192, read=65536, sockets=1_000_000, spare_sockets=0, backlog=1024, accepts=64,
-                         accept_pause=10.0, keep_alive=600_000.0, linger=1000.0, buffer=65536)
+LIMITS = SimpleNamespace(
+    line=8192,
+    read=65536,
+    sockets=1_000_000,
+    spare_sockets=0,
+    backlog=1024,
+    accepts=64,
+    accept_pause=10.0,
+    keep_alive=600_000.0,
+    linger=1000.0,
+    buffer=65536,
+)
 
 
 class Served(Machine):
@@ -25,7 +35,7 @@
     def __init__(self, door, name, wire):
         super().__init__(door, LIMITS, door.clock)
         self.name, self.wire = name, wire
-        self.proxy = None       # number of the one whose session it is, once it is open
+        self.proxy = None  # number of the one whose session it is, once it is open
 
     def received(self, data):
         self.lines.feed(data)
@@ -56,7 +66,7 @@
 class Visit(Machine):
     """One session: opened, a line each `EVERY`, each answered in order, closed after `LASTS`."""
 
-    EVERY, LASTS, PATIENCE = 500.0, 8000.0, 5000.0      # ms
+    EVERY, LASTS, PATIENCE = 500.0, 8000.0, 5000.0  # ms
 
     def __init__(self, door, proxy, number, ends):
         super().__init__(door, LIMITS, door.clock)
@@ -67,8 +77,11 @@
         self.wire = door.carrier.connect(self, door.proxies[proxy])
 
     def connected(self):
-        self.wire.send(b"OPEN %d-%d k%d-%d c=all,d=%d" % (
-            self.proxy, self.number, self.proxy, self.number, self.PATIENCE), END)
+        self.wire.send(
+            b"OPEN %d-%d k%d-%d c=all,d=%d"
+            % (self.proxy, self.number, self.proxy, self.number, self.PATIENCE),
+            END,
+        )
 
     def received(self, data):
         self.lines.feed(data)
@@ -111,7 +124,13 @@
 
     def lost(self, reset):
         # Its proxy may have been killed: whoever killed it said so before.
-        self.end("died with its proxy" if self.proxy in self.door.down else "broken" if self.up else "failed")
+        self.end(
+            "died with its proxy"
+            if self.proxy in self.door.down
+            else "broken"
+            if self.up
+            else "failed"
+        )
 
     def fault(self):
         self.end("broken")
@@ -122,13 +141,13 @@
 
     def __init__(self, loop):
         self.loop = loop
-        self.counts = Counter()         # faults of this process
+        self.counts = Counter()  # faults of this process
         self.late = 0.0
         self.proxies, self.down = {}, {}
-        self.opens = []                 # (server, proxy, when) of each session that a server was asked for
-        self.open_at = {}               # connections that carry one
-        self.visits = {}                # that are not over
-        self.by_proxy = {}              # number -> how its visits went
+        self.opens = []  # (server, proxy, when) of each session that a server was asked for
+        self.open_at = {}  # connections that carry one
+        self.visits = {}  # that are not over
+        self.by_proxy = {}  # number -> how its visits went
         self.took, self.lines, self.last = [], 0, 0
 
     def call(self, order):
@@ -138,15 +157,21 @@
         self.counts[f"{event} {fields.get('what', '')}"] += 1
 
     def watch(self, due):
-        pass        # late answers here are late for visitors only
+        pass  # late answers here are late for visitors only
 
     def do_build(self, rate, servers, host, seed):
         """Returns "HOST:PORT" of each server."""
         self.clock = StretchedClock(self.loop, rate)
         self.carrier = Carrier(self.loop, LIMITS, raise_fault)
         self.random = random.Random(f"{seed}/visits").random
-        doors = [self.carrier.listen(lambda wire, name=name: Served(self, name, wire), (host, 0), lambda: True)
-                 for name in servers]
+        doors = [
+            self.carrier.listen(
+                lambda wire, name=name: Served(self, name, wire),
+                (host, 0),
+                lambda: True,
+            )
+            for name in servers
+        ]
         return ["%s:%d" % door.sock.getsockname() for door in doors]
 
     def do_begin(self, proxies, sessions):
@@ -183,8 +208,15 @@
 
     def do_judged(self):
         still = Counter(served.name for served in self.open_at)
-        return {"opens": self.opens, "took_ms": self.took, "lines": self.lines, "still": still,
-                "by_proxy": self.by_proxy, "open": len(self.visits), "counts": self.counts}
+        return {
+            "opens": self.opens,
+            "took_ms": self.took,
+            "lines": self.lines,
+            "still": still,
+            "by_proxy": self.by_proxy,
+            "open": len(self.visits),
+            "counts": self.counts,
+        }
 
 
 if __name__ == "__main__":
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -9,8 +9,8 @@
 from wheathill.net.client import Client
 from wheathill.net.lines import Head
 
-FOR = 2.0           # s of processor time, at most, for each figure
-MOST = 2000         # of what is timed
+FOR = 2.0  # s of processor time, at most, for each figure
+MOST = 2000  # of what is timed
 
 
 def at_connections(count, say):
@@ -20,12 +20,17 @@
         for number in range(count):
             take(here, listener, number)
         here.sweep()
-        found = {"connections": count, "sweep_ms": timed(here.sweep, times=5),
-                 "a_handshake_ids_ms": ids(here, listener, count)}
+        found = {
+            "connections": count,
+            "sweep_ms": timed(here.sweep, times=5),
+            "a_handshake_ids_ms": ids(here, listener, count),
+        }
     finally:
         loop.close()
-    say(f"{count:6} connections: {found['a_handshake_ids_ms']:.4f} ms at the ids of each that comes, "
-        f"{found['sweep_ms']:.3f} ms a sweep, so {found['sweep_ms'] * 1000 / here.limits.sweep / 10:.2f}% of a core")
+    say(
+        f"{count:6} connections: {found['a_handshake_ids_ms']:.4f} ms at the ids of each that comes, "
+        f"{found['sweep_ms']:.3f} ms a sweep, so {found['sweep_ms'] * 1000 / here.limits.sweep / 10:.2f}% of a core"
+    )
     return found
 
 
@@ -52,4 +57,7 @@
 def measure(counts, *, say):
     found = [at_connections(count, say) for count in counts]
     points = [(one["connections"], one["sweep_ms"]) for one in found]
-    return {"by_connections": found, "sweep_ms": fit.grown(points, counts[-1], ("constant", "linear"))}
+    return {
+        "by_connections": found,
+        "sweep_ms": fit.grown(points, counts[-1], ("constant", "linear")),
+    }
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -5,8 +5,8 @@
 from wheathill.net.machine import Machine
 from wheathill.peers.frames import Dropped, Seal
 
-NEIGHBOURS = 4          # busy processes beside a starved one
-STRANGE = 200           # messages of a stranger
+NEIGHBOURS = 4  # busy processes beside a starved one
+STRANGE = 200  # messages of a stranger
 
 
 class PeerFaults:
@@ -27,7 +27,10 @@
     def counted(self, ways, *kinds):
         """What is done to these ways from now on."""
         before = [sum(way.seen[kind] for kind in kinds) for way in ways]
-        return lambda: sum(sum(way.seen[kind] for kind in kinds) - was for way, was in zip(ways, before))
+        return lambda: sum(
+            sum(way.seen[kind] for kind in kinds) - was
+            for way, was in zip(ways, before)
+        )
 
     def proof_proxy_kill(self, event, on):
         process = self.seats[on].process
@@ -40,8 +43,10 @@
         return lambda: int(seat.state() == "T" or not seat.running)
 
     def proof_kill(self, event, on):
-        return lambda: sum(kind == "host" and fields["name"] == on and fields["state"] == "killed"
-                           for _, kind, fields in self.record.events)
+        return lambda: sum(
+            kind == "host" and fields["name"] == on and fields["state"] == "killed"
+            for _, kind, fields in self.record.events
+        )
 
     def proof_back(self, event, on):
         return lambda: int(self.gateways[on].host.alive)
@@ -50,7 +55,10 @@
         return lambda: int(self.gateways[on].host.silent)
 
     def proof_drain(self, event, on):
-        return lambda: sum(kind == "told" and fields["server"] == on for _, kind, fields in self.record.events)
+        return lambda: sum(
+            kind == "told" and fields["server"] == on
+            for _, kind, fields in self.record.events
+        )
 
     def proof_slow(self, event, on):
         return lambda: int(self.gateways[on].slower != 1.0)
@@ -78,16 +86,31 @@
 
     def do_link(self, event, on):
         """Between each of `on` and each of `with`: cut, or what its fields say."""
-        ways = self.world.ways.between(expand(self.script, on), expand(self.script, event.with_), event.one_way)
-        kinds = [kind for kind, set_ in (
-            ("cut", event.cut), ("lost", event.loss), ("late", event.wait_ms), ("doubled", event.doubled),
-            ("overtaken", event.overtaken), ("spoilt", event.spoilt), ("crawled", event.crawl),
-            ("stream " + event.then, event.then != "on")) if set_]
+        ways = self.world.ways.between(
+            expand(self.script, on), expand(self.script, event.with_), event.one_way
+        )
+        kinds = [
+            kind
+            for kind, set_ in (
+                ("cut", event.cut),
+                ("lost", event.loss),
+                ("late", event.wait_ms),
+                ("doubled", event.doubled),
+                ("overtaken", event.overtaken),
+                ("spoilt", event.spoilt),
+                ("crawled", event.crawl),
+                ("stream " + event.then, event.then != "on"),
+            )
+            if set_
+        ]
         self.proofs[id(event)] = event, self.counted(ways, *kinds)
         if event.cut:
             self.world.ways.cut(ways, True)
-        changes = {field: getattr(event, field) for field in ("loss", "wait_ms", "doubled", "overtaken", "spoilt",
-                                                              "crawl") if getattr(event, field)}
+        changes = {
+            field: getattr(event, field)
+            for field in ("loss", "wait_ms", "doubled", "overtaken", "spoilt", "crawl")
+            if getattr(event, field)
+        }
         if event.then != "on":
             changes.update(then=event.then, after=event.bytes)
         undo = self.world.ways.change(ways, changes)
@@ -96,11 +119,14 @@
             undo()
             if event.cut:
                 self.world.ways.cut(ways, False)
+
         return mend
 
     def do_link_flap(self, event, on):
         """Cut and whole by turns of `within_s`, cut for `share` of each."""
-        ways = self.world.ways.between(expand(self.script, on), expand(self.script, event.with_), event.one_way)
+        ways = self.world.ways.between(
+            expand(self.script, on), expand(self.script, event.with_), event.one_way
+        )
         self.proofs[id(event)] = event, self.counted(ways, "cut")
         turn, state = event.within_s * 1000, {"cut": False, "over": False}
 
@@ -109,12 +135,16 @@
                 state["cut"] = cut
                 self.world.ways.cut(ways, cut)
             if not state["over"]:
-                self.clock.after(turn * (event.share if cut else 1 - event.share), change, not cut)
+                self.clock.after(
+                    turn * (event.share if cut else 1 - event.share), change, not cut
+                )
+
         change(True)
 
         def mend():
             change(False)
             state["over"] = True
+
         return mend
 
     def do_split(self, event, on):
@@ -122,11 +152,18 @@
         parts = [expand(self.script, part) for part in event.parts]
         ways, pairs = [], []
         for place, part in enumerate(parts):
-            for other in parts[place + 1:]:
-                ways += self.world.ways.between([name for name in part if name in self.seats],
-                                                [name for name in other if name in self.seats], False)
-                pairs += [(one, two) for one in part for two in other
-                          if (one in self.seats) is not (two in self.seats)]
+            for other in parts[place + 1 :]:
+                ways += self.world.ways.between(
+                    [name for name in part if name in self.seats],
+                    [name for name in other if name in self.seats],
+                    False,
+                )
+                pairs += [
+                    (one, two)
+                    for one in part
+                    for two in other
+                    if (one in self.seats) is not (two in self.seats)
+                ]
         self.proofs[id(event)] = event, self.counted(ways, "cut")
         self.world.ways.cut(ways, True)
         for one, two in pairs:
@@ -137,22 +174,31 @@
             self.world.ways.cut(ways, False)
             for one, two in pairs:
                 self.world.mend(one, two)
+
         return mend
 
     def do_ring(self, event, on):
         """Each is heard by the next one alone."""
         names = expand(self.script, on)
         follows = dict(zip(names, [*names[1:], names[0]]))
-        ways = [self.world.ways.way(one, other) for one in names for other in names
-                if one != other and follows[one] != other]
+        ways = [
+            self.world.ways.way(one, other)
+            for one in names
+            for other in names
+            if one != other and follows[one] != other
+        ]
         self.proofs[id(event)] = event, self.counted(ways, "cut")
         self.world.ways.cut(ways, True)
         return lambda: self.world.ways.cut(ways, False)
 
     def do_replay(self, event, on):
         """Recorded from now on; all of it comes once more when `for_s` is over."""
-        ways = [(one, other) for one in expand(self.script, on) for other in expand(self.script, event.with_)
-                if one != other]
+        ways = [
+            (one, other)
+            for one in expand(self.script, on)
+            for other in expand(self.script, event.with_)
+            if one != other
+        ]
         for pair in ways:
             self.world.ways.way(*pair).kept = []
 
@@ -162,6 +208,7 @@
                 self.world.ways.way(*pair).kept = None
             count = sum(self.world.ways.way(*pair).seen["replayed"] for pair in ways)
             self.record.note("effect", do="replay", on=on, count=count)
+
         return again
 
     def do_proxy_starve(self, event, on):
@@ -176,15 +223,24 @@
         """Somebody who knows an instance's address, and perhaps the key, sends what it likes."""
         with open(self.world.key, "rb") as source:
             key = source.read() if event.key else b"not the cluster's key"
-        Stranger(self.world, list(self.seats), on, Seal("lab", key, "stranger", 7),
-                 self.chance("stranger")).begin()
+        Stranger(
+            self.world,
+            list(self.seats),
+            on,
+            Seal("lab", key, "stranger", 7),
+            self.chance("stranger"),
+        ).begin()
         return None
 
     def watch_message(self, one, kind):
         for event in list(self.armed):
             match = event.when and SENT.fullmatch(event.when)
-            if match and match["proxy"] == one and match["kind"] == kind and \
-                    self.world.ways.sent[one, kind] >= int(match["count"]):
+            if (
+                match
+                and match["proxy"] == one
+                and match["kind"] == kind
+                and self.world.ways.sent[one, kind] >= int(match["count"])
+            ):
                 self.armed.remove(event)
                 self.clock.soon(self.happen, event, None, one)
 
@@ -210,10 +266,23 @@
         self.say()
 
     def say(self):
-        lies = [["dead", name, "127.0.0.1:9", 1 << 40, 1, "stranger"] for name in self.members]
-        words = [["", True, 1.0, ["ping", 1, "stranger", lies]], ["", True, 1.0, ["state", lies]], ["hello"], ["", True],
-                 ["", True, 1.0, ["seen", [["g1", 0, 0.0]]]], ["", True, 1e300, ["starts", [["g1", 1e18]]]]]
-        frame = self.seal.close(self.birth, words[self.sent % len(words)]) if self.sent % 7 else self.randbytes(60)
+        lies = [
+            ["dead", name, "127.0.0.1:9", 1 << 40, 1, "stranger"]
+            for name in self.members
+        ]
+        words = [
+            ["", True, 1.0, ["ping", 1, "stranger", lies]],
+            ["", True, 1.0, ["state", lies]],
+            ["hello"],
+            ["", True],
+            ["", True, 1.0, ["seen", [["g1", 0, 0.0]]]],
+            ["", True, 1e300, ["starts", [["g1", 1e18]]]],
+        ]
+        frame = (
+            self.seal.close(self.birth, words[self.sent % len(words)])
+            if self.sent % 7
+            else self.randbytes(60)
+        )
         end = next(end for name, end in self.world.ways.ends.items() if name != self.on)
         end.put(frame, self.world.peers[self.on][0])
         self.sent += 1
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -6,22 +6,74 @@
 from msgspec import Meta, field
 
 from wheathill.config import Misconfigured, checked
-from wheathill.config.operator import Count, ListenerTable, Ms, Name, Price, Seconds, Share, Table, Wait
+from wheathill.config.operator import (
+    Count,
+    ListenerTable,
+    Ms,
+    Name,
+    Price,
+    Seconds,
+    Share,
+    Table,
+    Wait,
+)
 
 Times = Annotated[float, Meta(gt=0, le=1000)]
 Many = Annotated[int, Meta(ge=1, le=100_000)]
-Span = Annotated[list[Times], Meta(min_length=2, max_length=2)]     # from, to
-
-ON_GATEWAY = ("silent", "pause", "kill", "back", "erring", "slow", "drain", "list-lies", "by-hand",
-              "untrue", "flap")
-ON_PROXY = ("proxy-kill", "proxy-roll", "proxy-pause", "proxy-reload", "proxy-upgrade", "callers")
-ON_ALL = ("store-slower", "herd", "list-unreachable", "list-torn", "list-restarted", "list-moved", "costly",
-          "partition", "way", "cut")
+Span = Annotated[list[Times], Meta(min_length=2, max_length=2)]  # from, to
+
+ON_GATEWAY = (
+    "silent",
+    "pause",
+    "kill",
+    "back",
+    "erring",
+    "slow",
+    "drain",
+    "list-lies",
+    "by-hand",
+    "untrue",
+    "flap",
+)
+ON_PROXY = (
+    "proxy-kill",
+    "proxy-roll",
+    "proxy-pause",
+    "proxy-reload",
+    "proxy-upgrade",
+    "callers",
+)
+ON_ALL = (
+    "store-slower",
+    "herd",
+    "list-unreachable",
+    "list-torn",
+    "list-restarted",
+    "list-moved",
+    "costly",
+    "partition",
+    "way",
+    "cut",
+)
 # Between instances that are processes and know their peers; ON_SETS name several with commas between, or a zone.
 ON_SETS = ("link", "link-flap", "ring", "replay")
 ON_PEERS = (*ON_SETS, "split", "proxy-starve", "stranger")
-PROVEN = (*ON_PEERS, "proxy-kill", "proxy-roll", "proxy-pause", "kill", "back", "silent", "drain", "slow",
-          "store-slower", "list-unreachable", "list-lies", "herd", "partition")
+PROVEN = (
+    *ON_PEERS,
+    "proxy-kill",
+    "proxy-roll",
+    "proxy-pause",
+    "kill",
+    "back",
+    "silent",
+    "drain",
+    "slow",
+    "store-slower",
+    "list-unreachable",
+    "list-lies",
+    "herd",
+    "partition",
+)
 NEEDS_FACTOR = ("slow", "store-slower", "costly", "untrue")
 
 
@@ -40,7 +92,7 @@
     cross_ms: Wait = 4.0
     client_ms: Wait = 0.7
     jitter: Price = 0.2
-    hop_ms: Wait = 0.2      # virtual only: what a delivery costs beside the way, as measured on loopback
+    hop_ms: Wait = 0.2  # virtual only: what a delivery costs beside the way, as measured on loopback
 
 
 class Gateways(Table):
@@ -63,9 +115,11 @@
     fall_window_ms: Ms = 1000.0
     falls_at: Times = 2.5
     report_ms: Ms = 200.0
-    tells_load: bool = False        # each connection's load, on a line after UP
+    tells_load: bool = False  # each connection's load, on a line after UP
     weight: Times = 1.0
-    weight_error: Span | None = None    # each registers its weight times a factor drawn between; None: as it is
+    weight_error: Span | None = (
+        None  # each registers its weight times a factor drawn between; None: as it is
+    )
 
 
 class StoreTable(Table):
@@ -90,11 +144,15 @@
     weights: Literal["registered", "off"] = "registered"
     packets_pass: bool = False
     restart_s: Seconds | None = 1.0
-    peers: bool = False     # processes only: they know one another
+    peers: bool = False  # processes only: they know one another
     roster: bool = False
-    zoned: bool = False     # whole views within a zone only; each zone is a region of its own
+    zoned: bool = (
+        False  # whole views within a zone only; each zone is a region of its own
+    )
     seeds: Many = 3
-    meant: Annotated[int, Meta(ge=1, le=100_000)] | None = None     # as the file says; the count where left out
+    meant: Annotated[int, Meta(ge=1, le=100_000)] | None = (
+        None  # as the file says; the count where left out
+    )
     period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 200.0
     patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 80.0
 
@@ -104,9 +162,11 @@
 
     on: Name
     cluster: Name | None = None
-    key: bool = False           # another one
-    version: bool = False       # of what instances say to one another
-    claims: Name | None = None  # the name of another, under which it speaks to its peers
+    key: bool = False  # another one
+    version: bool = False  # of what instances say to one another
+    claims: Name | None = (
+        None  # the name of another, under which it speaks to its peers
+    )
 
 
 class Instance(Table):
@@ -120,17 +180,21 @@
 class Fleet(Table):
     """What is judged of instances that know their peers, in ms."""
 
-    agree_ms: Ms = 5000.0       # after the last fault's end all views are equal
-    false_ms: Ms = 2000.0       # no longer is one held dead that answered before, or only stands still
-    told_ms: Ms = 1000.0        # until all that can be reached know of a drain
-    known_ms: Ms = 8000.0       # until a death is known to all that can know it
-    apart_ms: Ms = 8000.0       # until a zone says that it is cut off from all others
+    agree_ms: Ms = 5000.0  # after the last fault's end all views are equal
+    false_ms: Ms = (
+        2000.0  # no longer is one held dead that answered before, or only stands still
+    )
+    told_ms: Ms = 1000.0  # until all that can be reached know of a drain
+    known_ms: Ms = 8000.0  # until a death is known to all that can know it
+    apart_ms: Ms = 8000.0  # until a zone says that it is cut off from all others
 
 
 class FrontTable(Table):
     notice_ms: Wait = 1500.0
     ask_ms: Ms = 100.0
-    shares: Span | None = None      # what a proxy gets beside the others of its zone, drawn between; None: alike
+    shares: Span | None = (
+        None  # what a proxy gets beside the others of its zone, drawn between; None: alike
+    )
 
 
 class Clients(Table):
@@ -154,7 +218,9 @@
     tries: Many = 5
     returns: bool = True
     leaves: Share = 0.0
-    load_sigma: Annotated[float, Meta(ge=0, le=3)] = 0.0    # of the logarithm of a session's load, by mean 1
+    load_sigma: Annotated[float, Meta(ge=0, le=3)] = (
+        0.0  # of the logarithm of a session's load, by mean 1
+    )
 
 
 class Event(Table):
@@ -174,14 +240,14 @@
     then: Literal["on", "reset", "half-open"] = "on"
     times: Many = 1
     leaves_s: Seconds = 3.0
-    parts: list[Name] = []      # of a split: each with commas between its names
+    parts: list[Name] = []  # of a split: each with commas between its names
     cut: bool = False
     loss: Share = 0.0
     doubled: Share = 0.0
     overtaken: Share = 0.0
     spoilt: Share = 0.0
-    crawl: Count = 0            # of streams, bytes a second
-    key: bool = False           # a stranger that has the cluster's key
+    crawl: Count = 0  # of streams, bytes a second
+    key: bool = False  # a stranger that has the cluster's key
 
 
 class Script(Table):
@@ -209,8 +275,12 @@
 HOLDS = re.compile(r"(?P<on>[!-~]+) holds (?P<count>[0-9]+) sessions")
 BETWEEN = re.compile(r"between OPEN and UP of the next session(?: at (?P<on>[!-~]+))?")
 ASKED = re.compile(r"(?P<count>[0-9]+) sessions were asked for")
-SAYS = re.compile(r"(?P<proxy>[!-~]+) (?P<what>suspects|buries|meets) (?P<other>[!-~]+)")
-SENT = re.compile(r"(?P<proxy>[!-~]+) has sent (?P<count>[0-9]+) messages of kind (?P<kind>[!-~]+)")
+SAYS = re.compile(
+    r"(?P<proxy>[!-~]+) (?P<what>suspects|buries|meets) (?P<other>[!-~]+)"
+)
+SENT = re.compile(
+    r"(?P<proxy>[!-~]+) has sent (?P<count>[0-9]+) messages of kind (?P<kind>[!-~]+)"
+)
 CONDITIONS = (HOLDS, BETWEEN, ASKED, SAYS, SENT)
 SAID = {"suspects": "suspect", "buries": "dead", "meets": "alive"}
 
@@ -221,7 +291,9 @@
     for kind in script.gateways:
         for number in range(1, kind.count + 1):
             zone = kind.zone or script.zones[(number - 1) % len(script.zones)]
-            found.append((f"{kind.name}{number}", kind, zone, (number - 1) % kind.cells))
+            found.append(
+                (f"{kind.name}{number}", kind, zone, (number - 1) % kind.cells)
+            )
     return found
 
 
@@ -236,9 +308,20 @@
         if word == "all":
             found.update(dict.fromkeys(proxy_names(script)))
         elif word in script.zones:
-            found.update({name: None for place, name in enumerate(proxy_names(script))
-                          if script.zones[place % len(script.zones)] == word})
-            found.update({name: None for name, _, zone, _ in gateway_names(script) if zone == word})
+            found.update(
+                {
+                    name: None
+                    for place, name in enumerate(proxy_names(script))
+                    if script.zones[place % len(script.zones)] == word
+                }
+            )
+            found.update(
+                {
+                    name: None
+                    for name, _, zone, _ in gateway_names(script)
+                    if zone == word
+                }
+            )
         else:
             found[word] = None
     return list(found)
@@ -247,16 +330,29 @@
 def peer_faults(event, at, script, gateways, proxies):
     if not script.proxies.peers:
         yield f"{at}.do: {event.do} needs proxies.peers"
-    named = {"on": event.on, "with": event.with_, **{f"parts[{place}]": part
-                                                    for place, part in enumerate(event.parts)}}
+    named = {
+        "on": event.on,
+        "with": event.with_,
+        **{f"parts[{place}]": part for place, part in enumerate(event.parts)},
+    }
     for key, text in named.items():
         for name in expand(script, text) if text else ():
             if name not in proxies and not (event.do == "split" and name in gateways):
-                yield f"{at}.{key}: {name!r} is no proxy" + (" or gateway" if event.do == "split" else "")
+                yield f"{at}.{key}: {name!r} is no proxy" + (
+                    " or gateway" if event.do == "split" else ""
+                )
     if event.do == "split" and len(event.parts) < 2:
         yield f"{at}.parts: needs two at least"
-    if event.do == "link" and not (event.cut or event.loss or event.doubled or event.overtaken or event.spoilt
-                                   or event.wait_ms or event.crawl or event.then != "on"):
+    if event.do == "link" and not (
+        event.cut
+        or event.loss
+        or event.doubled
+        or event.overtaken
+        or event.spoilt
+        or event.wait_ms
+        or event.crawl
+        or event.then != "on"
+    ):
         yield f"{at}: a link that nothing befalls"
     if event.do in ("link", "link-flap", "replay") and not event.with_:
         yield f"{at}.with: is missing"
@@ -265,10 +361,16 @@
 def contradictions(script):
     gateways = [name for name, *_ in gateway_names(script)]
     proxies = proxy_names(script)
-    for what, names in (("gateways", gateways), ("listener", [item.name for item in script.listener]),
-                        ("clients", [item.name for item in script.clients]), ("zones", script.zones),
-                        ("desk", script.desk)):
-        for name in dict.fromkeys(name for place, name in enumerate(names) if name in names[:place]):
+    for what, names in (
+        ("gateways", gateways),
+        ("listener", [item.name for item in script.listener]),
+        ("clients", [item.name for item in script.clients]),
+        ("zones", script.zones),
+        ("desk", script.desk),
+    ):
+        for name in dict.fromkeys(
+            name for place, name in enumerate(names) if name in names[:place]
+        ):
             yield f"{what}: {name!r} stands twice"
     if script.proxies.zoned and (not script.proxies.peers or script.proxies.roster):
         yield "proxies.zoned: needs proxies.peers, without a roster"
@@ -282,14 +384,18 @@
             yield f"gateways[{place}].zone: {kind.zone!r} is not one of zones"
         if kind.weight_error and kind.weight_error[0] > kind.weight_error[1]:
             yield f"gateways[{place}].weight_error: from {kind.weight_error[0]:g} to less, {kind.weight_error[1]:g}"
-    if script.proxies.weights == "off" and any(kind.weight_error for kind in script.gateways):
-        yield "gateways: a weight_error needs proxies.weights = \"registered\""
+    if script.proxies.weights == "off" and any(
+        kind.weight_error for kind in script.gateways
+    ):
+        yield 'gateways: a weight_error needs proxies.weights = "registered"'
     if script.front.shares and script.front.shares[0] > script.front.shares[1]:
         yield f"front.shares: from {script.front.shares[0]:g} to less, {script.front.shares[1]:g}"
     for place, crowd in enumerate(script.clients):
         at = f"clients[{place}]"
         if crowd.listener not in listeners:
-            yield f"{at}.listener: {crowd.listener!r} is none of " + ", ".join(sorted(listeners))
+            yield f"{at}.listener: {crowd.listener!r} is none of " + ", ".join(
+                sorted(listeners)
+            )
         if crowd.desk is not None and script.desk and crowd.desk not in script.desk:
             yield f"{at}.desk: {crowd.desk!r} is none of " + ", ".join(script.desk)
         if crowd.zone is not None and crowd.zone not in script.zones:
@@ -306,8 +412,12 @@
         if not (odd.cluster or odd.key or odd.version or odd.claims):
             yield f"odd[{place}]: nothing in which it differs"
     down = {}
-    for place, event in sorted(enumerate(script.event), key=lambda item: (item[1].at_s or 0.0, item[0])):
-        yield from event_faults(event, f"event[{place}]", script, gateways, proxies, down)
+    for place, event in sorted(
+        enumerate(script.event), key=lambda item: (item[1].at_s or 0.0, item[0])
+    ):
+        yield from event_faults(
+            event, f"event[{place}]", script, gateways, proxies, down
+        )
 
 
 def event_faults(event, at, script, gateways, proxies, down):
@@ -315,13 +425,21 @@
         yield f"{at}: needs one of at_s and when"
     if event.at_s is not None and event.at_s >= script.seconds:
         yield f"{at}.at_s: {event.at_s:g} is past the script's end, {script.seconds:g}"
-    if event.at_s is not None and event.for_s and event.at_s + event.for_s > script.seconds:
+    if (
+        event.at_s is not None
+        and event.for_s
+        and event.at_s + event.for_s > script.seconds
+    ):
         yield f"{at}.for_s: lasts past the script's end, {script.seconds:g}"
-    match = event.when and next(filter(None, (form.fullmatch(event.when) for form in CONDITIONS)), None)
+    match = event.when and next(
+        filter(None, (form.fullmatch(event.when) for form in CONDITIONS)), None
+    )
     if event.when and not match:
-        yield f"{at}.when: {event.when!r} is none of 'NAME holds N sessions', 'between OPEN and UP of the " \
-              f"next session [at NAME]', 'N sessions were asked for', 'NAME suspects|buries|meets NAME', " \
-              f"'NAME has sent N messages of kind K'"
+        yield (
+            f"{at}.when: {event.when!r} is none of 'NAME holds N sessions', 'between OPEN and UP of the "
+            f"next session [at NAME]', 'N sessions were asked for', 'NAME suspects|buries|meets NAME', "
+            f"'NAME has sent N messages of kind K'"
+        )
     if match and match.re in (SAYS, SENT):
         if not script.proxies.peers:
             yield f"{at}.when: needs proxies.peers"
@@ -338,14 +456,28 @@
         yield f"{at}.when: {named!r} is no gateway"
     if match and match.re is BETWEEN:
         named = named or "the session's own"
-    known = gateways if event.do in ON_GATEWAY else proxies if event.do in ON_PROXY else gateways + proxies
+    known = (
+        gateways
+        if event.do in ON_GATEWAY
+        else proxies
+        if event.do in ON_PROXY
+        else gateways + proxies
+    )
     if event.do == "way":
         known = known + script.zones
-    if event.on is None and event.do in (*ON_GATEWAY, *ON_PROXY, "cut", "partition", "way") and not named:
+    if (
+        event.on is None
+        and event.do in (*ON_GATEWAY, *ON_PROXY, "cut", "partition", "way")
+        and not named
+    ):
         yield f"{at}.on: {event.do} needs to know on what"
     if event.on is not None and event.do in ("store-slower", "herd", "costly"):
         yield f"{at}.on: {event.do} concerns all"
-    elif event.on is not None and event.on not in known and not (event.do == "cut" and event.on == "clients"):
+    elif (
+        event.on is not None
+        and event.on not in known
+        and not (event.do == "cut" and event.on == "clients")
+    ):
         yield f"{at}.on: {event.on!r} is none of {known[0]} to {known[-1]}"
     if event.do == "partition" and event.with_ not in gateways + proxies:
         yield f"{at}.with: {event.with_!r} is neither a gateway nor a proxy"
@@ -362,8 +494,12 @@
             down[event.on] = at
     elif event.do == "back":
         down.pop(event.on, None)
-        if not any(other is not event and other.on == event.on and (other.at_s or 0.0) <= event.at_s
-                   for other in script.event):
+        if not any(
+            other is not event
+            and other.on == event.on
+            and (other.at_s or 0.0) <= event.at_s
+            for other in script.event
+        ):
             yield f"{at}: nothing has befallen {event.on} before"
 
 
@@ -383,6 +519,10 @@
         *way, last = key.split(".")
         place = values
         for step in way:
-            place = place[int(step)] if isinstance(place, list) else place.setdefault(step, {})
+            place = (
+                place[int(step)]
+                if isinstance(place, list)
+                else place.setdefault(step, {})
+            )
         place[int(last) if isinstance(place, list) else last] = value
     return script_of(values)
--- a/wheathill/lab/scripts/record.py
+++ b/wheathill/lab/scripts/record.py
@@ -15,18 +15,27 @@
 
     def __init__(self):
         self.all = HdrHistogram(LOWEST_US, HIGHEST_US, DIGITS)
-        self.by_second = {}     # second -> samples in ms
+        self.by_second = {}  # second -> samples in ms
 
     def add(self, now, ms):
         self.all.record_value(max(LOWEST_US, int(ms * 1000)))
         self.by_second.setdefault(int(now // 1000), []).append(ms)
 
     def percentile(self, share):
-        return self.all.get_value_at_percentile(share) / 1000 if self.all.total_count else None
+        return (
+            self.all.get_value_at_percentile(share) / 1000
+            if self.all.total_count
+            else None
+        )
 
     def figures(self):
-        return {"count": self.all.total_count, **{f"p{share:g}": self.percentile(share)
-                                                  for share in (50.0, 90.0, 99.0, 100.0)}}
+        return {
+            "count": self.all.total_count,
+            **{
+                f"p{share:g}": self.percentile(share)
+                for share in (50.0, 90.0, 99.0, 100.0)
+            },
+        }
 
 
 class Record:
@@ -39,9 +48,9 @@
         self.counts = Counter()
         self.handshakes = Latencies()
         self.messages = Latencies()
-        self.series = {}        # name -> [(ms, figure)]
+        self.series = {}  # name -> [(ms, figure)]
         self.digest = hashlib.blake2b(digest_size=16)
-        self.watchers = []      # called with each event: conditions of the script wait for some
+        self.watchers = []  # called with each event: conditions of the script wait for some
 
     def note(self, kind, **fields):
         event = (self.clock.now(), kind, fields)
@@ -51,8 +60,10 @@
 
     def log(self, name):
         """A proxy's log, as its Log takes it."""
+
         def note(event, **fields):
             self.note("log", node=name, event=event, **fields)
+
         return note
 
     def handshake(self, ms):
@@ -71,8 +82,11 @@
     def lines(self):
         """The event log, one JSON line an event."""
         for now, kind, fields in self.events:
-            yield orjson.dumps({"ms": now, "kind": kind, **fields}, default=str,
-                               option=orjson.OPT_APPEND_NEWLINE)
+            yield orjson.dumps(
+                {"ms": now, "kind": kind, **fields},
+                default=str,
+                option=orjson.OPT_APPEND_NEWLINE,
+            )
 
     def fingerprint(self):
         """Of every event and every message's latency."""
--- a/wheathill/lab/scripts/run.py
+++ b/wheathill/lab/scripts/run.py
@@ -21,39 +21,66 @@
         self.scene = scene
         self.breaches = found
         self.figures = {
-            "script": scene.script.name, "seed": scene.seed, "world": scene.world.name,
-            "policy": scene.policy, "seconds": scene.script.seconds, "took_s": round(took, 3),
+            "script": scene.script.name,
+            "seed": scene.seed,
+            "world": scene.world.name,
+            "policy": scene.policy,
+            "seconds": scene.script.seconds,
+            "took_s": round(took, 3),
             "counts": counts(record),
-            "handshake_ms": record.handshakes.figures(), "message_ms": record.messages.figures(),
+            "handshake_ms": record.handshakes.figures(),
+            "message_ms": record.messages.figures(),
             "full_service": full_service(record.events, scene.clock.now()),
-            "breaches": [breach.told() for breach in found], "fingerprint": record.fingerprint()}
+            "breaches": [breach.told() for breach in found],
+            "fingerprint": record.fingerprint(),
+        }
         cold = ColdServers([], {}, 0.0, **scene.cold_rule())
         for event in record.events:
             cold.see(*event)
         if cold.over is not None:
-            self.figures["fleet"] = {"largest_multiple": round(cold.largest, 2), "over_cold_bound": round(cold.over, 2)}
+            self.figures["fleet"] = {
+                "largest_multiple": round(cold.largest, 2),
+                "over_cold_bound": round(cold.over, 2),
+            }
         if scene.script.proxies.peers:
             from wheathill.lab.judging.fleet import timing
-            self.figures["fleet"] = {**timing(record.events), **self.figures.get("fleet", {"largest_multiple": 0.0})}
+
+            self.figures["fleet"] = {
+                **timing(record.events),
+                **self.figures.get("fleet", {"largest_multiple": 0.0}),
+            }
         if scene.world.spent:
             self.figures["spent"] = scene.world.spent
 
     def save(self, path):
         with open(path, "wb") as out:
-            out.write(orjson.dumps(self.figures, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE))
+            out.write(
+                orjson.dumps(
+                    self.figures, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
+                )
+            )
 
 
-def play(script, seed=None, world="virtual", policy="module", proxy=Proxy, program=None):
+def play(
+    script, seed=None, world="virtual", policy="module", proxy=Proxy, program=None
+):
     """`proxy`, `program`: what stands in for the proxy's class, or for the words that start its process."""
     seed = script.seed if seed is None else seed
     net = script.network
-    network = {"same": net.same_ms, "cross": net.cross_ms, "client": net.client_ms, "jitter": net.jitter}
+    network = {
+        "same": net.same_ms,
+        "cross": net.cross_ms,
+        "client": net.client_ms,
+        "jitter": net.jitter,
+    }
     if world == "sockets":
         # There each delivery costs what it costs.
         from wheathill.lab.worlds.sockets import SocketWorld
+
         place = SocketWorld(seed, network)
     elif world == "processes":
         from wheathill.lab.worlds.processes import ProcessWorld
+
         place = ProcessWorld(seed, network, stand_in_limits(script), program)
     else:
         place = VirtualWorld(seed, {**network, "hop": net.hop_ms}, proxy=proxy)
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -19,7 +19,16 @@
 from wheathill.lab.judging.judges import judge
 from wheathill.lab.scripts.faults import PeerFaults
 from wheathill.lab.scripts.language import (
-    ASKED, BETWEEN, HOLDS, PROVEN, SAID, SAYS, SENT, gateway_names, proxy_names)
+    ASKED,
+    BETWEEN,
+    HOLDS,
+    PROVEN,
+    SAID,
+    SAYS,
+    SENT,
+    gateway_names,
+    proxy_names,
+)
 from wheathill.lab.scripts.record import Record
 from wheathill.lab.worlds.tap import Cut
 
@@ -30,8 +39,15 @@
 def stand_in_limits(script):
     """Stand-ins take what comes: only proxies are held to limits here."""
     longest = max(item.dial_timeout_ms for item in script.listener)
-    return Limits(sockets=200_000, connect=10_000.0, longest_dial=longest, idle=60_000.0, backlog=4096,
-                  accepts=64, keep_alive=600_000.0)
+    return Limits(
+        sockets=200_000,
+        connect=10_000.0,
+        longest_dial=longest,
+        idle=60_000.0,
+        backlog=4096,
+        accepts=64,
+        keep_alive=600_000.0,
+    )
 
 
 class Scene(PeerFaults):
@@ -43,12 +59,12 @@
         self.record = world.record = Record(self.clock)
         self.seed = seed
         self.limits = stand_in_limits(script)
-        self.sessions = {}          # session -> its proxy
-        self.session_loads = {}     # session -> its load at its server, by mean 1
-        self.armed = []             # events that wait for a condition
+        self.sessions = {}  # session -> its proxy
+        self.session_loads = {}  # session -> its load at its server, by mean 1
+        self.armed = []  # events that wait for a condition
         self.asked = 0
-        self.restarts = {}          # proxy -> alarms of its roll
-        self.proofs = {}            # id of an event -> (event, how it is counted whether it took effect)
+        self.restarts = {}  # proxy -> alarms of its roll
+        self.proofs = {}  # id of an event -> (event, how it is counted whether it took effect)
         self.record.watchers.append(self.watch)
         self.build()
 
@@ -58,71 +74,135 @@
 
     def drawn(self, part, span):
         """A factor between the two of `span`, as likely to be half as double; 1 without one."""
-        return 1.0 if span is None else math.exp(self.chance(part).uniform(*map(math.log, span)))
+        return (
+            1.0
+            if span is None
+            else math.exp(self.chance(part).uniform(*map(math.log, span)))
+        )
 
     def build(self):
         script, world, record = self.script, self.world, self.record
         store = script.store
-        self.store = Store(self.clock, self.chance("store"), record, at_once=store.at_once,
-                           call_ms=store.call_ms, queue=store.queue)
+        self.store = Store(
+            self.clock,
+            self.chance("store"),
+            record,
+            at_once=store.at_once,
+            call_ms=store.call_ms,
+            queue=store.queue,
+        )
         self.registry = Registry(self.clock, record, script.discovery.late_ms, 2000.0)
         self.gateways, self.kinds, memories = {}, {}, {}
-        peers = [(name, script.zones[place % len(script.zones)])
-                 for place, name in enumerate(proxy_names(script))]
+        peers = [
+            (name, script.zones[place % len(script.zones)])
+            for place, name in enumerate(proxy_names(script))
+        ]
         for name, kind, zone, cell in gateway_names(script):
             host = world.host(name, zone, self.limits, peers)
             dedup = {}
             for item in script.listener:
                 if item.repeat == "referenced":
                     group = {"all": None, "zone": zone, "cell": cell}[item.scope]
-                    dedup[item.name] = item.window_s * 1000, memories.setdefault((item.name, group), {})
+                    dedup[item.name] = (
+                        item.window_s * 1000,
+                        memories.setdefault((item.name, group), {}),
+                    )
             gateway = self.gateways[name] = Gateway(
-                name, host, self.limits, record, self.chance(name), self.store, dedup,
-                cores=kind.cores, speed=kind.speed, queue=kind.queue, setup_ms=kind.setup_ms,
-                line_ms=kind.line_ms, probe_ms=kind.probe_ms, holds=kind.holds, warm_from=kind.warm_from,
+                name,
+                host,
+                self.limits,
+                record,
+                self.chance(name),
+                self.store,
+                dedup,
+                cores=kind.cores,
+                speed=kind.speed,
+                queue=kind.queue,
+                setup_ms=kind.setup_ms,
+                line_ms=kind.line_ms,
+                probe_ms=kind.probe_ms,
+                holds=kind.holds,
+                warm_from=kind.warm_from,
                 warm_s=kind.warm_s,
-                falls_over=kind.falls_over, fall_window_ms=kind.fall_window_ms, falls_at=kind.falls_at,
-                report_ms=kind.report_ms, fields=FIELDS,
-                keeps_ms=10_000.0 if script.proxies.packets_pass else 0.0, session_loads=self.session_loads,
-                tells_load=kind.tells_load)
+                falls_over=kind.falls_over,
+                fall_window_ms=kind.fall_window_ms,
+                falls_at=kind.falls_at,
+                report_ms=kind.report_ms,
+                fields=FIELDS,
+                keeps_ms=10_000.0 if script.proxies.packets_pass else 0.0,
+                session_loads=self.session_loads,
+                tells_load=kind.tells_load,
+            )
             gateway.fallen = self.lost
             self.kinds[name] = kind, zone, cell
-            self.registry.set(name, site=zone, block=cell, health="ready",
-                              share=kind.weight * self.drawn(f"weight {name}", kind.weight_error), born_ms=0)
+            self.registry.set(
+                name,
+                site=zone,
+                block=cell,
+                health="ready",
+                share=kind.weight * self.drawn(f"weight {name}", kind.weight_error),
+                born_ms=0,
+            )
         world.decisions = decisions(self.policy, self.gateways)
         held = any(event.do == "proxy-upgrade" for event in script.event)
-        only = [event.do for event in script.event
-                if event.do in ("proxy-upgrade", "by-hand", "callers", "way")]
+        only = [
+            event.do
+            for event in script.event
+            if event.do in ("proxy-upgrade", "by-hand", "callers", "way")
+        ]
         if only and world.name != "virtual":
             raise Misconfigured(f"event: {only[0]} is played in the virtual world only")
         if script.proxies.peers:
             if world.name == "sockets":
-                raise Misconfigured("proxies.peers: is played in the virtual world and among processes")
+                raise Misconfigured(
+                    "proxies.peers: is played in the virtual world and among processes"
+                )
             if any(event.when and SENT.fullmatch(event.when) for event in script.event):
                 world.ways.watchers.append(self.watch_message)
         for event in script.event if world.name == "processes" else ():
             if event.do not in PROVEN:
-                raise Misconfigured(f"event: whether {event.do} took effect is not proven in this world")
+                raise Misconfigured(
+                    f"event: whether {event.do} took effect is not proven in this world"
+                )
         for event in script.event if world.name != "processes" else ():
             if event.do in ("proxy-starve", "stranger"):
                 raise Misconfigured(f"event: {event.do} is played among processes only")
         front = world.host("front", None, self.limits)
-        shares = script.front.shares and {name: self.drawn(f"share {name}", script.front.shares) for name, _ in peers}
-        self.front = Front(front, self.limits, record, script.front.notice_ms, script.front.ask_ms, shares,
-                           self.chance("front"))
+        shares = script.front.shares and {
+            name: self.drawn(f"share {name}", script.front.shares) for name, _ in peers
+        }
+        self.front = Front(
+            front,
+            self.limits,
+            record,
+            script.front.notice_ms,
+            script.front.ask_ms,
+            shares,
+            self.chance("front"),
+        )
         self.seats, self.agents = {}, {}
         self.zone_of = dict(peers)
         odd = {item.on: item for item in script.odd}
         for name, zone in peers:
             host = world.host(f"agent-{name}", zone, self.limits)
-            agent = self.agents[name] = Agent(name, self.registry, host, self.limits, self.dial)
+            agent = self.agents[name] = Agent(
+                name, self.registry, host, self.limits, self.dial
+            )
             file = self.file_of(name, zone, agent)
             values = {**operator.platform_form(file), "seed": f"{self.seed}/{name}"}
-            more = {"held": held} if held else {"file": file} if world.name == "processes" else {}
+            more = (
+                {"held": held}
+                if held
+                else {"file": file}
+                if world.name == "processes"
+                else {}
+            )
             if script.proxies.peers:
                 more["odd"] = odd.get(name)
             if script.proxies.peers and world.name == "virtual":
-                more["told"] = world.peers_told(name, dict(peers), script.proxies, odd.get(name))
+                more["told"] = world.peers_told(
+                    name, dict(peers), script.proxies, odd.get(name)
+                )
             self.seats[name] = world.proxy(name, zone, values, record.log(name), **more)
             self.seats[name].calls = "callers" in only
         self.people = world.host("clients", None, self.limits)
@@ -130,15 +210,38 @@
         listeners = {item.name: item for item in script.listener}
         for crowd in script.clients:
             listener = listeners[crowd.listener]
-            self.crowds.append((crowd, Crowd(
-                self.people, self.limits, self.chance(crowd.name), record, self.front, listener,
-                lambda name: self.seats[name].running, self.session_loads,
-                name=crowd.name, zone=crowd.zone or script.zones[0], desk=crowd.desk, groups=crowd.groups,
-                life=crowd.life_s * 1000, rest=crowd.rest_s * 1000, think=crowd.think_ms,
-                gives_up=crowd.gives_up_ms or listener.dial_timeout_ms + 500.0, retry=crowd.retry,
-                wait=crowd.wait_ms, honours=crowd.honours, tries=crowd.tries, silence=7000.0,
-                returns=crowd.returns, leaves=crowd.leaves, mid_flow=script.proxies.packets_pass,
-                load_sigma=crowd.load_sigma)))
+            self.crowds.append(
+                (
+                    crowd,
+                    Crowd(
+                        self.people,
+                        self.limits,
+                        self.chance(crowd.name),
+                        record,
+                        self.front,
+                        listener,
+                        lambda name: self.seats[name].running,
+                        self.session_loads,
+                        name=crowd.name,
+                        zone=crowd.zone or script.zones[0],
+                        desk=crowd.desk,
+                        groups=crowd.groups,
+                        life=crowd.life_s * 1000,
+                        rest=crowd.rest_s * 1000,
+                        think=crowd.think_ms,
+                        gives_up=crowd.gives_up_ms or listener.dial_timeout_ms + 500.0,
+                        retry=crowd.retry,
+                        wait=crowd.wait_ms,
+                        honours=crowd.honours,
+                        tries=crowd.tries,
+                        silence=7000.0,
+                        returns=crowd.returns,
+                        leaves=crowd.leaves,
+                        mid_flow=script.proxies.packets_pass,
+                        load_sigma=crowd.load_sigma,
+                    ),
+                )
+            )
 
     def file_of(self, name, zone, agent):
         """What a proxy is told, as an operator's file."""
@@ -146,24 +249,46 @@
         kind = script.gateways[0]
         own = next((item for item in script.instance if item.on == name), None)
         return operator.File(
-            name=name, listen=self.world.proxy_address(name), listener=script.listener,
-            discovery=agent.host.address(), desk=script.desk, zone=script.zones, own_zone=zone,
-            groups=any(crowd.groups for crowd in script.clients), packets_pass=proxies.packets_pass,
-            peers=self.world.peers_table(name, self.zone_of, proxies,
-                                         next((item for item in script.odd if item.on == name), None))
-            if proxies.peers and self.world.name == "processes" else None,
-            limits=operator.Limits(sockets=own and own.sockets or proxies.sockets, dials=proxies.dials,
-                                   memory_mb=own and own.memory_mb or proxies.memory_mb,
-                                   connect_ms=proxies.connect_ms, longest_wait_ms=proxies.longest_wait_ms),
+            name=name,
+            listen=self.world.proxy_address(name),
+            listener=script.listener,
+            discovery=agent.host.address(),
+            desk=script.desk,
+            zone=script.zones,
+            own_zone=zone,
+            groups=any(crowd.groups for crowd in script.clients),
+            packets_pass=proxies.packets_pass,
+            peers=self.world.peers_table(
+                name,
+                self.zone_of,
+                proxies,
+                next((item for item in script.odd if item.on == name), None),
+            )
+            if proxies.peers and self.world.name == "processes"
+            else None,
+            limits=operator.Limits(
+                sockets=own and own.sockets or proxies.sockets,
+                dials=proxies.dials,
+                memory_mb=own and own.memory_mb or proxies.memory_mb,
+                connect_ms=proxies.connect_ms,
+                longest_wait_ms=proxies.longest_wait_ms,
+            ),
             fleet=operator.Fleet(
-                proxies=proxies.meant or proxies.count, weights=proxies.weights, drain_grace_ms=script.rules.drain_grace_ms,
-                cold_s=kind.warm_s, cold_start_share=kind.warm_from, cold_multiple=script.rules.cold_multiple,
-                cold_window_ms=script.rules.cold_window_ms, probes=proxies.probes,
+                proxies=proxies.meant or proxies.count,
+                weights=proxies.weights,
+                drain_grace_ms=script.rules.drain_grace_ms,
+                cold_s=kind.warm_s,
+                cold_start_share=kind.warm_from,
+                cold_multiple=script.rules.cold_multiple,
+                cold_window_ms=script.rules.cold_window_ms,
+                probes=proxies.probes,
                 further_dials_s=script.rules.further_dials_s,
                 further_dials_free=script.rules.further_dials_free,
                 further_dials_share=script.rules.further_dials_share,
                 only_draining_binds=script.rules.only_draining_binds,
-                report_fields=FIELDS if proxies.probes else []))
+                report_fields=FIELDS if proxies.probes else [],
+            ),
+        )
 
     def dial(self, server, proxy):
         return self.gateways[server].host.address(proxy)
@@ -182,7 +307,9 @@
             else:
                 self.armed.append(event)
         for crowd, people in self.crowds:
-            self.clock.at(self.world.opening, people.add, crowd.count, crowd.within_s * 1000)
+            self.clock.at(
+                self.world.opening, people.add, crowd.count, crowd.within_s * 1000
+            )
         self.clock.after(SAMPLE_MS, self.sample)
         # What a run holds is held to its end: looking for garbage in it again and again costs a third.
         gc.disable()
@@ -205,35 +332,82 @@
 
     def breaches(self):
         script = self.script
-        repeats = {item.name: (item.repeat, item.scope, item.window_s * 1000) for item in script.listener}
+        repeats = {
+            item.name: (item.repeat, item.scope, item.window_s * 1000)
+            for item in script.listener
+        }
         rules = script.rules
-        budget = (rules.further_dials_free, rules.further_dials_share, rules.further_dials_s * 1000)
+        budget = (
+            rules.further_dials_free,
+            rules.further_dials_share,
+            rules.further_dials_s * 1000,
+        )
         budget = budget if rules.further_dials_s else None
-        return judge(self.record.events, self.clock.now(), slack=self.world.slack(script), repeats=repeats,
-                     grace=script.rules.drain_grace_ms, **self.cold_rule(), budget=budget,
-                     gone_binds=not rules.only_draining_binds,
-                     more=self.fleet_judges() if script.proxies.peers else ())
+        return judge(
+            self.record.events,
+            self.clock.now(),
+            slack=self.world.slack(script),
+            repeats=repeats,
+            grace=script.rules.drain_grace_ms,
+            **self.cold_rule(),
+            budget=budget,
+            gone_binds=not rules.only_draining_binds,
+            more=self.fleet_judges() if script.proxies.peers else (),
+        )
 
     def cold_rule(self):
         rules = self.script.rules
-        return {"multiple": rules.cold_multiple, "window": rules.cold_window_ms,
-                "proxies": self.script.proxies.count}
+        return {
+            "multiple": rules.cold_multiple,
+            "window": rules.cold_window_ms,
+            "proxies": self.script.proxies.count,
+        }
 
     def fleet_judges(self):
         script, limits = self.script, self.script.fleet
         zone_of = self.zone_of if script.proxies.zoned else None
-        views = partial(Views, odd=[name for item in script.odd for name in (item.on, item.claims)],
-                        agree=limits.agree_ms, false=limits.false_ms, known=limits.known_ms, zone_of=zone_of)
-        told = partial(ToldToAll, grace=script.rules.drain_grace_ms, within=limits.told_ms)
-        zones = (partial(Zones, zone_of=zone_of, agree=limits.agree_ms, apart=limits.apart_ms,
-                         told=limits.told_ms),) if zone_of else ()
-        return views, Shares, told, Effects, partial(Apart, odd=script.odd, within=limits.agree_ms), *zones
+        views = partial(
+            Views,
+            odd=[name for item in script.odd for name in (item.on, item.claims)],
+            agree=limits.agree_ms,
+            false=limits.false_ms,
+            known=limits.known_ms,
+            zone_of=zone_of,
+        )
+        told = partial(
+            ToldToAll, grace=script.rules.drain_grace_ms, within=limits.told_ms
+        )
+        zones = (
+            (
+                partial(
+                    Zones,
+                    zone_of=zone_of,
+                    agree=limits.agree_ms,
+                    apart=limits.apart_ms,
+                    told=limits.told_ms,
+                ),
+            )
+            if zone_of
+            else ()
+        )
+        return (
+            views,
+            Shares,
+            told,
+            Effects,
+            partial(Apart, odd=script.odd, within=limits.agree_ms),
+            *zones,
+        )
 
     # Proxies
 
     def start_proxy(self, name):
         seat, agent = self.seats[name], self.agents[name]
-        seat.values = {**seat.values, "known": agent.known(), "seed": f"{self.seed}/{name}/{seat.starts}"}
+        seat.values = {
+            **seat.values,
+            "known": agent.known(),
+            "seed": f"{self.seed}/{name}/{seat.starts}",
+        }
         seat.start()
         self.record.note("host", name=name, state="up")
         self.front.add(name, seat.zone, seat.where)
@@ -273,7 +447,9 @@
     def end_roll(self, name, started):
         seat = self.seats[name]
         if seat.starts == started and seat.running:
-            self.kill_proxy(name, "killed" if self.script.proxies.packets_pass else "ended")
+            self.kill_proxy(
+                name, "killed" if self.script.proxies.packets_pass else "ended"
+            )
             self.restart_later(name)
 
     # Events
@@ -282,7 +458,11 @@
         if kind == "open":
             self.sessions[fields["sess"]] = fields["proxy"]
             self.asked += 1
-        if self.armed and (kind in ("open", "dial", "up") or kind == "log" and fields["event"] == "peer"):
+        if self.armed and (
+            kind in ("open", "dial", "up")
+            or kind == "log"
+            and fields["event"] == "peer"
+        ):
             for event in list(self.armed):
                 met = self.met(event, kind, fields)
                 if met:
@@ -295,15 +475,22 @@
             if kind == "dial" and match["on"] in (None, fields["server"]):
                 return fields["server"], self.sessions[fields["sess"]]
         elif match := HOLDS.fullmatch(event.when):
-            if kind == "up" and fields["server"] == match["on"] and \
-                    len(self.gateways[match["on"]].links) >= int(match["count"]):
+            if (
+                kind == "up"
+                and fields["server"] == match["on"]
+                and len(self.gateways[match["on"]].links) >= int(match["count"])
+            ):
                 return match["on"], self.sessions[fields["sess"]]
         elif match := ASKED.fullmatch(event.when):
             if kind == "open" and self.asked >= int(match["count"]):
                 return None, fields["proxy"]
         elif match := SAYS.fullmatch(event.when):
-            if kind == "log" and fields["node"] == match["proxy"] and fields["peer"] == match["other"] and \
-                    fields["state"] == SAID[match["what"]]:
+            if (
+                kind == "log"
+                and fields["node"] == match["proxy"]
+                and fields["peer"] == match["other"]
+                and fields["state"] == SAID[match["what"]]
+            ):
                 return None, match["proxy"]
         return None
 
@@ -327,7 +514,9 @@
     def lost(self, name):
         """Discovery finds out in its time, unless the server is back by then."""
         life = self.gateways[name].host.life
-        self.clock.after(self.script.discovery.finds_dead_ms, self.find_lost, name, life)
+        self.clock.after(
+            self.script.discovery.finds_dead_ms, self.find_lost, name, life
+        )
 
     def find_lost(self, name, life):
         host = self.gateways[name].host
@@ -345,8 +534,13 @@
         gateway.begin(self.clock.now())
         kind = self.kinds[name][0]
         self.record.note("host", name=name, state="up")
-        self.record.note("cold", server=name, holds=kind.holds, warm_from=kind.warm_from,
-                         warm=kind.warm_s * 1000)
+        self.record.note(
+            "cold",
+            server=name,
+            holds=kind.holds,
+            warm_from=kind.warm_from,
+            warm=kind.warm_s * 1000,
+        )
 
     def set_ready(self, name, **more):
         self.record.note("ready", server=name)
@@ -376,6 +570,7 @@
             if host.life == life and host.alive:
                 host.resume()
                 self.record.note("host", name=on, state="up")
+
         return resume
 
     def do_erring(self, event, on):
@@ -405,15 +600,21 @@
         def up():
             self.start_anew(on)
             self.clock.after(turn * (1 - event.share), down)
+
         down()
 
     def do_way(self, event, on):
         """Between two names or zones: `wait_ms` longer each way, and a share lost, which TCP sends again."""
-        self.record.note("way", one=on, other=event.with_, wait=event.wait_ms, lost=event.share)
+        self.record.note(
+            "way", one=on, other=event.with_, wait=event.wait_ms, lost=event.share
+        )
         return self.world.worse(on, event.with_, event.wait_ms, event.share)
 
     def do_costly(self, event, on):
-        undo = [self.change(gateway, "costlier", event.factor) for gateway in self.gateways.values()]
+        undo = [
+            self.change(gateway, "costlier", event.factor)
+            for gateway in self.gateways.values()
+        ]
         return lambda: [each() for each in undo]
 
     @staticmethod
@@ -422,7 +623,10 @@
         before = getattr(what, field)
         setattr(what, field, value if isinstance(value, bool) else before * value)
         return lambda: setattr(
-            what, field, before if isinstance(value, bool) else getattr(what, field) / value)
+            what,
+            field,
+            before if isinstance(value, bool) else getattr(what, field) / value,
+        )
 
     def do_drain(self, event, on):
         gateway = self.gateways[on]
@@ -447,7 +651,11 @@
     def do_proxy_upgrade(self, event, on):
         """Another process beside the running one, which is then told to stop."""
         seat, agent = self.seats[on], self.agents[on]
-        seat.values = {**seat.values, "known": agent.known(), "seed": f"{self.seed}/{on}/{seat.starts}"}
+        seat.values = {
+            **seat.values,
+            "known": agent.known(),
+            "seed": f"{self.seed}/{on}/{seat.starts}",
+        }
         seat.upgrade(max(item.dial_timeout_ms for item in self.script.listener))
 
     def do_by_hand(self, event, on):
@@ -466,12 +674,15 @@
             for name, seat in self.seats.items():
                 self.record.note("put back", proxy=name, server=on)
                 seat.proxy.by_hand(on, False)
+
         self.clock.after(event.leaves_s * 1000, restart)
         return put_back
 
     def do_callers(self, event, on):
         """They call the process that runs now."""
-        return Callers(self.people, self.limits, self.record, on, self.seats[on].admin, event.times).stop
+        return Callers(
+            self.people, self.limits, self.record, on, self.seats[on].admin, event.times
+        ).stop
 
     def do_proxy_pause(self, event, on):
         self.record.note("host", name=on, state="paused")
@@ -480,6 +691,7 @@
         def resume():
             self.seats[on].resume()
             self.record.note("host", name=on, state="up")
+
         return resume
 
     def do_proxy_reload(self, event, on):
@@ -507,7 +719,9 @@
         for agent in self.agents_of(on):
             agent.host.kill()
             agent.moves += 1
-            agent.host = self.world.host(f"agent-{agent.name}-{agent.moves}", agent.host.zone, self.limits)
+            agent.host = self.world.host(
+                f"agent-{agent.name}-{agent.moves}", agent.host.zone, self.limits
+            )
             agent.listen()
             seat = self.seats[agent.name]
             seat.values = {**seat.values, "discovery": agent.host.address()}
@@ -526,7 +740,9 @@
 
     def do_cut(self, event, on):
         host = self.people if on == "clients" else self.gateways[on].host
-        host.cuts.append(Cut(event.word, event.bytes, event.wait_ms, event.then, event.times))
+        host.cuts.append(
+            Cut(event.word, event.bytes, event.wait_ms, event.then, event.times)
+        )
 
 
 def counts(record):
@@ -537,7 +753,16 @@
             found["answer " + fields["word"]] += 1
         elif kind == "ran":
             found["ran as a copy" if fields["copy"] else "ran"] += 1
-        elif kind in ("open", "dial", "moved", "cut", "broken", "unanswered", "fell over", "not held"):
+        elif kind in (
+            "open",
+            "dial",
+            "moved",
+            "cut",
+            "broken",
+            "unanswered",
+            "fell over",
+            "not held",
+        ):
             found[{"open": "sessions", "dial": "dials"}.get(kind, kind)] += 1
     found.update(record.counts)
     return dict(sorted(found.items()))
--- a/wheathill/lab/tools/experiments.py
+++ b/wheathill/lab/tools/experiments.py
@@ -14,22 +14,40 @@
 from wheathill.lab.scripts import language as scripts
 from wheathill.lab.scripts.run import play
 
-SHOWN = ("handshake p50", "handshake p99", "message p50", "message p99", "in time", "served", "refused", "failed",
-         "cut", "moved", "dials", "breaches")
+SHOWN = (
+    "handshake p50",
+    "handshake p99",
+    "message p50",
+    "message p99",
+    "in time",
+    "served",
+    "refused",
+    "failed",
+    "cut",
+    "moved",
+    "dials",
+    "breaches",
+)
 
 
 def row(figures):
     """The figures of a run that tables show, all numbers."""
     counts = figures["counts"]
     sessions = max(1, counts.get("sessions", 0))
-    return {"handshake p50": figures["handshake_ms"]["p50"], "handshake p99": figures["handshake_ms"]["p99"],
-            "message p50": figures["message_ms"]["p50"], "message p99": figures["message_ms"]["p99"],
-            "in time": in_time(figures),
-            "served": counts.get("answer UP", 0) / sessions,
-            "refused": counts.get("answer BUSY", 0) / sessions,
-            "failed": (counts.get("answer ERR", 0) + counts.get("broken", 0)) / sessions,
-            "cut": counts.get("cut", 0) / sessions, "moved": counts.get("moved", 0) / sessions,
-            "dials": counts.get("dials", 0) / sessions, "breaches": len(figures["breaches"])}
+    return {
+        "handshake p50": figures["handshake_ms"]["p50"],
+        "handshake p99": figures["handshake_ms"]["p99"],
+        "message p50": figures["message_ms"]["p50"],
+        "message p99": figures["message_ms"]["p99"],
+        "in time": in_time(figures),
+        "served": counts.get("answer UP", 0) / sessions,
+        "refused": counts.get("answer BUSY", 0) / sessions,
+        "failed": (counts.get("answer ERR", 0) + counts.get("broken", 0)) / sessions,
+        "cut": counts.get("cut", 0) / sessions,
+        "moved": counts.get("moved", 0) / sessions,
+        "dials": counts.get("dials", 0) / sessions,
+        "breaches": len(figures["breaches"]),
+    }
 
 
 def in_time(figures):
@@ -37,7 +55,11 @@
     or figures kept before they were counted."""
     counts = figures["counts"]
     asked = figures["message_ms"]["count"] + counts.get("unanswered", 0)
-    return counts["messages in time"] / asked if asked and "messages in time" in counts else None
+    return (
+        counts["messages in time"] / asked
+        if asked and "messages in time" in counts
+        else None
+    )
 
 
 def show(value):
@@ -47,17 +69,23 @@
 
 
 def table(head, rows):
-    widths = [max(len(line[place]) for line in (head, *rows)) for place in range(len(head))]
+    widths = [
+        max(len(line[place]) for line in (head, *rows)) for place in range(len(head))
+    ]
     for line in (head, *rows):
-        yield "  ".join(text.ljust(width) if not place else text.rjust(width)
-                        for place, (text, width) in enumerate(zip(line, widths))).rstrip()
+        yield "  ".join(
+            text.ljust(width) if not place else text.rjust(width)
+            for place, (text, width) in enumerate(zip(line, widths))
+        ).rstrip()
 
 
 def check_policy(policy, world):
     if policy not in POLICIES:
         raise Misconfigured(f"--policy: {policy!r} is none of {', '.join(POLICIES)}")
     if policy != "module" and world != "virtual":
-        raise Misconfigured("--policy: baselines stand in for the module in the virtual world only")
+        raise Misconfigured(
+            "--policy: baselines stand in for the module in the virtual world only"
+        )
 
 
 def program_of(mutant, world):
@@ -65,8 +93,11 @@
     if mutant is None:
         return None
     from wheathill.lab.judging.mutated import VARIANTS, program
+
     if world == "sockets" or mutant not in VARIANTS:
-        raise Misconfigured(f"--mutant: {mutant!r} is none of {', '.join(VARIANTS)}, not in --world sockets")
+        raise Misconfigured(
+            f"--mutant: {mutant!r} is none of {', '.join(VARIANTS)}, not in --world sockets"
+        )
     if world == "virtual":
         VARIANTS[mutant]()
     return program(mutant)
@@ -83,21 +114,38 @@
     result = play(script, seed, world, policy, program=program)
     figures = result.figures
     print(f"{script.name}: {script.about}")
-    print(f"seed {figures['seed']}, {world}, {script.seconds:g} s in {figures['took_s']:.2f} s, "
-          f"fingerprint {figures['fingerprint']}")
+    print(
+        f"seed {figures['seed']}, {world}, {script.seconds:g} s in {figures['took_s']:.2f} s, "
+        f"fingerprint {figures['fingerprint']}"
+    )
     counts = figures["counts"]
     print(", ".join(f"{name} {count}" for name, count in counts.items()))
     for what in ("handshake", "message"):
         found = figures[f"{what}_ms"]
-        print(f"{what}: " + ", ".join(f"{name} {show(found[name])}" for name in ("p50", "p90", "p99", "p100"))
-              + f" ms of {found['count']}")
+        print(
+            f"{what}: "
+            + ", ".join(
+                f"{name} {show(found[name])}" for name in ("p50", "p90", "p99", "p100")
+            )
+            + f" ms of {found['count']}"
+        )
     for found in figures["full_service"]:
-        print(f"faults {found['from_ms'] / 1000:.1f} to {found['over_ms'] / 1000:.1f} s, {found['share']:.0%} set up before: "
-              + ", ".join(f"{name} {back(ms)}" for name, ms in (("full service", found["back_ms"]),
-                                                               *found["listeners"].items())))
+        print(
+            f"faults {found['from_ms'] / 1000:.1f} to {found['over_ms'] / 1000:.1f} s, {found['share']:.0%} set up before: "
+            + ", ".join(
+                f"{name} {back(ms)}"
+                for name, ms in (
+                    ("full service", found["back_ms"]),
+                    *found["listeners"].items(),
+                )
+            )
+        )
     for name, found in {**figures.get("fleet", {}), **figures.get("spent", {})}.items():
         if found != []:
-            print(f"{name}: " + (" ".join(map(str, found)) if isinstance(found, list) else str(found)))
+            print(
+                f"{name}: "
+                + (" ".join(map(str, found)) if isinstance(found, list) else str(found))
+            )
     for breach in result.breaches:
         print(f"BREACH {breach}")
         for line in breach.told()["last"]:
@@ -110,6 +158,7 @@
             out.writelines(result.scene.record.lines())
     if report:
         from wheathill.lab.tools.report import write
+
         print(f"report: {write(result, report)}")
     return 1 if result.breaches else 0
 
@@ -143,7 +192,13 @@
 
 def play_one(job):
     path, changes, policy, seed, world, mutant = job
-    return play(scripts.read(path, changes), seed, world, policy, program=program_of(mutant, world)).figures
+    return play(
+        scripts.read(path, changes),
+        seed,
+        world,
+        policy,
+        program=program_of(mutant, world),
+    ).figures
 
 
 def fleet(runs):
@@ -151,19 +206,29 @@
     found = {}
     for figures in runs:
         for name, value in figures.get("fleet", {}).items():
-            found.setdefault(name, []).extend(value if isinstance(value, list) else [value])
+            found.setdefault(name, []).extend(
+                value if isinstance(value, list) else [value]
+            )
         for fault in figures["full_service"]:
             found.setdefault("full service", []).append(fault["back_ms"])
     for name, values in found.items():
         seen = sorted(value for value in values if value is not None)
         if seen:
-            places = [seen[min(len(seen) - 1, int(share * len(seen)))] for share in (0.5, 0.99)]
-            unseen = f", {len(values) - len(seen)} not seen" if len(seen) < len(values) else ""
+            places = [
+                seen[min(len(seen) - 1, int(share * len(seen)))]
+                for share in (0.5, 0.99)
+            ]
+            unseen = (
+                f", {len(values) - len(seen)} not seen"
+                if len(seen) < len(values)
+                else ""
+            )
             yield f"{name}: p50 {places[0]:g}, p99 {places[1]:g}, worst {seen[-1]:g} of {len(seen)}{unseen}"
 
 
 def sweep(path, seeds, changes, policies, world, jobs, json_path, mutant=None):
     from tqdm import tqdm
+
     seeds, combinations = numbers(seeds), grid(changes)
     for policy in policies:
         check_policy(policy, world)
@@ -172,32 +237,56 @@
             scripts.read(path, combination)
         except (KeyError, IndexError, TypeError, AttributeError) as wrong:
             raise Misconfigured(f"--set: {combination}: {wrong!r}") from None
-    cells = [(combination, policy) for combination in combinations for policy in policies]
-    todo = [(path, combination, policy, seed, world, mutant) for combination, policy in cells for seed in seeds]
+    cells = [
+        (combination, policy) for combination in combinations for policy in policies
+    ]
+    todo = [
+        (path, combination, policy, seed, world, mutant)
+        for combination, policy in cells
+        for seed in seeds
+    ]
     # Sockets share the machine: more than one at a time would measure each other.
     workers = 1 if world == "sockets" else max(1, jobs)
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        found = list(tqdm(pool.map(play_one, todo), total=len(todo), unit="run", file=sys.stderr,
-                          disable=not sys.stderr.isatty()))
+        found = list(
+            tqdm(
+                pool.map(play_one, todo),
+                total=len(todo),
+                unit="run",
+                file=sys.stderr,
+                disable=not sys.stderr.isatty(),
+            )
+        )
     kept = []
     lines = []
     for place, (combination, policy) in enumerate(cells):
-        runs = found[place * len(seeds):(place + 1) * len(seeds)]
+        runs = found[place * len(seeds) : (place + 1) * len(seeds)]
         name = " ".join([policy, *(f"{key}={value}" for key, value in combination)])
         kept.append({"name": name, "runs": runs})
-        lines.append([name, *(spread([row(figures)[what] for figures in runs]) for what in SHOWN)])
+        lines.append(
+            [
+                name,
+                *(spread([row(figures)[what] for figures in runs]) for what in SHOWN),
+            ]
+        )
     print("\n".join(table(["median (range)", *SHOWN], lines)))
     for cell in kept:
         for line in fleet(cell["runs"]):
             print(f"{cell['name']}: {line}")
     if json_path:
         with open(json_path, "wb") as out:
-            out.write(orjson.dumps({"script": path, "cells": kept}, option=orjson.OPT_INDENT_2))
+            out.write(
+                orjson.dumps(
+                    {"script": path, "cells": kept}, option=orjson.OPT_INDENT_2
+                )
+            )
     bad = sum(bool(figures["breaches"]) for figures in found)
     print(f"{len(found)} runs, {bad} with a rule broken")
     for figures in found:
         for breach in figures["breaches"][:2]:
-            print(f"seed {figures['seed']}: rule {breach['rule']} at {breach['ms']:.1f} ms: {breach['what']}")
+            print(
+                f"seed {figures['seed']}: rule {breach['rule']} at {breach['ms']:.1f} ms: {breach['what']}"
+            )
     return 1 if bad else 0
 
 
@@ -206,21 +295,34 @@
     if not values:
         return "-"
     low, middle, high = min(values), statistics.median(values), max(values)
-    return show(middle) if low == high else f"{show(middle)} ({show(low)}..{show(high)})"
+    return (
+        show(middle) if low == high else f"{show(middle)} ({show(low)}..{show(high)})"
+    )
 
 
 def load(path):
     with open(path, "rb") as source:
         found = orjson.loads(source.read())
-    return found["cells"] if "cells" in found else [{"name": found["policy"], "runs": [found]}]
+    return (
+        found["cells"]
+        if "cells" in found
+        else [{"name": found["policy"], "runs": [found]}]
+    )
 
 
 def compare(one, other):
     lines = []
     for side, path in (("1", one), ("2", other)):
         for cell in load(path):
-            lines.append([f"{side} {cell['name']}",
-                          *(spread([row(figures)[what] for figures in cell["runs"]]) for what in SHOWN)])
+            lines.append(
+                [
+                    f"{side} {cell['name']}",
+                    *(
+                        spread([row(figures)[what] for figures in cell["runs"]])
+                        for what in SHOWN
+                    ),
+                ]
+            )
     print(f"1: {one}\n2: {other}")
     print("\n".join(table(["median (range)", *SHOWN], lines)))
     return 0
--- a/wheathill/lab/tools/report.py
+++ b/wheathill/lab/tools/report.py
@@ -9,8 +9,14 @@
 matplotlib.use("svg")
 from matplotlib import pyplot  # noqa: E402  the backend has to be chosen first
 
-COLOURS = {"UP": "#2a7f62", "BUSY": "#d99a2b", "ERR": "#b3382c", "moved": "#4a6fa5", "cut": "#7b3f61",
-           "other": "#777777"}
+COLOURS = {
+    "UP": "#2a7f62",
+    "BUSY": "#d99a2b",
+    "ERR": "#b3382c",
+    "moved": "#4a6fa5",
+    "cut": "#7b3f61",
+    "other": "#777777",
+}
 STYLE = """body { font: 15px/1.45 system-ui, sans-serif; margin: 2em auto; max-width: 62em; color: #222 }
 table { border-collapse: collapse; margin: 1em 0 } td, th { padding: .15em .9em .15em 0; text-align: left }
 td.n { text-align: right; font-variant-numeric: tabular-nums } svg { max-width: 100%; height: auto }
@@ -21,7 +27,9 @@
     """The page's path."""
     os.makedirs(folder, exist_ok=True)
     figures = result.figures
-    name = "-".join(str(figures[what]) for what in ("script", "world", "policy", "seed"))
+    name = "-".join(
+        str(figures[what]) for what in ("script", "world", "policy", "seed")
+    )
     path = os.path.join(folder, f"{name}.html")
     with open(path, "w") as out:
         out.write(page(result))
@@ -30,53 +38,112 @@
 
 def page(result):
     figures, script, record = result.figures, result.scene.script, result.scene.record
-    marks = [(now / 1000, fields["do"], fields["on"])
-             for now, kind, fields in record.events if kind == "event"]
+    marks = [
+        (now / 1000, fields["do"], fields["on"])
+        for now, kind, fields in record.events
+        if kind == "event"
+    ]
     broken = [(breach.now / 1000, f"rule {breach.rule}") for breach in result.breaches]
     seconds = script.seconds
-    parts = [f"<h1>{html.escape(script.name)}</h1><p>{html.escape(script.about)}</p>",
-             f"<p>Seed {figures['seed']}, {figures['world']} world, policy {figures['policy']}, {seconds:g} s "
-             f"played in {figures['took_s']:.1f} s. Fingerprint {figures['fingerprint']}.</p>"]
+    parts = [
+        f"<h1>{html.escape(script.name)}</h1><p>{html.escape(script.about)}</p>",
+        f"<p>Seed {figures['seed']}, {figures['world']} world, policy {figures['policy']}, {seconds:g} s "
+        f"played in {figures['took_s']:.1f} s. Fingerprint {figures['fingerprint']}.</p>",
+    ]
     if result.breaches:
         parts.append(f"<p class=bad>{len(result.breaches)} breaches</p>")
     else:
         parts.append("<p class=good>No rule was broken.</p>")
     parts.append(latency_table(figures))
-    parts.append(plot("Handshake, ms by percentile", seconds, marks, broken,
-                      lambda axes: percentiles(axes, record.handshakes, script.listener)))
-    parts.append(plot("Message, ms by percentile", seconds, marks, broken,
-                      lambda axes: percentiles(axes, record.messages, None)))
-    parts.append(plot("Answers and ends a second", seconds, marks, broken,
-                      lambda axes: answers(axes, record, seconds)))
-    for what, title in (("load ", "Load of each gateway, of its capacity"),
-                        ("sessions ", "Sessions at each gateway")):
-        parts.append(plot(title, seconds, marks, broken, lambda axes: series(axes, record, what)))
+    parts.append(
+        plot(
+            "Handshake, ms by percentile",
+            seconds,
+            marks,
+            broken,
+            lambda axes: percentiles(axes, record.handshakes, script.listener),
+        )
+    )
+    parts.append(
+        plot(
+            "Message, ms by percentile",
+            seconds,
+            marks,
+            broken,
+            lambda axes: percentiles(axes, record.messages, None),
+        )
+    )
+    parts.append(
+        plot(
+            "Answers and ends a second",
+            seconds,
+            marks,
+            broken,
+            lambda axes: answers(axes, record, seconds),
+        )
+    )
+    for what, title in (
+        ("load ", "Load of each gateway, of its capacity"),
+        ("sessions ", "Sessions at each gateway"),
+    ):
+        parts.append(
+            plot(title, seconds, marks, broken, lambda axes: series(axes, record, what))
+        )
     if any(name.startswith("memory ") for name in record.series):
-        parts.append(plot("Memory of each proxy, MB", seconds, marks, broken,
-                          lambda axes: series(axes, record, "memory ")))
-    parts.append("<h2>Counts</h2><table>" + "".join(
-        f"<tr><td>{html.escape(name)}<td class=n>{count}"
-        for name, count in figures["counts"].items()) + "</table>")
-    parts.append("<h2>Events</h2><table>" + "".join(
-        f"<tr><td class=n>{at:.2f} s<td>{html.escape(do)}<td>{html.escape(on or '')}"
-        for at, do, on in marks) + "</table>")
+        parts.append(
+            plot(
+                "Memory of each proxy, MB",
+                seconds,
+                marks,
+                broken,
+                lambda axes: series(axes, record, "memory "),
+            )
+        )
+    parts.append(
+        "<h2>Counts</h2><table>"
+        + "".join(
+            f"<tr><td>{html.escape(name)}<td class=n>{count}"
+            for name, count in figures["counts"].items()
+        )
+        + "</table>"
+    )
+    parts.append(
+        "<h2>Events</h2><table>"
+        + "".join(
+            f"<tr><td class=n>{at:.2f} s<td>{html.escape(do)}<td>{html.escape(on or '')}"
+            for at, do, on in marks
+        )
+        + "</table>"
+    )
     if result.breaches:
-        parts.append("<h2>Breaches</h2>" + "".join(
-            f"<p class=bad>{html.escape(str(breach))}</p>"
-            f"<pre>{html.escape(chr(10).join(breach.told()['last']))}</pre>"
-            for breach in result.breaches[:50]))
-    return (f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(script.name)}</title>"
-            f"<style>{STYLE}</style>" + "\n".join(parts) + "</html>\n")
+        parts.append(
+            "<h2>Breaches</h2>"
+            + "".join(
+                f"<p class=bad>{html.escape(str(breach))}</p>"
+                f"<pre>{html.escape(chr(10).join(breach.told()['last']))}</pre>"
+                for breach in result.breaches[:50]
+            )
+        )
+    return (
+        f"<!doctype html><html lang=en><meta charset=utf-8><title>{html.escape(script.name)}</title>"
+        f"<style>{STYLE}</style>" + "\n".join(parts) + "</html>\n"
+    )
 
 
 def latency_table(figures):
     rows = []
     for what in ("handshake", "message"):
         found = figures[f"{what}_ms"]
-        cells = "".join("<td class=n>" + ("-" if found[key] is None else f"{found[key]:.1f}")
-                        for key in ("p50", "p90", "p99", "p100"))
+        cells = "".join(
+            "<td class=n>" + ("-" if found[key] is None else f"{found[key]:.1f}")
+            for key in ("p50", "p90", "p99", "p100")
+        )
         rows.append(f"<tr><td>{what}<td class=n>{found['count']}{cells}")
-    return "<table><tr><th>ms<th>count<th>p50<th>p90<th>p99<th>most" + "".join(rows) + "</table>"
+    return (
+        "<table><tr><th>ms<th>count<th>p50<th>p90<th>p99<th>most"
+        + "".join(rows)
+        + "</table>"
+    )
 
 
 def plot(title, seconds, marks, broken, draw):
@@ -85,8 +152,15 @@
     top = axes.get_ylim()[1]
     for at, do, on in marks:
         axes.axvline(at, color="#999999", linewidth=0.8, linestyle="--")
-        axes.annotate(f"{do} {on or ''}", (at, top), rotation=90, fontsize=7, va="top", ha="right",
-                      color="#555555")
+        axes.annotate(
+            f"{do} {on or ''}",
+            (at, top),
+            rotation=90,
+            fontsize=7,
+            va="top",
+            ha="right",
+            color="#555555",
+        )
     for at, what in broken:
         axes.axvline(at, color=COLOURS["ERR"], linewidth=1.2)
     axes.set_xlim(0, seconds)
@@ -95,20 +169,25 @@
     for side in ("top", "right"):
         axes.spines[side].set_visible(False)
     if 0 < len(axes.get_legend_handles_labels()[0]) <= 16:
-        axes.legend(fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5), frameon=False)
+        axes.legend(
+            fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5), frameon=False
+        )
     out = io.StringIO()
     figure.savefig(out, format="svg", bbox_inches="tight")
     pyplot.close(figure)
     text = out.getvalue()
-    return text[text.index("<svg"):]
+    return text[text.index("<svg") :]
 
 
 def percentiles(axes, latencies, listeners):
     places = sorted(latencies.by_second)
     for share, width in ((50, 1.6), (90, 1.1), (99, 0.8)):
-        axes.plot([place + 0.5 for place in places],
-                  [exact(latencies.by_second[place], share) for place in places],
-                  linewidth=width, label=f"p{share}")
+        axes.plot(
+            [place + 0.5 for place in places],
+            [exact(latencies.by_second[place], share) for place in places],
+            linewidth=width,
+            label=f"p{share}",
+        )
     if listeners and places:
         target = min(item.handshake_target_ms for item in listeners)
         axes.axhline(target, color=COLOURS["ERR"], linewidth=0.6, label="target")
@@ -126,21 +205,37 @@
 def answers(axes, record, seconds):
     by_kind = {}
     for now, kind, fields in record.events:
-        name = fields["word"] if kind == "answer" else kind if kind in ("moved", "cut") else None
+        name = (
+            fields["word"]
+            if kind == "answer"
+            else kind
+            if kind in ("moved", "cut")
+            else None
+        )
         if name is not None:
             name = name if name in COLOURS else "other"
             by_kind.setdefault(name, [0] * (int(seconds) + 2))[int(now // 1000)] += 1
     bottom = [0] * (int(seconds) + 2)
     for name in COLOURS:
         if name in by_kind:
-            axes.bar([place + 0.5 for place in range(len(bottom))], by_kind[name], 0.9, bottom, label=name,
-                     color=COLOURS[name])
+            axes.bar(
+                [place + 0.5 for place in range(len(bottom))],
+                by_kind[name],
+                0.9,
+                bottom,
+                label=name,
+                color=COLOURS[name],
+            )
             bottom = [low + count for low, count in zip(bottom, by_kind[name])]
 
 
 def series(axes, record, what):
     for name, points in record.series.items():
         if name.startswith(what):
-            axes.plot([at / 1000 for at, _ in points], [value for _, value in points], linewidth=1.0,
-                      label=name.removeprefix(what))
+            axes.plot(
+                [at / 1000 for at, _ in points],
+                [value for _, value in points],
+                linewidth=1.0,
+                label=name.removeprefix(what),
+            )
     axes.set_ylim(bottom=0)
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -38,11 +38,16 @@
     """The held socket as one process has it."""
 
     def __init__(self, held, carrier, make_machine, room):
-        self.held, self.carrier, self.make_machine, self.room = held, carrier, make_machine, room
+        self.held, self.carrier, self.make_machine, self.room = (
+            held,
+            carrier,
+            make_machine,
+            room,
+        )
         self.on = True
         held.views.append(self)
 
-    waiting = False     # whoever waits is the other process's as well
+    waiting = False  # whoever waits is the other process's as well
 
     @property
     def accepts(self):
@@ -68,7 +73,9 @@
     def __init__(self, host, limits, log, held, places):
         super().__init__(host, limits, log)
         self.held = held
-        self.places = places        # name -> MeetingPlace, of the folder that the processes share
+        self.places = (
+            places  # name -> MeetingPlace, of the folder that the processes share
+        )
         self.lent = 0
 
     @property
@@ -157,20 +164,24 @@
 
 
 class HeldSeat(Seat):
-    """Of a proxy whose clients' socket the platform holds: a second process may be started """
+    """Of a proxy whose clients' socket the platform holds: a second process may be started"""
 
     def __init__(self, world, name, zone, values, log):
         super().__init__(world, name, zone, values, log)
         self.door = HeldDoor(world.net, name, zone, self.where, PLATFORM)
         self.places = {}
-        self.old = None             # (host, proxy) that was taken over from
+        self.old = None  # (host, proxy) that was taken over from
 
     def start(self):
         self.starts += 1
         node = replace(node_of(self.values), listen_fd=3, state="")
         self.host.begin()
-        carrier = ProcessCarrier(self.host, node.limits, self.log, self.door, self.places)
-        self.proxy = self.world.make_proxy(node, carrier, self.host.clock, self.log, self.world.decisions)
+        carrier = ProcessCarrier(
+            self.host, node.limits, self.log, self.door, self.places
+        )
+        self.proxy = self.world.make_proxy(
+            node, carrier, self.host.clock, self.log, self.world.decisions
+        )
         self.proxy.door = carrier.open_door(self.proxy.client, self.proxy.room)
         self.open_to_operators(carrier)
         Upgrade(self.proxy, carrier, self.host.clock, self.log).begin()
--- a/wheathill/lab/worlds/clock.py
+++ b/wheathill/lab/worlds/clock.py
@@ -2,7 +2,7 @@
 
 from heapq import heappop, heappush
 
-EPOCH = 1_700_000_000_000.0     # wall clock at the start, Unix time in ms: starts of servers are told by it
+EPOCH = 1_700_000_000_000.0  # wall clock at the start, Unix time in ms: starts of servers are told by it
 
 
 class Alarm(list):
--- a/wheathill/lab/worlds/host.py
+++ b/wheathill/lab/worlds/host.py
@@ -15,10 +15,14 @@
         return self.clock.put(when, self.host.gate, (self.host.life, call, *args))
 
     def after(self, wait, call, *args):
-        return self.clock.put(self.clock.time + wait, self.host.gate, (self.host.life, call, *args))
+        return self.clock.put(
+            self.clock.time + wait, self.host.gate, (self.host.life, call, *args)
+        )
 
     def soon(self, call, *args):
-        return self.clock.put(self.clock.time, self.host.gate, (self.host.life, call, *args))
+        return self.clock.put(
+            self.clock.time, self.host.gate, (self.host.life, call, *args)
+        )
 
 
 class Host:
@@ -34,7 +38,7 @@
         self.paused = False
         self.silent = False
         self.deferred = []
-        self.cuts = []          # faults that its next bytes meet (`tap`)
+        self.cuts = []  # faults that its next bytes meet (`tap`)
 
     def gate(self, life, call, *args):
         if life != self.life or not self.alive:
