--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -18,8 +18,8 @@
         super().__init__(name, zone, net.clock)
         self.net = net
         self.wires = {}
-        self.doors = {}         # address -> Door
-        self.posts = []         # to other processes of the same machine
+        self.doors = {}  # address -> Door
+        self.posts = []  # to other processes of the same machine
         self.carrier = None
 
     @property
@@ -141,7 +141,9 @@
     def connect(self, machine, address, source=None):
         wire = VirtualWire(self, machine)
         wire.count(True)
-        self.host.net.transmit(wire, self.host, tuple(address), wire.host.net.syn, wire, tuple(address))
+        self.host.net.transmit(
+            wire, self.host, tuple(address), wire.host.net.syn, wire, tuple(address)
+        )
         return wire
 
     def datagrams(self, machine, address):
@@ -173,12 +175,14 @@
     def __init__(self, net, chance, usual, jitter):
         super().__init__(net.clock, chance, usual, jitter)
         self.net = net
-        self.addresses = {}     # name -> where its datagrams come from, also when it is gone
+        self.addresses = {}  # name -> where its datagrams come from, also when it is gone
 
     def arrive(self, one, other, data):
         end = self.net.mail.get(other)
         if end is not None and not end.host.silent:
-            end.host.gate(end.life, end.guard, end.machine.received, data, self.addresses[one])
+            end.host.gate(
+                end.life, end.guard, end.machine.received, data, self.addresses[one]
+            )
 
     def changed(self):
         self.net.heal()
@@ -192,15 +196,21 @@
     def __init__(self, clock, chance, same, cross, client, jitter, hop):
         self.clock = clock
         self.expovariate = chance.expovariate
-        self.same, self.cross, self.client, self.jitter, self.hop = same, cross, client, jitter, hop
+        self.same, self.cross, self.client, self.jitter, self.hop = (
+            same,
+            cross,
+            client,
+            jitter,
+            hop,
+        )
         self.doors = {}
         self.hosts_by_address = {}
-        self.cuts = []          # (from host name, to host name), each direction by itself
-        self.ways = []          # worse ones: (name or zone, name or zone, ms longer, share lost)
+        self.cuts = []  # (from host name, to host name), each direction by itself
+        self.ways = []  # worse ones: (name or zone, name or zone, ms longer, share lost)
         self.random = chance.random
-        self.stalled = []       # what waits for a way: (wire, from, to, call, args)
-        self.links = None       # between instances that know one another
-        self.mail = {}          # host name -> VirtualDatagrams
+        self.stalled = []  # what waits for a way: (wire, from, to, call, args)
+        self.links = None  # between instances that know one another
+        self.mail = {}  # host name -> VirtualDatagrams
 
     def delay(self, one, other, resend):
         """`resend`: ms after which what is lost goes again for the first time."""
@@ -210,7 +220,10 @@
             base = self.same if one.zone == other.zone else self.cross
         if self.ways:
             base += self.longer(one, other, resend)
-        if self.links is not None and (way := self.links.ways.get((one.name, other.name))) is not None:
+        if (
+            self.links is not None
+            and (way := self.links.ways.get((one.name, other.name))) is not None
+        ):
             base += way.wait_ms + self.sent_again(way.loss, resend)
         if not self.jitter:
             return self.hop + base
@@ -226,7 +239,12 @@
         more = 0.0
         ends = (one.name, one.zone), (other.name, other.zone)
         for first, second, wait, lost in self.ways:
-            if first in ends[0] and second in ends[1] or second in ends[0] and first in ends[1]:
+            if (
+                first in ends[0]
+                and second in ends[1]
+                or second in ends[0]
+                and first in ends[1]
+            ):
                 more += wait + self.sent_again(lost, resend)
         return more
 
@@ -237,7 +255,12 @@
         return more
 
     def blocked(self, one, other):
-        if one.silent or other.silent or self.cuts and (one.name, other.name) in self.cuts:
+        if (
+            one.silent
+            or other.silent
+            or self.cuts
+            and (one.name, other.name) in self.cuts
+        ):
             return True
         way = self.links and self.links.ways.get((one.name, other.name))
         if way and way.cuts:
@@ -253,9 +276,9 @@
             way.seen["crawled"] += 1
             wire.last = max(wire.last, self.clock.time) + len(data) * 1000 / way.crawl
         if wire.passed < 0:
-            return None         # half open: nothing passes any more
+            return None  # half open: nothing passes any more
         if way.then and wire.passed + len(data) >= way.after:
-            data, wire.passed = data[:way.after - wire.passed], -1
+            data, wire.passed = data[: way.after - wire.passed], -1
             way.seen["stream " + way.then] += 1
             if way.then == "reset":
                 wire.reset_peer()
@@ -293,7 +316,9 @@
             wire.waiting = 0
         for wire, one, to, call, args in stalled:
             # What an earlier process had sent is not sent again, nor is a start that was given up.
-            if not (wire.host is one and wire.life != one.life) and not (wire.gone and call == self.syn):
+            if not (wire.host is one and wire.life != one.life) and not (
+                wire.gone and call == self.syn
+            ):
                 self.transmit(wire, one, to, call, *args)
 
     def cut(self, one, other, both=True):
@@ -302,7 +327,9 @@
             self.cuts.append((other, one))
 
     def mend(self, one, other):
-        self.cuts = [cut for cut in self.cuts if cut not in ((one, other), (other, one))]
+        self.cuts = [
+            cut for cut in self.cuts if cut not in ((one, other), (other, one))
+        ]
         self.heal()
 
     # The two steps of a connection's start
@@ -315,7 +342,9 @@
             other = self.hosts_by_address.get(address) or wire.host
             return self.transmit(wire, other, wire.host, wire.turned_away)
         if len(door.backlog) >= door.carrier.limits.backlog:
-            self.clock.after(1000.0, self.syn, wire, address)     # dropped; the system asks again
+            self.clock.after(
+                1000.0, self.syn, wire, address
+            )  # dropped; the system asks again
             return
         far = VirtualWire(door.carrier, None)
         far.peer, wire.peer = wire, far
@@ -336,25 +365,27 @@
         self.life = carrier.host.life
         self.machine = machine
         self.peer = None
-        self.up = False             # the connection stands
-        self.gone = False           # and no longer
+        self.up = False  # the connection stands
+        self.gone = False  # and no longer
         self.full = False
         self.finished = False
         self.ended = False
         self.parted = False
         self.over = False
         self.held = False
-        self.copied = False         # another process is to have it
+        self.copied = False  # another process is to have it
         self.counted = False
         self.refused = False
-        self.inbox = deque()        # bytes, or None for the end, that were not read yet
+        self.inbox = deque()  # bytes, or None for the end, that were not read yet
         self.unsent = deque()
-        self.on_way = 0             # bytes sent and not read by the peer
-        self.last = 0.0             # when the last thing sent arrives
-        self.came = 0.0             # when the last bytes came
-        self.left = None            # when the first that found no way left the peer
-        self.passed = 0             # bytes that a way which cuts streams off has let pass; -1: none any more
-        self.waiting = 0            # things sent that found no way yet
+        self.on_way = 0  # bytes sent and not read by the peer
+        self.last = 0.0  # when the last thing sent arrives
+        self.came = 0.0  # when the last bytes came
+        self.left = None  # when the first that found no way left the peer
+        self.passed = (
+            0  # bytes that a way which cuts streams off has let pass; -1: none any more
+        )
+        self.waiting = 0  # things sent that found no way yet
 
     def count(self, on):
         self.carrier.sockets += on - self.counted
@@ -427,7 +458,9 @@
     def take_reset(self):
         if not self.gone:
             self.leave()
-            if self.machine is not None:        # on its way to another process: that one is told
+            if (
+                self.machine is not None
+            ):  # on its way to another process: that one is told
                 self.tell_lost(True)
 
     def tell_lost(self, reset):
@@ -458,7 +491,9 @@
                     data = self.host.net.befall(self, data)
                     if not data:
                         continue
-            self.host.net.transmit(self, self.host, self.peer.host, self.peer.arrive, data)
+            self.host.net.transmit(
+                self, self.host, self.peer.host, self.peer.arrive, data
+            )
         full = bool(self.unsent)
         if full is not self.full:
             self.full = full
@@ -508,7 +543,9 @@
         if reset or any(data for data in self.inbox):
             self.reset_peer()
         elif not self.finished or self.unsent:
-            self.host.net.transmit(self, self.host, self.peer.host, self.peer.arrive, None)
+            self.host.net.transmit(
+                self, self.host, self.peer.host, self.peer.arrive, None
+            )
         self.leave()
 
     def leave(self):
@@ -537,8 +574,15 @@
 
     @property
     def quiet(self):
-        return self.open and not self.gone and not self.finished and not self.ended and not self.full \
-            and self.drained and not self.inbox
+        return (
+            self.open
+            and not self.gone
+            and not self.finished
+            and not self.ended
+            and not self.full
+            and self.drained
+            and not self.inbox
+        )
 
     def copy(self):
         self.copied = True
--- a/wheathill/lab/worlds/outside.py
+++ b/wheathill/lab/worlds/outside.py
@@ -1,7 +1,7 @@
 """What is true of instances that know one another, taken from outside: who runs, who stands still, who can reach
 whom. What each believes is asked, to be judged against that."""
 
-VIEW_MS = 250.0         # how often each instance is asked what it believes
+VIEW_MS = 250.0  # how often each instance is asked what it believes
 
 
 def parts_of(names, zone_of):
@@ -22,17 +22,37 @@
     def truth(self):
         """Who runs, who of these stands still or doesn't listen yet, and which pairs of them can't reach each other."""
         running = [name for name, seat in self.seats.items() if seat.running]
-        return {"running": running, "paused": [name for name in running if self.seats[name].paused],
-                "starting": self.starting(),
-                "cut": [f"{one} {other}" for place, one in enumerate(running) for other in running[place + 1:]
-                        if not self.ways.reaches(one, other)]}
+        return {
+            "running": running,
+            "paused": [name for name in running if self.seats[name].paused],
+            "starting": self.starting(),
+            "cut": [
+                f"{one} {other}"
+                for place, one in enumerate(running)
+                for other in running[place + 1 :]
+                if not self.ways.reaches(one, other)
+            ],
+        }
 
     def believes(self, seat, found):
-        self.record.note("believes", proxy=seat.name, name=found["name"], alone=found["alone"],
-                         dropped=found["links"]["dropped"], state=found["state"], digest=found["digest"],
-                         fleet=found["fleet"], share=found["share"], differs=len(found["differs"]),
-                         **{key: found[key] for key in ("region_state", "fleet_state") if key in found},
-                         members={member["name"]: member["state"] for member in found["members"]})
+        self.record.note(
+            "believes",
+            proxy=seat.name,
+            name=found["name"],
+            alone=found["alone"],
+            dropped=found["links"]["dropped"],
+            state=found["state"],
+            digest=found["digest"],
+            fleet=found["fleet"],
+            share=found["share"],
+            differs=len(found["differs"]),
+            **{
+                key: found[key]
+                for key in ("region_state", "fleet_state")
+                if key in found
+            },
+            members={member["name"]: member["state"] for member in found["members"]},
+        )
 
     def watch(self):
         self.clock.after(VIEW_MS, self.watch)
@@ -42,4 +62,7 @@
 
     def datagrams_s(self, names, seconds):
         """Sent by each of these, a second."""
-        return round(sum(self.ways.sent[name] for name in names) / max(1, len(names)) / seconds, 2)
+        return round(
+            sum(self.ways.sent[name] for name in names) / max(1, len(names)) / seconds,
+            2,
+        )
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -65,7 +65,7 @@
         self.path = os.path.join(self.folder, "daemon.toml")
         self.paused = False
         self.burners = []
-        self.began = 0.0        # by the loop's time
+        self.began = 0.0  # by the loop's time
         self.asker = None
         self.view_asked = 0.0
 
@@ -84,11 +84,16 @@
         sockets = self.values["limits"]["sockets"] + SPARE_FILES + 16
         with open(os.path.join(self.folder, f"errors.{self.starts}"), "wb") as errors:
             self.process = subprocess.Popen(
-                [sys.executable, *self.program, "daemon", self.path], stdout=subprocess.PIPE, stderr=errors,
+                [sys.executable, *self.program, "daemon", self.path],
+                stdout=subprocess.PIPE,
+                stderr=errors,
                 env={**os.environ, "TMPDIR": self.folder},
-                preexec_fn=lambda: dies_with_the_lab(sockets))
+                preexec_fn=lambda: dies_with_the_lab(sockets),
+            )
         os.set_blocking(self.process.stdout.fileno(), False)
-        self.world.loop.add_reader(self.process.stdout.fileno(), self.read, self.process)
+        self.world.loop.add_reader(
+            self.process.stdout.fileno(), self.read, self.process
+        )
         self.world.await_listening(self, self.starts)
 
     def read(self, process):
@@ -140,8 +145,10 @@
         core = self.world.starved_core
         os.sched_setaffinity(self.process.pid, {core})
         for _ in range(neighbours):
-            burner = subprocess.Popen([sys.executable, "-c", "while True: pass"],
-                                      preexec_fn=lambda: dies_with_the_lab())
+            burner = subprocess.Popen(
+                [sys.executable, "-c", "while True: pass"],
+                preexec_fn=lambda: dies_with_the_lab(),
+            )
             os.sched_setaffinity(burner.pid, {core})
             self.burners.append(burner)
 
@@ -206,25 +213,34 @@
 class ProcessWorld(Outside, SocketWorld):
     name = "processes"
     opening = 1500.0
-    START = 5000.0          # ms of its own that a process has until it listens
+    START = 5000.0  # ms of its own that a process has until it listens
 
     def __init__(self, seed, network, limits, started=None):
         super().__init__(seed, network)
         self.clock.hold()
         from wheathill.lab.worlds.host import raise_fault
         from wheathill.net.driver import Carrier
+
         self.carrier = Carrier(self.loop, limits, raise_fault)
-        self.ways = Relay(self.loop, self.carrier, self.clock, random.Random(f"{seed}/relay"),
-                          network["same"], network["jitter"])
+        self.ways = Relay(
+            self.loop,
+            self.carrier,
+            self.clock,
+            random.Random(f"{seed}/relay"),
+            network["same"],
+            network["jitter"],
+        )
         self.program = started or ProcessSeat.program
         self.seed = seed
         self.key = self.key_file("key")
         self.starved_core = min(os.sched_getaffinity(0))
-        self.peers = {}         # name -> (private, public)
+        self.peers = {}  # name -> (private, public)
 
     def key_file(self, name):
         path = os.path.join(self.folder.name, name)
-        with open(path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)) as out:
+        with open(
+            path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)
+        ) as out:
             out.write(random.Random(f"{self.seed}/{name}").randbytes(24).hex().encode())
         return path
 
@@ -243,21 +259,40 @@
         private, public = self.peers_of(name, names)
 
         def seeds_of(some):
-            return ["%s:%d" % self.peers_of(other, names)[1] for other in some[:told.seeds]]
-
-        zones = {"zone": zone_of[name], "zones": [
-            operator.ZoneTable(zone, len(within), seeds_of(within)) for zone, within in parts_of(names, zone_of)
-        ]} if told.zoned else {}
+            return [
+                "%s:%d" % self.peers_of(other, names)[1] for other in some[: told.seeds]
+            ]
+
+        zones = (
+            {
+                "zone": zone_of[name],
+                "zones": [
+                    operator.ZoneTable(zone, len(within), seeds_of(within))
+                    for zone, within in parts_of(names, zone_of)
+                ],
+            }
+            if told.zoned
+            else {}
+        )
         return operator.Peers(
-            cluster=odd and odd.cluster or "lab", listen="%s:%d" % private, advertise="%s:%d" % public,
-            key_file=self.key_file(f"key of {name}") if odd and odd.key else self.key, name=odd and odd.claims,
-            seeds=[] if told.zoned else seeds_of(names), roster=names if told.roster else [], **zones,
+            cluster=odd and odd.cluster or "lab",
+            listen="%s:%d" % private,
+            advertise="%s:%d" % public,
+            key_file=self.key_file(f"key of {name}") if odd and odd.key else self.key,
+            name=odd and odd.claims,
+            seeds=[] if told.zoned else seeds_of(names),
+            roster=names if told.roster else [],
+            **zones,
             control=os.path.join(self.folder.name, name, "control"),
-            period_ms=told.period_ms, patience_ms=told.patience_ms)
+            period_ms=told.period_ms,
+            patience_ms=told.patience_ms,
+        )
 
     def proxy(self, name, zone, values, log, file, odd=None):
         seat = self.seats[name] = ProcessSeat(self, name, zone, values, log, file)
-        seat.program = program("speaks-another-version") if odd and odd.version else self.program
+        seat.program = (
+            program("speaks-another-version") if odd and odd.version else self.program
+        )
         return seat
 
     # Truth
@@ -269,8 +304,11 @@
         Finder(self, seat, start).begin()
 
     def starting(self):
-        return {name: round(seat.had_ms()) for name, seat in self.seats.items()
-                if seat.running and name in self.peers and self.ways.ends[name].door is None}
+        return {
+            name: round(seat.had_ms())
+            for name, seat in self.seats.items()
+            if seat.running and name in self.peers and self.ways.ends[name].door is None
+        }
 
     def gone(self, seat):
         if seat.name in self.peers:
@@ -283,7 +321,9 @@
         try:
             self.loop.run_until_complete(self.all_listen())
         except RuntimeError:
-            raise self.fault or RuntimeError("the loop was stopped while processes started") from None
+            raise self.fault or RuntimeError(
+                "the loop was stopped while processes started"
+            ) from None
         self.ways.sent.clear()
         self.clock.go()
 
@@ -291,7 +331,9 @@
         while starting := self.starting():
             for name, had in starting.items():
                 if had > self.START:
-                    raise AssertionError(f"{name} doesn't listen, {had} ms of its own time after its start")
+                    raise AssertionError(
+                        f"{name} doesn't listen, {had} ms of its own time after its start"
+                    )
             await asyncio.sleep(0.01)
 
     def run(self, seconds):
@@ -299,11 +341,19 @@
             self.watch()
         super().run(seconds)
         # Of those that have run from the start.
-        lasting = [seat for seat in self.seats.values() if seat.running and seat.starts == 1]
+        lasting = [
+            seat for seat in self.seats.values() if seat.running and seat.starts == 1
+        ]
         if lasting:
-            self.spent = {"cpu_share": round(sum(seat.cpu_s() for seat in lasting) / len(lasting) / seconds, 4),
-                          "memory_mb": round(max(seat.memory_mb() for seat in lasting), 1),
-                          "datagrams_s": self.datagrams_s([seat.name for seat in lasting], seconds)}
+            self.spent = {
+                "cpu_share": round(
+                    sum(seat.cpu_s() for seat in lasting) / len(lasting) / seconds, 4
+                ),
+                "memory_mb": round(max(seat.memory_mb() for seat in lasting), 1),
+                "datagrams_s": self.datagrams_s(
+                    [seat.name for seat in lasting], seconds
+                ),
+            }
 
     def close(self):
         for seat in self.seats.values():
@@ -322,7 +372,9 @@
         self.world, self.seat, self.start = world, seat, start
 
     def begin(self):
-        self.wire = self.world.carrier.connect(self, self.world.peers[self.seat.name][0])
+        self.wire = self.world.carrier.connect(
+            self, self.world.peers[self.seat.name][0]
+        )
 
     def connected(self):
         self.wire.abort()
@@ -331,6 +383,6 @@
 
     def lost(self, reset):
         if not self.wire.open:
-            self.clock.after(self.EVERY, self.world.await_listening, self.seat, self.start)
-
-
+            self.clock.after(
+                self.EVERY, self.world.await_listening, self.seat, self.start
+            )
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -26,34 +26,46 @@
         try:
             return sock.setsockopt(socket.SOL_SOCKET, SO_DETACH_FILTER, 0)
         except OSError:
-            return      # there was none
+            return  # there was none
     code = []
     for host, share in rules.items():
         number = struct.unpack("!I", socket.inet_aton(host))[0]
-        code.append((0x20, 0, 0, -0x100000 + 12))       # source address
+        code.append((0x20, 0, 0, -0x100000 + 12))  # source address
         if share is None:
             code += [(0x15, 0, 1, number), (0x06, 0, 0, 0)]
         else:
-            code += [(0x15, 0, 3, number), (0x20, 0, 0, -0x1000 + 56), (0x35, 1, 0, int(share * 0xffffffff)),
-                     (0x06, 0, 0, 0)]
-    code.append((0x06, 0, 0, 0xffffffff))
-    raw = b"".join(struct.pack("HBBI", *step[:3], step[3] & 0xffffffff) for step in code)
+            code += [
+                (0x15, 0, 3, number),
+                (0x20, 0, 0, -0x1000 + 56),
+                (0x35, 1, 0, int(share * 0xFFFFFFFF)),
+                (0x06, 0, 0, 0),
+            ]
+    code.append((0x06, 0, 0, 0xFFFFFFFF))
+    raw = b"".join(
+        struct.pack("HBBI", *step[:3], step[3] & 0xFFFFFFFF) for step in code
+    )
     held = ctypes.create_string_buffer(raw)
-    sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HxxxxxxP", len(code), ctypes.addressof(held)))
+    sock.setsockopt(
+        socket.SOL_SOCKET,
+        SO_ATTACH_FILTER,
+        struct.pack("HxxxxxxP", len(code), ctypes.addressof(held)),
+    )
 
 
 class Relay(Ways):
     def __init__(self, loop, carrier, clock, chance, usual, jitter):
         super().__init__(clock, chance, usual, jitter)
         self.loop, self.carrier = loop, carrier
-        self.ends = {}          # name -> End
-        self.streams = {}       # open Pipes
+        self.ends = {}  # name -> End
+        self.streams = {}  # open Pipes
 
     def end(self, name, private, public):
         self.ends[name] = End(self, name, private, public)
 
     def name_of(self, host):
-        return next((name for name, end in self.ends.items() if end.private[0] == host), None)
+        return next(
+            (name for name, end in self.ends.items() if end.private[0] == host), None
+        )
 
     def changed(self):
         """What asks for a connection meets the same losses, either way."""
@@ -106,7 +118,9 @@
         self.sock.bind(public)
         self.sock.setblocking(False)
         self.transport = None
-        self.task = relay.loop.create_task(relay.loop.create_datagram_endpoint(lambda: self, sock=self.sock))
+        self.task = relay.loop.create_task(
+            relay.loop.create_datagram_endpoint(lambda: self, sock=self.sock)
+        )
 
     def connection_made(self, transport):
         self.transport = transport
@@ -124,8 +138,9 @@
     def listens(self, on):
         """Whether its process takes streams."""
         if on and self.door is None:
-            self.door = self.relay.carrier.listen(lambda wire: Pipe(self.relay, self, wire), self.public,
-                                                  lambda: True)
+            self.door = self.relay.carrier.listen(
+                lambda wire: Pipe(self.relay, self, wire), self.public, lambda: True
+            )
             self.relay.changed()
         elif not on and self.door is not None:
             self.door.close()
@@ -146,9 +161,9 @@
         super().__init__(pipe, relay.carrier.limits, relay.clock)
         self.pipe, self.wire = pipe, wire
         self.other = None
-        self.waiting = []       # bytes, or None for the end
+        self.waiting = []  # bytes, or None for the end
         self.passed = 0
-        self.at = 0.0           # when the last of it arrives
+        self.at = 0.0  # when the last of it arrives
         self.over = False
 
     def received(self, data):
@@ -191,11 +206,21 @@
         """Whatever may pass, passes."""
         if self.dead or self.other is None:
             return
-        for half, one, other in ((self, self.one, self.end_.name), (self.far, self.end_.name, self.one)):
+        for half, one, other in (
+            (self, self.one, self.end_.name),
+            (self.far, self.end_.name, self.one),
+        ):
             way = self.relay.way(one, other)
-            while half.waiting and not way.cuts and half.other.wire.open and not (way.then and half.passed < 0):
+            while (
+                half.waiting
+                and not way.cuts
+                and half.other.wire.open
+                and not (way.then and half.passed < 0)
+            ):
                 data = half.waiting.pop(0)
-                self.relay.clock.at(self.when(half, way, data), self.deliver, half, way, data)
+                self.relay.clock.at(
+                    self.when(half, way, data), self.deliver, half, way, data
+                )
             if half.waiting and way.cuts:
                 way.seen["stream held"] += 1
 
@@ -205,7 +230,11 @@
         if way.crawl and data:
             way.seen["crawled"] += 1
             wait += len(data) * 1000 / way.crawl
-        half.at = max(half.at + 0.001, now + wait) if not way.crawl else max(half.at, now) + wait
+        half.at = (
+            max(half.at + 0.001, now + wait)
+            if not way.crawl
+            else max(half.at, now) + wait
+        )
         return half.at
 
     def deliver(self, half, way, data):
@@ -222,7 +251,7 @@
                 return self.end(True) if way.then == "reset" else None
             half.passed += len(data)
         elif half.passed < 0:
-            return      # half open: nothing passes any more
+            return  # half open: nothing passes any more
         half.other.wire.send(data)
 
     def end(self, reset):
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -13,14 +13,22 @@
     """The place of one proxy: its host, and whatever proxy runs on it at the time."""
 
     def __init__(self, world, name, zone, values, log):
-        self.world, self.name, self.zone, self.values, self.log = world, name, zone, values, log
+        self.world, self.name, self.zone, self.values, self.log = (
+            world,
+            name,
+            zone,
+            values,
+            log,
+        )
         self.host = VirtualHost(world.net, name, zone)
         world.net.hosts_by_address[self.host.where] = self.host
         self.where = self.host.where
         self.proxy = None
         self.starts = 0
-        self.calls = False          # operators may call
-        self.told = self.odd = None     # of its peers, where it knows them; what is odd about it
+        self.calls = False  # operators may call
+        self.told = self.odd = (
+            None  # of its peers, where it knows them; what is odd about it
+        )
 
     @property
     def admin(self):
@@ -41,7 +49,9 @@
         node = replace(node_of(self.values), peers=self.told)
         self.host.begin()
         carrier = VirtualCarrier(self.host, node.limits, self.log)
-        self.proxy = self.world.make_proxy(node, carrier, self.host.clock, self.log, self.world.decisions)
+        self.proxy = self.world.make_proxy(
+            node, carrier, self.host.clock, self.log, self.world.decisions
+        )
         if self.told:
             self.join(node, carrier)
         carrier.listen(self.proxy.client, self.where, self.proxy.room)
@@ -51,9 +61,22 @@
     def join(self, node, carrier):
         """As `daemon.join`, but that the number of its birth comes from the seed."""
         from wheathill.peers import instance_of
-        birth = random.Random(f"{self.world.seed}/{self.name}/birth {self.starts}").getrandbits(48) | 1
+
+        birth = (
+            random.Random(
+                f"{self.world.seed}/{self.name}/birth {self.starts}"
+            ).getrandbits(48)
+            | 1
+        )
         self.proxy.peers = instance_of(self.told)(
-            self.told, self.proxy, carrier, self.host.clock, self.log, birth, node.balancer["proxies"])
+            self.told,
+            self.proxy,
+            carrier,
+            self.host.clock,
+            self.log,
+            birth,
+            node.balancer["proxies"],
+        )
         if self.odd and self.odd.version:
             self.proxy.peers.seal.VERSION += 1
         self.host.clock.soon(self.proxy.peers.start)
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -23,10 +23,13 @@
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
 
-FIRST_PORT, LAST_PORT = 20_000, 32_000      # below those that systems give to outgoing connections
+FIRST_PORT, LAST_PORT = (
+    20_000,
+    32_000,
+)  # below those that systems give to outgoing connections
 # Of this lab alone: a stand-in that is down for a moment leaves its port, which another lab might take.
 LOOPBACK = "127.%d.%d.254" % (os.getpid() // 250 % 250 + 2, os.getpid() % 250)
-SPARE_FILES = 16        # a proxy's own, beside its sockets: the interpreter's and the loop's
+SPARE_FILES = 16  # a proxy's own, beside its sockets: the interpreter's and the loop's
 
 
 class SharpSelector(selectors.EpollSelector):
@@ -85,7 +88,13 @@
         self.cuts = []
 
     def delay(self, one, other):
-        base = self.client if None in (one, other) else self.same if one == other else self.cross
+        base = (
+            self.client
+            if None in (one, other)
+            else self.same
+            if one == other
+            else self.cross
+        )
         return base * (1.0 + self.jitter * self.expovariate(1.0))
 
 
@@ -99,13 +108,17 @@
         self.peer = peer
         self.distance = distance
         self.last_in = self.last_out = 0.0
-        self.up_at = 0.0            # the system's own way there and back took no time
-        self.waiting = []           # (inwards, call, args) that find no way
+        self.up_at = 0.0  # the system's own way there and back took no time
+        self.waiting = []  # (inwards, call, args) that find no way
         self.gone = False
         host.taps[self] = None
 
     def delay(self):
-        return 0.0 if self.peer is None else self.distance.delay(self.host.zone, self.peer[1])
+        return (
+            0.0
+            if self.peer is None
+            else self.distance.delay(self.host.zone, self.peer[1])
+        )
 
     def blocked(self, on):
         self.host.gate(self.life, super().blocked, on)
@@ -115,7 +128,11 @@
             return True
         if self.peer is None or not self.distance.cuts:
             return False
-        way = (self.peer[0], self.host.name) if inwards else (self.host.name, self.peer[0])
+        way = (
+            (self.peer[0], self.host.name)
+            if inwards
+            else (self.host.name, self.peer[0])
+        )
         return way in self.distance.cuts
 
     def pass_on(self, inwards, call, *args):
@@ -126,7 +143,11 @@
         wait = self.delay()
         # A microsecond later at the least: the loop does not keep the order of alarms of one time.
         last = self.last_in if inwards else self.last_out
-        when = max(last + 0.001, max(now, self.up_at) + wait) if wait or last > now else now
+        when = (
+            max(last + 0.001, max(now, self.up_at) + wait)
+            if wait or last > now
+            else now
+        )
         if inwards:
             self.last_in = when
         else:
@@ -213,20 +234,31 @@
         self.doors = []
         self.jams = []
         # One address a proxy that dials it, or a single one.
-        self.addresses = {peer: (LOOPBACK, world.free_port()) for peer in peers or (None,)}
+        self.addresses = {
+            peer: (LOOPBACK, world.free_port()) for peer in peers or (None,)
+        }
 
     @property
     def where(self):
         return next(iter(self.addresses.values()))
 
     def address(self, proxy=None):
-        return "%s:%d" % next((where for peer, where in self.addresses.items() if peer and peer[0] == proxy),
-                              self.where)
+        return "%s:%d" % next(
+            (
+                where
+                for peer, where in self.addresses.items()
+                if peer and peer[0] == proxy
+            ),
+            self.where,
+        )
 
     def listen(self, take):
         for peer, where in self.addresses.items():
-            self.doors.append(self.carrier.listen(
-                lambda wire, peer=peer: take(wire, peer), where, lambda: True))
+            self.doors.append(
+                self.carrier.listen(
+                    lambda wire, peer=peer: take(wire, peer), where, lambda: True
+                )
+            )
 
     def close_doors(self):
         doors, self.doors = self.doors, []
@@ -282,7 +314,13 @@
     """The place of one proxy: a process with its configuration in a file."""
 
     def __init__(self, world, name, zone, values, log):
-        self.world, self.name, self.zone, self.values, self.log = world, name, zone, values, log
+        self.world, self.name, self.zone, self.values, self.log = (
+            world,
+            name,
+            zone,
+            values,
+            log,
+        )
         host, _, port = values["listen"].rpartition(":")
         self.where = host, int(port)
         self.process = None
@@ -304,11 +342,18 @@
         self.write()
         sockets = self.values["limits"]["sockets"] + SPARE_FILES
         self.process = subprocess.Popen(
-            [sys.executable, "-m", "wheathill"], stdout=subprocess.PIPE, stderr=subprocess.DEVNULL,
+            [sys.executable, "-m", "wheathill"],
+            stdout=subprocess.PIPE,
+            stderr=subprocess.DEVNULL,
             env={**os.environ, "NODE_CONFIG": self.path},
-            preexec_fn=lambda: resource.setrlimit(resource.RLIMIT_NOFILE, (sockets, sockets)))
+            preexec_fn=lambda: resource.setrlimit(
+                resource.RLIMIT_NOFILE, (sockets, sockets)
+            ),
+        )
         os.set_blocking(self.process.stdout.fileno(), False)
-        self.world.loop.add_reader(self.process.stdout.fileno(), self.read, self.process)
+        self.world.loop.add_reader(
+            self.process.stdout.fileno(), self.read, self.process
+        )
 
     def read(self, process):
         data = process.stdout.read(65536)
@@ -316,8 +361,14 @@
             *lines, self.rest = (self.rest + data).split(b"\n")
             for line in lines:
                 fields = json.loads(line)
-                self.log(fields.pop("event"), **{name: value for name, value in fields.items()
-                                                 if name not in ("node", "time")})
+                self.log(
+                    fields.pop("event"),
+                    **{
+                        name: value
+                        for name, value in fields.items()
+                        if name not in ("node", "time")
+                    },
+                )
         elif data == b"":
             self.world.loop.remove_reader(process.stdout.fileno())
             process.stdout.close()
@@ -336,7 +387,11 @@
     def memory_mb(self):
         try:
             with open(f"/proc/{self.process.pid}/status") as status:
-                return next(int(line.split()[1]) / 1024 for line in status if line.startswith("VmHWM"))
+                return next(
+                    int(line.split()[1]) / 1024
+                    for line in status
+                    if line.startswith("VmHWM")
+                )
         except (OSError, StopIteration, AttributeError):
             return None
 
@@ -380,8 +435,8 @@
         self.next_port = FIRST_PORT + os.getpid() * 97 % (LAST_PORT - FIRST_PORT - 2000)
         self.hosts, self.seats, self.ports = {}, {}, {}
         self.fault = None
-        self.spent = {}             # what each instance took, where it is found out
-        self.record = None          # the scene's, for what only this world can see
+        self.spent = {}  # what each instance took, where it is found out
+        self.record = None  # the scene's, for what only this world can see
         self.decisions = None
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         resource.setrlimit(resource.RLIMIT_NOFILE, (hard, hard))
@@ -398,7 +453,9 @@
 
     def fail(self, loop, context):
         """A fault in the lab itself ends the run."""
-        self.fault = self.fault or context.get("exception") or AssertionError(context["message"])
+        self.fault = (
+            self.fault or context.get("exception") or AssertionError(context["message"])
+        )
         loop.stop()
 
     def wall(self):
@@ -419,7 +476,9 @@
     def slack(self, script):
         """The rules' own 50 ms, and the way there and back."""
         net = script.network
-        return 50.0 + 2 * max(net.same_ms, net.cross_ms, net.client_ms) * (1 + 8 * net.jitter)
+        return 50.0 + 2 * max(net.same_ms, net.cross_ms, net.client_ms) * (
+            1 + 8 * net.jitter
+        )
 
     def cut(self, one, other, both):
         self.distance.cuts.append((one, other))
@@ -427,7 +486,9 @@
             self.distance.cuts.append((other, one))
 
     def mend(self, one, other):
-        self.distance.cuts = [cut for cut in self.distance.cuts if cut not in ((one, other), (other, one))]
+        self.distance.cuts = [
+            cut for cut in self.distance.cuts if cut not in ((one, other), (other, one))
+        ]
         for name in (one, other):
             for tap in list(self.hosts[name].taps) if name in self.hosts else ():
                 tap.mend()
@@ -447,7 +508,7 @@
                     self.record.note("over memory", proxy=name, mb=round(memory, 1))
 
     def settle(self):
-        pass        # `opening` is what the proxies have to start
+        pass  # `opening` is what the proxies have to start
 
     def run(self, seconds):
         asyncio.set_event_loop(self.loop)
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -19,25 +19,27 @@
 
 
 class Tap:
-    held_back = False       # a connection of a stand-in is begun at once
-    came = None             # when the first byte left its sender, where the way here may hold it for long
+    held_back = False  # a connection of a stand-in is begun at once
+    came = None  # when the first byte left its sender, where the way here may hold it for long
 
     def __init__(self, host, machine, wire=None):
         self.host = host
         self.life = host.life
         self.machine = machine
         self.wire = wire
-        self.held_in = None     # what waits behind a cut, in order
+        self.held_in = None  # what waits behind a cut, in order
         self.held_out = None
-        self.dead = False       # half-open: nothing passes any more
+        self.dead = False  # half-open: nothing passes any more
         machine.wire = self
 
     def __getattr__(self, name):
-        return getattr(self.wire, name)     # what no fault concerns is the wire's: open, full, hold, ...
+        return getattr(
+            self.wire, name
+        )  # what no fault concerns is the wire's: open, full, hold, ...
 
     def find(self, data):
         for cut in self.host.cuts:
-            if cut.times > 0 and data[:len(cut.word)] == cut.word:
+            if cut.times > 0 and data[: len(cut.word)] == cut.word:
                 cut.times -= 1
                 return cut
         return None
@@ -59,8 +61,8 @@
         if cut is None:
             return self.machine.received(data)
         data = bytes(data)
-        self.machine.received(data[:cut.first])
-        self.held_in = [(self.machine.received, data[cut.first:])]
+        self.machine.received(data[: cut.first])
+        self.held_in = [(self.machine.received, data[cut.first :])]
         self.host.clock.after(cut.wait, self.go_on, cut, "held_in")
 
     def ended(self):
@@ -101,8 +103,8 @@
             return self.wire.send(*parts)
         data = b"".join(parts)
         if cut.first:
-            self.wire.send(data[:cut.first])
-        self.held_out = [(self.wire.send, data[cut.first:])]
+            self.wire.send(data[: cut.first])
+        self.held_out = [(self.wire.send, data[cut.first :])]
         self.host.clock.after(cut.wait, self.go_on, cut, "held_out")
 
     def finish(self):
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -21,18 +21,22 @@
     """Hosts on one network, and the proxies on them. Gives the scene its clock, hosts and proxies."""
 
     name = "virtual"
-    opening = 1000.0         # clients come from then on: the proxies have started
+    opening = 1000.0  # clients come from then on: the proxies have started
 
     def __init__(self, seed, network, decisions=Balancer, proxy=Proxy):
         self.clock = VirtualClock()
         self.seed = seed
         self.net = Network(self.clock, random.Random(f"{seed}/network"), **network)
-        self.ways = Links(self.net, random.Random(f"{seed}/relay"), network["same"] + network["hop"],
-                          network["jitter"])
+        self.ways = Links(
+            self.net,
+            random.Random(f"{seed}/relay"),
+            network["same"] + network["hop"],
+            network["jitter"],
+        )
         self.decisions = decisions
         self.make_proxy = proxy
         self.seats = {}
-        self.record = None      # the scene's
+        self.record = None  # the scene's
         self.spent = {}
 
     def wall(self):
@@ -49,7 +53,9 @@
         return f"{name}.lab:9000"
 
     def proxy(self, name, zone, values, log, held=False, told=None, odd=None):
-        seat = self.seats[name] = (HeldSeat if held else Seat)(self, name, zone, values, log)
+        seat = self.seats[name] = (HeldSeat if held else Seat)(
+            self, name, zone, values, log
+        )
         seat.told, seat.odd = told, odd
         if told:
             self.net.links = self.ways
@@ -62,23 +68,58 @@
         listen = f"{name}.lab", PEERS_PORT
         layout = None
         if proxies.zoned:
-            layout = Layout(1, tuple(
-                Zone(zone, zone, len(within), tuple(f"{other}.lab:{PEERS_PORT}" for other in within[:proxies.seeds]),
-                     len(within) / len(names), len(within) / len(names)) for zone, within in parts_of(names, zone_of)))
+            layout = Layout(
+                1,
+                tuple(
+                    Zone(
+                        zone,
+                        zone,
+                        len(within),
+                        tuple(
+                            f"{other}.lab:{PEERS_PORT}"
+                            for other in within[: proxies.seeds]
+                        ),
+                        len(within) / len(names),
+                        len(within) / len(names),
+                    )
+                    for zone, within in parts_of(names, zone_of)
+                ),
+            )
             names = [other for other in names if zone_of[other] == zone_of[name]]
-        return Told(name=odd and odd.claims or name, cluster=odd and odd.cluster or "lab", listen=listen,
-                    advertise="%s:%d" % listen, key=b"another key" if odd and odd.key else b"the lab's own key",
-                    seeds=tuple(f"{other}.lab:{PEERS_PORT}" for other in names[:proxies.seeds]),
-                    roster=tuple(names) if proxies.roster else (), control=None, period=proxies.period_ms,
-                    patience=proxies.patience_ms, zone=zone_of[name] if layout else None, layout=layout)
+        return Told(
+            name=odd and odd.claims or name,
+            cluster=odd and odd.cluster or "lab",
+            listen=listen,
+            advertise="%s:%d" % listen,
+            key=b"another key" if odd and odd.key else b"the lab's own key",
+            seeds=tuple(
+                f"{other}.lab:{PEERS_PORT}" for other in names[: proxies.seeds]
+            ),
+            roster=tuple(names) if proxies.roster else (),
+            control=None,
+            period=proxies.period_ms,
+            patience=proxies.patience_ms,
+            zone=zone_of[name] if layout else None,
+            layout=layout,
+        )
 
     def slack(self, script):
         """One way and back between the farthest, and the jitter that is seldom passed."""
         net = script.network
         # A way that a script makes worse delays what was sent in time: three losses in a row, if it loses.
-        worse = max((2 * event.wait_ms + 7 * self.net.RESEND * (event.share > 0)
-                     for event in script.event if event.do == "way"), default=0.0)
-        return 5.0 + 2 * max(net.same_ms, net.cross_ms, net.client_ms) * (1 + 8 * net.jitter) + worse
+        worse = max(
+            (
+                2 * event.wait_ms + 7 * self.net.RESEND * (event.share > 0)
+                for event in script.event
+                if event.do == "way"
+            ),
+            default=0.0,
+        )
+        return (
+            5.0
+            + 2 * max(net.same_ms, net.cross_ms, net.client_ms) * (1 + 8 * net.jitter)
+            + worse
+        )
 
     def cut(self, one, other, both):
         self.net.cut(one, other, both)
@@ -92,18 +133,22 @@
         return lambda: self.net.ways.remove(way)
 
     def settle(self):
-        pass        # here a proxy has started as soon as it is there
+        pass  # here a proxy has started as soon as it is there
 
     def run(self, seconds):
         if self.net.links is not None:
             self.watch()
         self.clock.run(seconds * 1000)
         if self.net.links is not None:
-            lasting = [name for name, seat in self.seats.items() if seat.running and seat.starts == 1]
+            lasting = [
+                name
+                for name, seat in self.seats.items()
+                if seat.running and seat.starts == 1
+            ]
             self.spent = {"datagrams_s": self.datagrams_s(lasting, seconds)}
 
     def sample(self):
-        pass        # what a process holds can't be seen here: it is no process
+        pass  # what a process holds can't be seen here: it is no process
 
     def close(self):
         pass
--- a/wheathill/lab/worlds/ways.py
+++ b/wheathill/lab/worlds/ways.py
@@ -14,12 +14,12 @@
     FIELDS = ("loss", "wait_ms", "doubled", "overtaken", "spoilt", "crawl")
 
     def __init__(self):
-        self.cuts = 0           # faults that cut it, which may overlap
+        self.cuts = 0  # faults that cut it, which may overlap
         self.loss = self.wait_ms = self.doubled = self.overtaken = self.spoilt = 0.0
         self.crawl = 0
         self.after = self.then = None
-        self.kept = None        # datagrams recorded, oldest first
-        self.seen = Counter()   # what was done to what passed
+        self.kept = None  # datagrams recorded, oldest first
+        self.seen = Counter()  # what was done to what passed
 
 
 class Ways:
@@ -30,11 +30,15 @@
 
     def __init__(self, clock, chance, usual, jitter):
         self.clock = clock
-        self.random, self.expovariate, self.uniform = chance.random, chance.expovariate, chance.uniform
+        self.random, self.expovariate, self.uniform = (
+            chance.random,
+            chance.expovariate,
+            chance.uniform,
+        )
         self.usual, self.jitter = usual, jitter
         self.ways = {}
-        self.sent = Counter()   # from -> datagrams; (from, kind), where somebody watches
-        self.watchers = []      # called with (from, kind) for each datagram
+        self.sent = Counter()  # from -> datagrams; (from, kind), where somebody watches
+        self.watchers = []  # called with (from, kind) for each datagram
         self.decode = None
 
     def way(self, one, other):
@@ -44,13 +48,22 @@
         return way
 
     def between(self, ones, others, one_way):
-        return [self.way(one, other) for one in ones for other in others if one != other] + \
-            ([] if one_way else [self.way(other, one) for one in ones for other in others if one != other])
+        return [
+            self.way(one, other) for one in ones for other in others if one != other
+        ] + (
+            []
+            if one_way
+            else [
+                self.way(other, one) for one in ones for other in others if one != other
+            ]
+        )
 
     def reaches(self, one, other):
         """Whether datagrams go both ways between two instances."""
-        return not any(way is not None and way.cuts
-                       for way in (self.ways.get((one, other)), self.ways.get((other, one))))
+        return not any(
+            way is not None and way.cuts
+            for way in (self.ways.get((one, other)), self.ways.get((other, one)))
+        )
 
     # Faults
 
@@ -72,6 +85,7 @@
                 for field, value in fields.items():
                     setattr(way, field, value)
             self.changed()
+
         return undo
 
     # Datagrams
@@ -96,7 +110,7 @@
             if way.spoilt and self.random() < way.spoilt:
                 way.seen["spoilt"] += 1
                 place = int(self.random() * len(data))
-                data = data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1:]
+                data = data[:place] + bytes([data[place] ^ 0x55]) + data[place + 1 :]
             self.forward(one, other, data, way)
             if way.doubled and self.random() < way.doubled:
                 way.seen["doubled"] += 1
@@ -116,6 +130,7 @@
         """What kind of message it is, read past the head: nothing in a frame is secret."""
         if self.decode is None:
             import msgspec
+
             self.decode = msgspec.msgpack.Decoder(list).decode
         try:
             words = self.decode(data[28:])[5]
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -11,8 +11,8 @@
 from functools import partial
 from typing import Protocol
 
-LIST_CALL = 40.0        # ms that one call may take a service which tells all proxies the list, where nothing tells
-LIST_LONGEST = 2750.0   # ms between two calls: two within the 6 s after which a change counts as told
+LIST_CALL = 40.0  # ms that one call may take a service which tells all proxies the list, where nothing tells
+LIST_LONGEST = 2750.0  # ms between two calls: two within the 6 s after which a change counts as told
 
 
 class Repeat(enum.Enum):
@@ -54,7 +54,7 @@
 class Listener:
     name: str
     repeat: Repeat = Repeat.REPEATABLE
-    scope: str = "all"                  # of a referenced listener: all, zone or cell
+    scope: str = "all"  # of a referenced listener: all, zone or cell
     window: float = 0.0
     handshake_target: float = 500.0
     dial_timeout: float = 2000.0
@@ -73,11 +73,11 @@
 
     def append(self, what):
         super().append(what)
-        del self[:-self.most]
+        del self[: -self.most]
 
     def extend(self, found):
         super().extend(found)
-        del self[:-self.most]
+        del self[: -self.most]
 
 
 @dataclass(eq=False)
@@ -86,28 +86,34 @@
     zone: int = 0
     cell: int = 0
     weight: float = 1.0
-    started: float | None = None        # None: long ago
-    phase: Phase = Phase.READY          # as listed, but for one that is out by hand
+    started: float | None = None  # None: long ago
+    phase: Phase = Phase.READY  # as listed, but for one that is out by hand
     listed: Phase = Phase.READY
-    doubted: bool = False               # its list says gone, which does not bind: one more sign and it is
-    told: float = 0.0                   # when this proxy heard that it drains or is gone
-    draws: Sequence[int] = ()           # by slot, from its name
-    pull: float = 1.0                   # what they count for
-    samples: Last = field(default_factory=partial(Last, 2))     # (time, load figure)
-    probed: float | None = None         # when the probe that is out was sent
-    took: Last = field(default_factory=partial(Last, 2))    # (time, ms until a probe was answered)
-    asked: float = -math.inf            # when the last probe was sent
-    silent: int = 0                     # probes without an answer since the last one answered
-    results: Last = field(default_factory=partial(Last, 8))     # (time, went well)
-    dialled: Last = field(default_factory=partial(Last, 128))   # when
-    cold_dials: list = field(default_factory=list)      # while it was cold, of the last window: when
-    late: float = -math.inf             # when a message there was last said to miss its target
-    doubt: float = 1.0                  # what its reports are multiplied by
-    heard: float = -math.inf            # when anything last came from there
-    unheard: "Session | None" = None      # a line of it waits for an answer since
+    doubted: bool = (
+        False  # its list says gone, which does not bind: one more sign and it is
+    )
+    told: float = 0.0  # when this proxy heard that it drains or is gone
+    draws: Sequence[int] = ()  # by slot, from its name
+    pull: float = 1.0  # what they count for
+    samples: Last = field(default_factory=partial(Last, 2))  # (time, load figure)
+    probed: float | None = None  # when the probe that is out was sent
+    took: Last = field(
+        default_factory=partial(Last, 2)
+    )  # (time, ms until a probe was answered)
+    asked: float = -math.inf  # when the last probe was sent
+    silent: int = 0  # probes without an answer since the last one answered
+    results: Last = field(default_factory=partial(Last, 8))  # (time, went well)
+    dialled: Last = field(default_factory=partial(Last, 128))  # when
+    cold_dials: list = field(
+        default_factory=list
+    )  # while it was cold, of the last window: when
+    late: float = -math.inf  # when a message there was last said to miss its target
+    doubt: float = 1.0  # what its reports are multiplied by
+    heard: float = -math.inf  # when anything last came from there
+    unheard: "Session | None" = None  # a line of it waits for an answer since
     shift_after: float = 0.0
     move_after: float = 0.0
-    sessions: dict = field(default_factory=dict)    # open here, in order of arrival
+    sessions: dict = field(default_factory=dict)  # open here, in order of arrival
 
 
 @dataclass(eq=False)
@@ -126,19 +132,21 @@
     group: str | None = None
     load: float | None = None
     mid_flow: bool = False
-    returning: bool = False             # after a break or a move
-    repeat: bool = False                # its client tried before
+    returning: bool = False  # after a break or a move
+    repeat: bool = False  # its client tried before
     slot: int = 0
-    server: Server | None = None        # of the dial that is out or accepted
+    server: Server | None = None  # of the dial that is out or accepted
     dials: list = field(default_factory=list)
-    choices: Iterator[Server] | None = None     # whom to try next
-    spare: Server | None = None         # looked ill: to be dialled where no server that is well was met
-    far: Server | None = None           # has room, but the way there is slow
-    home: Server | None = None          # first of those it may have that are well
+    choices: Iterator[Server] | None = None  # whom to try next
+    spare: Server | None = (
+        None  # looked ill: to be dialled where no server that is well was met
+    )
+    far: Server | None = None  # has room, but the way there is slow
+    home: Server | None = None  # first of those it may have that are well
     place: int = 0
-    met_full: bool = False              # a server that is well had no room for it
-    asked: int = 0                      # servers probed for it
-    accepted: float | None = None       # when
+    met_full: bool = False  # a server that is well had no room for it
+    asked: int = 0  # servers probed for it
+    accepted: float | None = None  # when
     ended: bool = False
 
 
--- a/wheathill/net/admin.py
+++ b/wheathill/net/admin.py
@@ -7,11 +7,20 @@
 from wheathill.net.lines import END, Malformed
 from wheathill.net.machine import Machine
 
-REASONS = {200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
-           408: "Request Timeout", 413: "Content Too Large", 431: "Request Header Fields Too Large",
-           500: "Internal Server Error", 501: "Not Implemented", 503: "Service Unavailable",
-           505: "HTTP Version Not Supported"}
-TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")        # RFC 9110 section 5.6.2
+REASONS = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
+TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110 section 5.6.2
 TARGET = re.compile(rb"[!-~]+")
 VERSION = re.compile(rb"HTTP/[0-9]\.[0-9]")
 
@@ -67,8 +76,8 @@
         self.lines.longest = limits.call_head
         self.read = Call.request_line
         self.method = self.target = None
-        self.head = self.headers = 0        # bytes and lines so far
-        self.body = None                    # bytes still to come
+        self.head = self.headers = 0  # bytes and lines so far
+        self.body = None  # bytes still to come
         self.done = False
 
     def connected(self):
@@ -96,10 +105,16 @@
     def request_line(self):
         line = self.head_line()
         if not line:
-            return line is not None         # an empty line before it is passed over (section 2.2)
+            return (
+                line is not None
+            )  # an empty line before it is passed over (section 2.2)
         words = line.split(b" ")
-        if len(words) != 3 or not TOKEN.fullmatch(words[0]) or not TARGET.fullmatch(words[1]) \
-                or not VERSION.fullmatch(words[2]):
+        if (
+            len(words) != 3
+            or not TOKEN.fullmatch(words[0])
+            or not TARGET.fullmatch(words[1])
+            or not VERSION.fullmatch(words[2])
+        ):
             raise No(400, "the first line is not METHOD TARGET HTTP/1.1")
         if not words[2].startswith(b"HTTP/1."):
             raise No(505, "HTTP/1.1 is spoken here")
@@ -146,8 +161,11 @@
         self.lines.rest = b""
         self.timer.cancel()
         more = "".join(f"{name}: {value}\r\n" for name, value in headers.items())
-        self.wire.send(f"HTTP/1.1 {status} {REASONS[status]}\r\n{more}Content-Type: application/json\r\n"
-                       f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode(), body)
+        self.wire.send(
+            f"HTTP/1.1 {status} {REASONS[status]}\r\n{more}Content-Type: application/json\r\n"
+            f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n".encode(),
+            body,
+        )
         self.wire.part()
 
     def say_no(self, no):
--- a/wheathill/net/bans.py
+++ b/wheathill/net/bans.py
@@ -14,8 +14,10 @@
 
 def write(path, out):
     """`out`: {name: since when, Unix ms}. Raises OSError; the file is then as it was."""
-    new = f"{path}.{os.getpid()}"       # at an upgrade two processes write
-    descriptor = os.open(new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600)
+    new = f"{path}.{os.getpid()}"  # at an upgrade two processes write
+    descriptor = os.open(
+        new, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC, 0o600
+    )
     try:
         with open(descriptor, "wb") as file:
             file.write(orjson.dumps({"version": VERSION, "out": out}))
@@ -37,8 +39,11 @@
         if os.fstat(descriptor).st_uid != os.geteuid():
             raise ValueError("the file is another user's")
         found = orjson.loads(file.read(most * 512))
-    if not isinstance(found, dict) or found.get("version") != VERSION \
-            or not isinstance(found.get("out"), dict) \
-            or not all(isinstance(since, (int, float)) for since in found["out"].values()):
+    if (
+        not isinstance(found, dict)
+        or found.get("version") != VERSION
+        or not isinstance(found.get("out"), dict)
+        or not all(isinstance(since, (int, float)) for since in found["out"].values())
+    ):
         raise ValueError("not a file of this version")
     return found["out"]
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -50,8 +50,11 @@
     def asking_nothing(self, count):
         """Of so many that have sent no line, the oldest."""
         late = self.now() - self.limits.ask_within
-        return [client for client, since in islice(self.silent.items(), count)
-                if since < late and not client.wire.unread]
+        return [
+            client
+            for client, since in islice(self.silent.items(), count)
+            if since < late and not client.wire.unread
+        ]
 
     def shut(self, client):
         del self.silent[client]
@@ -63,12 +66,16 @@
         then clients that ask for nothing. What is under way without being a session, probes that are out and clients that
         have only just come, holds spare descriptors: sessions have the others, whoever took them first."""
         if self.carrier.free <= 0:
-            for link in [link for link in self.links.values() if not link.asked][:1 - self.carrier.free]:
+            for link in [link for link in self.links.values() if not link.asked][
+                : 1 - self.carrier.free
+            ]:
                 link.end(None)
         if self.carrier.free <= 0:
             for client in self.asking_nothing(1 - self.carrier.free):
                 self.shut(client)
-        return self.carrier.free + len(self.links) + len(self.silent) > 0 and self.spare(DIALS)
+        return self.carrier.free + len(self.links) + len(
+            self.silent
+        ) > 0 and self.spare(DIALS)
 
     def opened(self, client, came=None):
         """`came`: when its line did, where that was a while ago."""
@@ -79,7 +86,9 @@
         if listener is None:
             raise Malformed("c names no listener")
         client.listener = listener
-        left = min(head.number("d", listener.dial_timeout), listener.dial_timeout) - (now - came)
+        left = min(head.number("d", listener.dial_timeout), listener.dial_timeout) - (
+            now - came
+        )
         if left < -self.limits.too_late:
             return self.give_up(client)
         tenant = head.values.get("t")
@@ -89,11 +98,17 @@
             # What discovery's agent knows counts as told from the first moment, and the known list may be old.
             self.early[client] = came
             return client.set_timer(left / 4, client.wire.guard, self.let_in, client)
-        sess = Session(listener=listener, key=head.key, deadline=now + left - self.limits.answer_margin,
-                       tenant=self.tenants.get(tenant, 0),
-                       group=head.values.get("g") if self.node.groups else None,
-                       load=head.number("h"), mid_flow=head.flag("mid"),
-                       returning=head.flag("again"), repeat=head.flag("r"))
+        sess = Session(
+            listener=listener,
+            key=head.key,
+            deadline=now + left - self.limits.answer_margin,
+            tenant=self.tenants.get(tenant, 0),
+            group=head.values.get("g") if self.node.groups else None,
+            load=head.number("h"),
+            mid_flow=head.flag("mid"),
+            returning=head.flag("again"),
+            repeat=head.flag("r"),
+        )
         self.note_id(head, sess)
         if not self.make_room():
             self.figures.count("no sockets")
@@ -166,9 +181,17 @@
         must not suffer. One that was due long ago has given up, and is told nothing any more."""
         now = self.now()
         self.stood_still(now)
-        behind = now - client.sess.deadline - self.limits.answer_margin if client.sess else 0.0
-        self.log_event("late" if behind >= self.limits.sweep or now < self.old_until else "fault", where="decisions",
-                       what="no answer in time", behind=round(behind))
+        behind = (
+            now - client.sess.deadline - self.limits.answer_margin
+            if client.sess
+            else 0.0
+        )
+        self.log_event(
+            "late" if behind >= self.limits.sweep or now < self.old_until else "fault",
+            where="decisions",
+            what="no answer in time",
+            behind=round(behind),
+        )
         if behind < self.limits.too_late:
             self.answer_alone(client)
         else:
@@ -179,7 +202,11 @@
         """The final answer without the decisions, where a fault or the end of this process leaves them no time. What
         is known not to have run is refused: failed would say that it may have."""
         sess = client.sess
-        refused = may_refuse(sess) if sess is not None else bool(self.early and client in self.early)
+        refused = (
+            may_refuse(sess)
+            if sess is not None
+            else bool(self.early and client in self.early)
+        )
         self.hung_up(client)
         self.answer(client, self.come_back(client.listener) if refused else b"ERR")
 
@@ -195,7 +222,9 @@
         """A session's final answer where it isn't UP: the one place where it is given, and counted for the
         listener that it named."""
         if client.listener is not None:
-            self.figures.ended(client.listener, "rejected" if line.startswith(b"BUSY") else "failed")
+            self.figures.ended(
+                client.listener, "rejected" if line.startswith(b"BUSY") else "failed"
+            )
         client.answer(line)
 
     def bad_client(self, client, why):
@@ -229,16 +258,29 @@
         client = self.clients.pop(sess)
         self.asking.pop(client, None)
         client.sess = None
-        sess.choices = None         # a generator that holds its session: a cycle, and of no use any more
+        sess.choices = (
+            None  # a generator that holds its session: a cycle, and of no use any more
+        )
         self.ids[client.head.id] = None
         self.figures.count(how)
         now = self.now()
         lasted = None if sess.accepted is None else round(now - sess.accepted)
-        self.log_event("session", how=how, listener=sess.listener.name, lasted=lasted,
-                       waited=round(now - client.came - (lasted or 0), 1), dials=len(sess.dials),
-                       server=sess.server and sess.server.name,
-                       came="mid-flow" if sess.mid_flow else "back" if sess.returning
-                       else "repeat" if sess.repeat else "first")
+        self.log_event(
+            "session",
+            how=how,
+            listener=sess.listener.name,
+            lasted=lasted,
+            waited=round(now - client.came - (lasted or 0), 1),
+            dials=len(sess.dials),
+            server=sess.server and sess.server.name,
+            came="mid-flow"
+            if sess.mid_flow
+            else "back"
+            if sess.returning
+            else "repeat"
+            if sess.repeat
+            else "first",
+        )
         return client
 
     def heard(self, server):
@@ -272,8 +314,12 @@
         # These alone, and not all that are open: looking at each of them took a part of a core that grew with them.
         for client in list(self.asking):
             # Who reads nothing itself can't be brought an answer. One may end others of the same server.
-            if client.sess is not None and client.asked is not None and not client.wire.full \
-                    and now - client.asked >= self.limits.unanswered:
+            if (
+                client.sess is not None
+                and client.asked is not None
+                and not client.wire.full
+                and now - client.asked >= self.limits.unanswered
+            ):
                 self.balancer.on_unanswered(now, client.sess, now - client.asked)
                 if client.moving and now - client.asked >= self.limits.half_line:
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
@@ -327,7 +373,9 @@
         except Malformed as wrong:
             raise ValueError(str(wrong)) from None
         client = Client(None, self, self.limits, self.clock)
-        client.dial = dial = Dialled(client, self.servers[server], self, self.limits, self.clock)
+        client.dial = dial = Dialled(
+            client, self.servers[server], self, self.limits, self.clock
+        )
         client.head, client.listener, client.sess = head, sess.listener, sess
         client.came, client.asked = came, asked
         if asked is not None:
@@ -346,14 +394,19 @@
     def connect(self, client, server, time_out):
         client.dial = dial = Dialled(client, server, self, self.limits, self.clock)
         if client.sess.dials:
-            client.sess.dials[-1].may_have_run = False      # until its line leaves
+            client.sess.dials[-1].may_have_run = False  # until its line leaves
         dial.address = self.addresses[server]
-        dial.start(self.carrier.connect(dial, dial.address), time_out, self.limits.connect)
+        dial.start(
+            self.carrier.connect(dial, dial.address), time_out, self.limits.connect
+        )
 
     @property
     def list_unread(self):
         """The list has more to tell that was not read yet: it counts as told already."""
-        return any(watch and watch.wire.open and watch.wire.unread for watch in (self.watch, self.beside))
+        return any(
+            watch and watch.wire.open and watch.wire.unread
+            for watch in (self.watch, self.beside)
+        )
 
     def may_send(self, dial):
         """The list may have changed while the connection was coming up: who answers at the old address of a server
@@ -364,7 +417,9 @@
         if sess not in self.clients:
             return True
         # The window of an earlier dial may have ended meanwhile as well.
-        may = self.balancer.roster.may_dial(now, dial.server, sess.mid_flow) and may_redial(now, sess, dial.server)
+        may = self.balancer.roster.may_dial(
+            now, dial.server, sess.mid_flow
+        ) and may_redial(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
         sess.dials[-1].may_have_run = may
         return may
@@ -382,7 +437,7 @@
         client.serve(dial, line)
         self.heard(dial.server)
         if sess in self.clients:
-            sess.choices = None     # nobody else is to be tried
+            sess.choices = None  # nobody else is to be tried
             self.balancer.on_accepted(now, sess)
         else:
             self.clients[sess] = client
@@ -394,8 +449,12 @@
         sess = client.sess if client.dial is dial else None
         if not dial.up:
             self.figures.count("dial: " + outcome.value)
-            self.log_event("dial failed", server=dial.server.name, outcome=outcome.value,
-                           after=round(now - dial.started, 1))
+            self.log_event(
+                "dial failed",
+                server=dial.server.name,
+                outcome=outcome.value,
+                after=round(now - dial.started, 1),
+            )
         if sess is None:
             pass
         elif sess not in self.clients:
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -10,14 +10,14 @@
         super().__init__(door, limits, clock)
         self.wire = wire
         self.head = None
-        self.listener = None    # that its head names
+        self.listener = None  # that its head names
         self.sess = None
         self.came = None
-        self.dial = None        # the one that is out or up
+        self.dial = None  # the one that is out or up
         self.up = False
         self.pings = 0
         self.moving = False
-        self.asked = None       # when the oldest line without an answer went to the server
+        self.asked = None  # when the oldest line without an answer went to the server
 
     def connected(self):
         self.came = self.clock.now()
@@ -38,7 +38,10 @@
             while self.head is None and (line := self.lines.next()) is not None:
                 if line == b"PING":
                     self.pings += 1
-                    allowed = self.limits.pings + (self.clock.now() - self.came) / self.limits.ping_every
+                    allowed = (
+                        self.limits.pings
+                        + (self.clock.now() - self.came) / self.limits.ping_every
+                    )
                     if self.lines.rest or self.pings > allowed:
                         raise Malformed("more than a line at once")
                     self.wire.send(b"PONG" if self.door.ready else b"ERR", END)
@@ -78,7 +81,13 @@
     @property
     def quiet(self):
         """Up, with no byte on its way: it may go over to another process."""
-        return self.up and not self.moving and not self.dial.over and self.wire.quiet and self.dial.wire.quiet
+        return (
+            self.up
+            and not self.moving
+            and not self.dial.over
+            and self.wire.quiet
+            and self.dial.wire.quiet
+        )
 
     def carried(self):
         """Nothing is read until both sides are here: it could not be passed on."""
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -12,7 +12,9 @@
 STRING = rb'"[^"\\\x00-\x1f]*+(?:\\.[^"\\\x00-\x1f]*+)*+"'
 # An object that is whole and holds no other, as lists do by thousands; a string; what opens or closes an object or array;
 # or the quote of a string that is cut off. Nothing is gone over twice (possessive): objects are cut off at every piece.
-MARK = re.compile(rb'\{[^][{}"]*+(?:' + STRING + rb'[^][{}"]*+)*+\}|' + STRING + rb'|[][{}"]')
+MARK = re.compile(
+    rb'\{[^][{}"]*+(?:' + STRING + rb'[^][{}"]*+)*+\}|' + STRING + rb'|[][{}"]'
+)
 CLOSES = {b"}": b"{", b"]": b"["}
 CONTROL = re.compile(rb"[\x00-\x1f]")
 
@@ -24,8 +26,8 @@
     def __init__(self, longest):
         self.longest = longest
         self.rest = b""
-        self.open = []      # braces and brackets
-        self.seen = 0       # so far `rest` was looked at
+        self.open = []  # braces and brackets
+        self.seen = 0  # so far `rest` was looked at
 
     def feed(self, data):
         self.rest += data
@@ -48,10 +50,10 @@
                 if self.open.pop() != CLOSES[mark[0]]:
                     raise Malformed("not a list: what closes was not open")
                 if not self.open:
-                    found, self.rest = self.rest[:self.seen], self.rest[self.seen:]
+                    found, self.rest = self.rest[: self.seen], self.rest[self.seen :]
                     return found
             elif mark[0].endswith(b"}") and not self.open:
-                found, self.rest = self.rest[:self.seen], self.rest[self.seen:]
+                found, self.rest = self.rest[: self.seen], self.rest[self.seen :]
                 return found
             elif mark[0] == b'"':
                 # No string holds a line's end: waited for, its other quote would swallow the lists to come.
@@ -72,14 +74,20 @@
 
     def __init__(self, host, since, door, limits, clock):
         super().__init__(door, limits, clock)
-        self.request = (f"GET /v1/servers?stream=1&index={since} HTTP/1.1\r\n"
-                        f"Host: {host}\r\nAccept: application/json\r\n\r\n").encode()
-        self.read = Watch.status     # not bound: that would be a cycle of references for each watch
+        self.request = (
+            f"GET /v1/servers?stream=1&index={since} HTTP/1.1\r\n"
+            f"Host: {host}\r\nAccept: application/json\r\n\r\n"
+        ).encode()
+        self.read = (
+            Watch.status
+        )  # not bound: that would be a cycle of references for each watch
         self.chunked = False
-        self.left = None            # bytes of the present chunk, or of the answer where it says how many
+        self.left = (
+            None  # bytes of the present chunk, or of the answer where it says how many
+        )
         self.objects = Objects(limits.list_line)
-        self.untold = 0             # bytes since it last told something
-        self.came = -math.inf       # when bytes last did
+        self.untold = 0  # bytes since it last told something
+        self.came = -math.inf  # when bytes last did
         self.answered = False
         self.left_for_good = False
 
@@ -135,7 +143,7 @@
         if self.left is None:
             self.take(data)
             return False
-        self.take(data[:self.left])
+        self.take(data[: self.left])
         self.left -= len(data)
         if self.left <= 0:
             # The connection may stay open for another request, but this one's answer is over.
@@ -156,8 +164,8 @@
         return True
 
     def chunk(self):
-        data = self.lines.rest[:self.left]
-        self.lines.rest = self.lines.rest[len(data):]
+        data = self.lines.rest[: self.left]
+        self.lines.rest = self.lines.rest[len(data) :]
         self.left -= len(data)
         self.take(data)
         if not self.left:
--- a/wheathill/net/driver.py
+++ b/wheathill/net/driver.py
@@ -24,21 +24,25 @@
         # One is enough: a machine has consumed what came before the next read begins.
         self.buffer = memoryview(bytearray(limits.read))
         self.sockets = 0
-        self.parting = {}       # wires that their machines are done with, until they are closed
-        self.lent = 0           # held by the process that this one takes over from
+        self.parting = {}  # wires that their machines are done with, until they are closed
+        self.lent = 0  # held by the process that this one takes over from
 
     @property
     def free(self):
-        return self.limits.sockets - self.limits.spare_sockets - self.sockets - self.lent
+        return (
+            self.limits.sockets - self.limits.spare_sockets - self.sockets - self.lent
+        )
 
     def listen(self, make_machine, address, room, inherited=None):
         """`inherited`: the descriptor of a socket that listens there already."""
-        return Door(self, make_machine, listening(address, inherited, self.limits.backlog), room)
+        return Door(
+            self, make_machine, listening(address, inherited, self.limits.backlog), room
+        )
 
     def adopt(self, handle, machine):
         """The connection of a descriptor from another process; it reads nothing until `hold(False)`."""
         wire = machine.wire = Wire(self, lambda _: machine)
-        wire.handed = wire.counted = True       # as a descriptor, so far
+        wire.handed = wire.counted = True  # as a descriptor, so far
         wire.begin(wire.take(socket.socket(fileno=handle)))
         return wire
 
@@ -104,8 +108,8 @@
         self.room = room
         self.sock = sock
         self.later = None
-        self.held = self.paused = False     # paused: only for a moment
-        self.coming = {}        # wires that were accepted and have not told their machines yet
+        self.held = self.paused = False  # paused: only for a moment
+        self.coming = {}  # wires that were accepted and have not told their machines yet
         self.hold(False)
 
     def hold(self, on):
@@ -139,18 +143,26 @@
             wire = Wire(self.carrier, self.make_machine)
             wire.count(True)
             self.coming[wire] = None
-            wire.begin(wire.take(taken)).add_done_callback(lambda _, wire=wire: self.coming.pop(wire))
+            wire.begin(wire.take(taken)).add_done_callback(
+                lambda _, wire=wire: self.coming.pop(wire)
+            )
 
     @property
     def waiting(self):
         """Whether somebody is on the way in: accepted, or yet to be accepted here."""
-        return bool(self.coming) or self.sock.fileno() >= 0 and (not self.held or self.paused) \
+        return (
+            bool(self.coming)
+            or self.sock.fileno() >= 0
+            and (not self.held or self.paused)
             and readable(self.sock)
+        )
 
     def pause(self):
         self.hold(True)
         self.paused = True
-        self.later = self.carrier.loop.call_later(self.carrier.limits.accept_pause / 1000, self.hold, False)
+        self.later = self.carrier.loop.call_later(
+            self.carrier.limits.accept_pause / 1000, self.hold, False
+        )
 
 
 class Folder:
@@ -160,7 +172,9 @@
         self.path = path
 
     def __enter__(self):
-        self.descriptor = os.open(self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC)
+        self.descriptor = os.open(
+            self.path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC
+        )
         return lambda name: f"/proc/self/fd/{self.descriptor}/{name}"
 
     def __exit__(self, *_):
@@ -173,7 +187,9 @@
     def __init__(self, carrier, folder, name, make_machine):
         self.carrier = carrier
         self.make_machine = make_machine
-        self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK)
+        self.sock = socket.socket(
+            socket.AF_UNIX, socket.SOCK_STREAM | socket.SOCK_NONBLOCK
+        )
         try:
             with Folder(folder) as near:
                 if os.path.lexists(near(name + ".new")):
@@ -219,14 +235,14 @@
         self.transport = None
         self.task = None
         self.full = False
-        self.finished = False       # we send no more
-        self.ended = False          # the peer sends no more
-        self.parted = False         # the machine is done with it
-        self.thrown_away = 0        # bytes that came after that
+        self.finished = False  # we send no more
+        self.ended = False  # the peer sends no more
+        self.parted = False  # the machine is done with it
+        self.thrown_away = 0  # bytes that came after that
         self.over = False
         self.counted = False
-        self.handed = False         # by another process
-        self.refused = False        # nobody listens there
+        self.handed = False  # by another process
+        self.refused = False  # nobody listens there
 
     def begin(self, how):
         self.task = self.carrier.loop.create_task(how)
@@ -251,8 +267,9 @@
         while self.machine.held_back:
             await asyncio.sleep(0)
         try:
-            await self.carrier.loop.create_connection(lambda: self, *address,
-                                                      local_addr=(source, 0) if source else None)
+            await self.carrier.loop.create_connection(
+                lambda: self, *address, local_addr=(source, 0) if source else None
+            )
         except OSError as wrong:
             self.refused = isinstance(wrong, ConnectionRefusedError)
             self.count(False)
@@ -271,7 +288,10 @@
         # Nothing may lie in the buffer unnoticed: a line counts as sent when its last byte has left.
         transport.set_write_buffer_limits(high=0)
         # A client whose machine is gone would hold its descriptors for good.
-        sock, seconds = transport.get_extra_info("socket"), int(self.carrier.limits.keep_alive / 1000)
+        sock, seconds = (
+            transport.get_extra_info("socket"),
+            int(self.carrier.limits.keep_alive / 1000),
+        )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, max(1, seconds // 3))
@@ -322,7 +342,11 @@
         machine, self.machine = self.machine, NoMachine
         machine.let_go()
         held = vars(self.transport) if self.transport else {}
-        for name in [name for name, found in held.items() if getattr(found, "__self__", None) is self.transport]:
+        for name in [
+            name
+            for name, found in held.items()
+            if getattr(found, "__self__", None) is self.transport
+        ]:
             del held[name]
 
     def tell_lost(self, reset):
@@ -342,7 +366,13 @@
     @property
     def quiet(self):
         """Open both ways, with no byte on its way through this process."""
-        return self.open and not self.finished and not self.ended and not self.full and self.drained
+        return (
+            self.open
+            and not self.finished
+            and not self.ended
+            and not self.full
+            and self.drained
+        )
 
     def copy(self):
         """Another descriptor of the same connection, for another process. Raises OSError. Once this one is
@@ -355,7 +385,9 @@
     def waited(self):
         """ms since the last bytes came from the network (tcpi_last_data_recv of the system's TCP_INFO)."""
         try:
-            told = self.transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 56)
+            told = self.transport.get_extra_info("socket").getsockopt(
+                socket.IPPROTO_TCP, socket.TCP_INFO, 56
+            )
             return float(struct.unpack_from("I", told, 52)[0])
         except (OSError, struct.error):
             return 0.0
@@ -370,15 +402,28 @@
         goes on sending those that were."""
         held = self.transport.get_write_buffer_size() if self.transport else 0
         try:
-            return held and held + struct.unpack("i", fcntl.ioctl(
-                self.transport.get_extra_info("socket").fileno(), termios.TIOCOUTQ, bytes(4)))[0]
+            return (
+                held
+                and held
+                + struct.unpack(
+                    "i",
+                    fcntl.ioctl(
+                        self.transport.get_extra_info("socket").fileno(),
+                        termios.TIOCOUTQ,
+                        bytes(4),
+                    ),
+                )[0]
+            )
         except OSError:
             return held
 
     @property
     def drained(self):
         """The last byte has left. A transport that failed has emptied its buffer too."""
-        return not self.transport.is_closing() and not self.transport.get_write_buffer_size()
+        return (
+            not self.transport.is_closing()
+            and not self.transport.get_write_buffer_size()
+        )
 
     def send(self, *parts):
         if self.open and not self.finished:
@@ -417,7 +462,9 @@
         """For the peer's end, or while it reads what waits for it here: a slow reader is not cut off."""
         unsent = self.to_send
         if before is math.inf or 0 < unsent < before:
-            self.carrier.loop.call_later(self.carrier.limits.linger / 1000, self.linger, unsent)
+            self.carrier.loop.call_later(
+                self.carrier.limits.linger / 1000, self.linger, unsent
+            )
         else:
             self.transport.abort()
 
@@ -431,7 +478,8 @@
             return self.count(False)
         if reset:
             self.transport.get_extra_info("socket").setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
         self.transport.abort()
         # Closed a turn later, but before anything that is begun from now on.
         self.count(False)
@@ -443,15 +491,19 @@
     def __init__(self, carrier, machine, address):
         self.carrier, self.machine = carrier, machine
         self.transport = None
-        self.early = deque(maxlen=64)   # sent before the loop has the socket
-        sock = socket.socket(socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM)
+        self.early = deque(maxlen=64)  # sent before the loop has the socket
+        sock = socket.socket(
+            socket.AF_INET6 if ":" in address[0] else socket.AF_INET, socket.SOCK_DGRAM
+        )
         try:
             sock.bind(address)
         except OSError:
             sock.close()
             raise
         sock.setblocking(False)
-        self.task = carrier.loop.create_task(carrier.loop.create_datagram_endpoint(lambda: self, sock=sock))
+        self.task = carrier.loop.create_task(
+            carrier.loop.create_datagram_endpoint(lambda: self, sock=sock)
+        )
 
     def connection_made(self, transport):
         self.transport = transport
@@ -479,16 +531,18 @@
     """A Unix socket to another process of the same user: bytes, and descriptors with them, which no transport
     of asyncio's can receive."""
 
-    MOST_HANDLES = 64       # that come with one read
+    MOST_HANDLES = 64  # that come with one read
     READ = 65536
 
     def __init__(self, carrier, sock, make_machine):
         self.carrier = carrier
         self.sock = sock
-        self.unsent = deque()       # [bytes, handles]
+        self.unsent = deque()  # [bytes, handles]
         self.over = False
         self.machine = make_machine(self)
-        peer = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
+        peer = sock.getsockopt(
+            socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i")
+        )
         if struct.unpack("3i", peer)[1] != os.geteuid():
             return self.close()
         carrier.loop.add_reader(sock, self.readable)
@@ -497,7 +551,9 @@
     def readable(self):
         room = socket.CMSG_SPACE(self.MOST_HANDLES * array.array("i").itemsize)
         try:
-            data, extra, flags, _ = self.sock.recvmsg(self.READ, room, socket.MSG_CMSG_CLOEXEC)
+            data, extra, flags, _ = self.sock.recvmsg(
+                self.READ, room, socket.MSG_CMSG_CLOEXEC
+            )
         except (BlockingIOError, InterruptedError):
             return
         except OSError:
@@ -505,7 +561,7 @@
         handles = array.array("i")
         for level, kind, found in extra:
             if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-                handles.frombytes(found[:len(found) - len(found) % handles.itemsize])
+                handles.frombytes(found[: len(found) - len(found) % handles.itemsize])
         self.carrier.sockets += len(handles)
         if flags & socket.MSG_CTRUNC or not data:
             self.carrier.drop(handles)
@@ -521,7 +577,11 @@
     def writable(self):
         while self.unsent:
             data, handles = self.unsent[0]
-            rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", handles))] if handles else []
+            rights = (
+                [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", handles))]
+                if handles
+                else []
+            )
             try:
                 sent = self.sock.sendmsg([data], rights)
             except (BlockingIOError, InterruptedError):
@@ -545,7 +605,12 @@
 
 
 def tell_fault(log, call, wrong):
-    log("fault", where=getattr(call, "__qualname__", str(call)), what=repr(wrong), line=fault_line(wrong))
+    log(
+        "fault",
+        where=getattr(call, "__qualname__", str(call)),
+        what=repr(wrong),
+        line=fault_line(wrong),
+    )
 
 
 def fault_line(wrong):
--- a/wheathill/net/figures.py
+++ b/wheathill/net/figures.py
@@ -7,8 +7,8 @@
 
 class Figures:
     def __init__(self):
-        self.counts = Counter()     # by event
-        self.results = {}           # listener's name -> {result: sessions}
+        self.counts = Counter()  # by event
+        self.results = {}  # listener's name -> {result: sessions}
 
     def know(self, names):
         """Each stands there from the start; one that the settings no longer name keeps its counts."""
@@ -26,4 +26,7 @@
         return {**self.counts, "sessions": self.results}
 
     def told(self):
-        return {"downstream_requests": self.results, "upstream_requests": self.counts["dials sent"]}
+        return {
+            "downstream_requests": self.results,
+            "upstream_requests": self.counts["dials sent"],
+        }
--- a/wheathill/net/garbage.py
+++ b/wheathill/net/garbage.py
@@ -6,7 +6,11 @@
 
 import gc
 
-YOUNG, MIDDLE, FULL = 700, 10, 3    # the interpreter's own, but for the last: some 30,000 objects between two full ones
+YOUNG, MIDDLE, FULL = (
+    700,
+    10,
+    3,
+)  # the interpreter's own, but for the last: some 30,000 objects between two full ones
 
 
 def keep_collections_short():
--- a/wheathill/net/lines.py
+++ b/wheathill/net/lines.py
@@ -28,7 +28,7 @@
             raise Malformed(f"a line of over {self.longest} bytes")
         if end < 0:
             return None
-        line, self.rest = self.rest[:end], self.rest[end + len(END):]
+        line, self.rest = self.rest[:end], self.rest[end + len(END) :]
         return line
 
 
@@ -62,7 +62,12 @@
         """The line for a server, in pieces to be written together: unchanged but for `d`."""
         if self.d_from is None:
             return self.line, END
-        return self.line[:self.d_from], b"%d" % max(0, left), self.line[self.d_to:], END
+        return (
+            self.line[: self.d_from],
+            b"%d" % max(0, left),
+            self.line[self.d_to :],
+            END,
+        )
 
     def number(self, name, default=None):
         value = self.values.get(name)
--- a/wheathill/net/log.py
+++ b/wheathill/net/log.py
@@ -20,22 +20,27 @@
         self.writer.start()
 
     def __call__(self, event, **fields):
-        line = {"time": round(time.time(), 3), "node": self.name, "event": event, **fields}
+        line = {
+            "time": round(time.time(), 3),
+            "node": self.name,
+            "event": event,
+            **fields,
+        }
         self.put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
     def put(self, line):
         try:
             self.lines.put_nowait(line)
         except queue.Full:
-            pass        # a reader that stands still must not stop the proxy
+            pass  # a reader that stands still must not stop the proxy
 
     def write(self):
         while line := self.lines.get():
             try:
                 while line:
-                    line = line[os.write(self.out, line):]
+                    line = line[os.write(self.out, line) :]
             except OSError:
-                pass    # nobody reads any more; serving goes on
+                pass  # nobody reads any more; serving goes on
 
     def close(self):
         self.put(b"")
--- a/wheathill/net/operators.py
+++ b/wheathill/net/operators.py
@@ -10,12 +10,14 @@
 
     def __init__(self, proxy):
         self.proxy = proxy
-        self.calls = {}         # not over yet, oldest first -> since when
+        self.calls = {}  # not over yet, oldest first -> since when
         # Later subsystems add their paths here: (what answers, what the query has to name).
-        self.paths = {"/status": {"GET": (self.status,)},
-                      "/status/metrics": {"GET": (proxy.metrics,)},
-                      "/maintenance/enter": {"PUT": (partial(self.hand, True), "host")},
-                      "/maintenance/exit": {"PUT": (partial(self.hand, False), "host")}}
+        self.paths = {
+            "/status": {"GET": (self.status,)},
+            "/status/metrics": {"GET": (proxy.metrics,)},
+            "/maintenance/enter": {"PUT": (partial(self.hand, True), "host")},
+            "/maintenance/exit": {"PUT": (partial(self.hand, False), "host")},
+        }
 
     def call(self, wire):
         call = Call(wire, self.answer, self.proxy.limits, self.proxy.clock)
@@ -31,8 +33,16 @@
         if len(self.calls) < self.proxy.limits.calls:
             return True
         late = self.proxy.now() - self.proxy.limits.ask_within
-        oldest = next((call for call, since in self.calls.items()
-                       if call.done or since < late and not (call.wire.open and call.wire.unread)), None)
+        oldest = next(
+            (
+                call
+                for call, since in self.calls.items()
+                if call.done
+                or since < late
+                and not (call.wire.open and call.wire.unread)
+            ),
+            None,
+        )
         if oldest is None:
             return False
         del self.calls[oldest]
@@ -52,13 +62,22 @@
     def one(query, name):
         found = query.get(name, ())
         if len(found) != 1 or not found[0]:
-            raise No(400, f"{name} is {'given twice' if len(found) > 1 else 'missing or empty'}")
+            raise No(
+                400,
+                f"{name} is {'given twice' if len(found) > 1 else 'missing or empty'}",
+            )
         return found[0]
 
     def status(self):
         if not self.proxy.ready or self.proxy.handed_over:
-            raise No(503, "stopping" if self.proxy.stopping is not None else
-                     "handed over to another process" if self.proxy.handed_over else "starting")
+            raise No(
+                503,
+                "stopping"
+                if self.proxy.stopping is not None
+                else "handed over to another process"
+                if self.proxy.handed_over
+                else "starting",
+            )
         return {"status": "ready"}
 
     def hand(self, out, name):
@@ -69,5 +88,7 @@
         try:
             kept = self.proxy.by_hand(name, out)
         except OSError as wrong:
-            raise No(500, f"nothing was changed, as it can't be kept: {wrong.strerror}") from None
+            raise No(
+                500, f"nothing was changed, as it can't be kept: {wrong.strerror}"
+            ) from None
         return {"host": name, "out": out, "kept": kept}
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -20,39 +20,41 @@
     def __init__(self, node, carrier, clock, log, decisions=Balancer):
         self.carrier = carrier
         self.figures = Figures()
-        self.door = None        # where clients are taken in
-        self.upgrade = None     # where another process may take over, or has
+        self.door = None  # where clients are taken in
+        self.upgrade = None  # where another process may take over, or has
         self.handed_over = False
-        self.peers = None       # other instances, where they are known
-        self.swept = self.worst_delay = 0.0     # when a sweep was due; the longest one was late since logged
-        self.old_until = 0.0    # until then lines may be read that have lain here while this process stood still
+        self.peers = None  # other instances, where they are known
+        self.swept = self.worst_delay = (
+            0.0  # when a sweep was due; the longest one was late since logged
+        )
+        self.old_until = 0.0  # until then lines may be read that have lain here while this process stood still
         self.take(node)
         self.started_with = node.told
         self.clock = clock
         self.log_event = log
         self.zones = {name: place for place, name in enumerate(node.zones)}
-        self.servers = {}       # by name
-        self.names = {}         # of all that were ever listed, the longest unlisted first
-        self.addresses = {}     # Server -> (host, port)
-        self.clients = {}       # Session -> Client, in order of arrival
-        self.asking = {}        # clients with a line that waits for an answer, the longest waiting first
-        self.silent = {}        # clients that have sent no line yet, oldest first
+        self.servers = {}  # by name
+        self.names = {}  # of all that were ever listed, the longest unlisted first
+        self.addresses = {}  # Server -> (host, port)
+        self.clients = {}  # Session -> Client, in order of arrival
+        self.asking = {}  # clients with a line that waits for an answer, the longest waiting first
+        self.silent = {}  # clients that have sent no line yet, oldest first
         # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
         self.ids = OrderedDict()
-        self.links = {}         # Server -> ProbeLink, the longest unused first
-        self.seen = 0           # version of the list
+        self.links = {}  # Server -> ProbeLink, the longest unused first
+        self.seen = 0  # version of the list
         self.watch = None
-        self.beside = None      # another, asked while the first has not answered
+        self.beside = None  # another, asked while the first has not answered
         self.next_watch = None  # the alarm that opens it again, or one beside it
-        self.asked_at = 0.0     # when it was opened
-        self.gap = False        # an entry of the list could not be read: no version is noted
-        self.gaps = 0           # how often in a row
-        self.early = {}         # clients whose line came before the first list -> when
-        self.watch_why = None   # it ended last time, and nothing came since
+        self.asked_at = 0.0  # when it was opened
+        self.gap = False  # an entry of the list could not be read: no version is noted
+        self.gaps = 0  # how often in a row
+        self.early = {}  # clients whose line came before the first list -> when
+        self.watch_why = None  # it ended last time, and nothing came since
         self.list_failures = 0  # calls for the list in a row
         self.ready = False
-        self.stopping = None    # since when
-        self.stop_last = 0.0    # when those that are left are sent away
+        self.stopping = None  # since when
+        self.stop_last = 0.0  # when those that are left are sent away
         self.bad_since = self.bad_logged = 0
         self.balancer = decisions(self, random.Random(node.seed), **node.balancer)
 
@@ -67,7 +69,9 @@
         self.read_bans()
         known, self.node = self.node.known, replace(self.node, known={})
         if known and not taken:
-            self.listed(known, ListKind.CACHED if self.node.discovery else ListKind.FULL)
+            self.listed(
+                known, ListKind.CACHED if self.node.discovery else ListKind.FULL
+            )
         if taken or not self.node.discovery:
             self.first_list_over()
         if self.node.discovery:
@@ -91,15 +95,23 @@
             # Where packets pass through, what is open goes on at other proxies once this one is killed, but
             # breaks if it ends by itself: all its clients then came back at once, and were refused.
             # Settled now: a configuration that comes later may shorten the dial timeouts of who is in already.
-            most = self.limits.longest_dial + self.limits.stop_margin if self.node.moves_at_stop \
+            most = (
+                self.limits.longest_dial + self.limits.stop_margin
+                if self.node.moves_at_stop
                 else self.limits.stop_hold
+            )
             self.stop_last = self.stopping + most
             self.log_event("stopping", sessions=len(self.clients))
             if self.node.listen_fd is not None and self.door:
                 # Others listen on the same socket: whoever waits there is theirs.
                 self.door.close()
-            self.clock.after(self.limits.sweep if self.handed_over
-                             else min(self.limits.newcomers, most - self.limits.sweep), self.wait_for_end, stopped)
+            self.clock.after(
+                self.limits.sweep
+                if self.handed_over
+                else min(self.limits.newcomers, most - self.limits.sweep),
+                self.wait_for_end,
+                stopped,
+            )
             if not self.handed_over:
                 self.balancer.on_stop(self.stopping, False)
 
@@ -111,59 +123,109 @@
         if last:
             self.answer_all()
         if last or not self.expected():
-            self.log_event("stopped", sessions=len(self.clients), since_start=self.figures.since_start())
+            self.log_event(
+                "stopped",
+                sessions=len(self.clients),
+                since_start=self.figures.since_start(),
+            )
             self.see_off(stopped, now + self.limits.stop_linger)
         else:
-            self.clock.after(min(self.limits.sweep, self.stop_last - now), self.wait_for_end, stopped)
+            self.clock.after(
+                min(self.limits.sweep, self.stop_last - now), self.wait_for_end, stopped
+            )
 
     def expected(self):
         """Whether a session is here or may be: of who was let in, or waits to be, a line may have come that was not
         read. Who has sent PING only looks whether this proxy is there. One that was taken over from waits for them all."""
-        return bool(self.clients or self.early or self.door and self.door.waiting
-                    or any(self.handed_over or not client.pings or client.wire.unread for client in self.silent))
+        return bool(
+            self.clients
+            or self.early
+            or self.door
+            and self.door.waiting
+            or any(
+                self.handed_over or not client.pings or client.wire.unread
+                for client in self.silent
+            )
+        )
 
     def see_off(self, stopped, until):
         """The last answers and MOVE lines are on their way: the end follows them, as closing with bytes unread or
         unsent would cut them off, but not later than the time in which this proxy may be killed."""
         now, parting = self.now(), list(self.carrier.parting)
-        if parting and (now < until or now < self.stop_last + self.limits.stop_linger
-                        and any(wire.to_send for wire in parting)):
+        if parting and (
+            now < until
+            or now < self.stop_last + self.limits.stop_linger
+            and any(wire.to_send for wire in parting)
+        ):
             self.clock.after(self.limits.see_off, self.see_off, stopped, until)
         else:
             stopped()
 
     def log_figures(self):
         self.clock.after(self.limits.figures, self.log_figures)
-        self.log_event("figures", **self.beliefs(), worst_delay=round(self.worst_delay, 1),
-                       since_start=self.figures.since_start())
+        self.log_event(
+            "figures",
+            **self.beliefs(),
+            worst_delay=round(self.worst_delay, 1),
+            since_start=self.figures.since_start(),
+        )
         self.worst_delay = 0.0
 
     def metrics(self):
         """What operators are told; the counts are those of the log."""
-        listed = [server for server in self.servers.values() if server.phase is not Phase.GONE]
+        listed = [
+            server for server in self.servers.values() if server.phase is not Phase.GONE
+        ]
         left_out = self.left_out(self.now())
-        return {**self.figures.told(), "pending": len(self.clients), "members": len(listed),
-                "members_unavailable": sum(server.phase is not Phase.READY or server.name in left_out
-                                           for server in listed)}
+        return {
+            **self.figures.told(),
+            "pending": len(self.clients),
+            "members": len(listed),
+            "members_unavailable": sum(
+                server.phase is not Phase.READY or server.name in left_out
+                for server in listed
+            ),
+        }
 
     def beliefs(self):
         """What the decisions take for true, beside what the sockets hold."""
-        return {"sessions": len(self.clients), "up": sum(client.up for client in self.clients.values()),
-                "placed": sum(len(server.sessions) for server in self.servers.values()),
-                "sockets": self.carrier.sockets, "servers": len(self.balancer.roster.servers),
-                "left_out": self.left_out(self.now()),
-                "doubted": {server.name: round(server.doubt, 2) for server in self.balancer.roster.servers
-                            if server.doubt != 1.0},
-                "further_withheld": self.balancer.budget.withheld,
-                **({"peers": self.peers.figures()} if self.peers else {})}
+        return {
+            "sessions": len(self.clients),
+            "up": sum(client.up for client in self.clients.values()),
+            "placed": sum(len(server.sessions) for server in self.servers.values()),
+            "sockets": self.carrier.sockets,
+            "servers": len(self.balancer.roster.servers),
+            "left_out": self.left_out(self.now()),
+            "doubted": {
+                server.name: round(server.doubt, 2)
+                for server in self.balancer.roster.servers
+                if server.doubt != 1.0
+            },
+            "further_withheld": self.balancer.budget.withheld,
+            **({"peers": self.peers.figures()} if self.peers else {}),
+        }
 
     def left_out(self, now):
         """The ready servers that nothing new goes to, by name, and why."""
         balancer = self.balancer
         servers = list(balancer.roster.servers)
-        return {server.name: why for why, test in (
-            ("cold, past its budget", lambda server: not balancer.cold.allows(now, server)),
-            ("full", lambda server: balancer.levels.expected(now, server) >= balancer.levels.full),
-            ("late", lambda server: balancer.levels.late_now(now, server)),
-            ("failing", lambda server: balancer.health.failing(now, server)),
-            ("silent", balancer.health.silent)) for server in servers if test(server)}
+        return {
+            server.name: why
+            for why, test in (
+                (
+                    "cold, past its budget",
+                    lambda server: not balancer.cold.allows(now, server),
+                ),
+                (
+                    "full",
+                    lambda server: (
+                        balancer.levels.expected(now, server) >= balancer.levels.full
+                    ),
+                ),
+                ("late", lambda server: balancer.levels.late_now(now, server)),
+                ("failing", lambda server: balancer.health.failing(now, server)),
+                ("silent", balancer.health.silent),
+            )
+            for server in servers
+            if test(server)
+        }
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -4,8 +4,12 @@
 from wheathill.net.lines import END, Malformed
 from wheathill.net.machine import Machine
 
-FIRST_WORDS = {b"BUSY": Outcome.FULL, b"ERR": Outcome.ERROR, b"BYE": Outcome.COMPLETED,
-               b"MOVE": Outcome.CANCELLED}
+FIRST_WORDS = {
+    b"BUSY": Outcome.FULL,
+    b"ERR": Outcome.ERROR,
+    b"BYE": Outcome.COMPLETED,
+    b"MOVE": Outcome.CANCELLED,
+}
 LAST_WORDS = {b"BYE": Outcome.COMPLETED, b"MOVE": Outcome.CANCELLED}
 
 
@@ -17,14 +21,14 @@
         self.client = client
         self.server = server
         self.started = clock.now()
-        self.until = None       # when this dial is given up
-        self.sent = False       # the line's last byte has left
+        self.until = None  # when this dial is given up
+        self.sent = False  # the line's last byte has left
         self.up = False
         self.over = False
-        self.rest = b""         # of an unfinished line to the client
+        self.rest = b""  # of an unfinished line to the client
         self.outcome = Outcome.RESET
-        self.address = None     # where it was dialled
-        self.turned = False     # away, and waits whether the server says more
+        self.address = None  # where it was dialled
+        self.turned = False  # away, and waits whether the server says more
 
     def start(self, wire, time_out, connect):
         self.wire = wire
@@ -36,7 +40,9 @@
         """That its client has left, or that the list says its server leaves, may have come in one turn with what
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
-        return not self.over and (self.door.list_unread or client.open and client.unread)
+        return not self.over and (
+            self.door.list_unread or client.open and client.unread
+        )
 
     def connected(self):
         if self.over:
@@ -113,7 +119,11 @@
             # BUSY says that it never ran, and another dial rests on that: a second answer, which would belie it,
             # comes within moments or with the connection's end.
             self.turned = True
-            self.set_timer(min(self.limits.second_answer, self.until - self.clock.now()), self.give_up, outcome)
+            self.set_timer(
+                min(self.limits.second_answer, self.until - self.clock.now()),
+                self.give_up,
+                outcome,
+            )
 
     def pass_on(self, data):
         self.client.wire.send(data)
@@ -157,7 +167,13 @@
     @property
     def broken(self):
         """What it means that the connection is gone before UP."""
-        return Outcome.FULL if self.turned else Outcome.RESET if self.sent else Outcome.CONNECT_FAILED
+        return (
+            Outcome.FULL
+            if self.turned
+            else Outcome.RESET
+            if self.sent
+            else Outcome.CONNECT_FAILED
+        )
 
     def close(self):
         """What is left of a connection that one side has ended. Nothing waits here then: an end is read only once
@@ -188,7 +204,7 @@
         super().__init__(door, limits, clock)
         self.server = server
         self.asked = False
-        self.used = False       # has answered before
+        self.used = False  # has answered before
         self.until = None
 
     def ask(self, until):
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -51,7 +51,10 @@
         path = bans.path_of(self.node)
         if path and list(held) != list(self.balancer.roster.out):
             try:
-                bans.write(path, {other: self.clock.to_wall(since) for other, since in held.items()})
+                bans.write(
+                    path,
+                    {other: self.clock.to_wall(since) for other, since in held.items()},
+                )
             except OSError as wrong:
                 if told is None:
                     raise
@@ -66,10 +69,14 @@
     def read_bans(self):
         path = bans.path_of(self.node)
         try:
-            for name, since in bans.read(path, self.limits.names).items() if path else ():
+            for name, since in (
+                bans.read(path, self.limits.names).items() if path else ()
+            ):
                 self.names[name] = None
                 self.balancer.roster.out.setdefault(name, self.clock.from_wall(since))
-                self.log_event("out by hand", server=name, out=len(self.balancer.roster.out))
+                self.log_event(
+                    "out by hand", server=name, out=len(self.balancer.roster.out)
+                )
         except (OSError, ValueError) as wrong:
             self.log_event("bad bans", path=path, what=str(wrong))
 
@@ -81,7 +88,9 @@
         self.gap = False
         self.asked_at = self.now()
         self.watch = self.ask_list()
-        self.next_watch = self.clock.after(self.limits.list_again, self.ask_beside, self.watch)
+        self.next_watch = self.clock.after(
+            self.limits.list_again, self.ask_beside, self.watch
+        )
 
     def ask_list(self):
         watch = Watch(self.node.discovery[0], self.seen, self, self.limits, self.clock)
@@ -99,7 +108,9 @@
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
             if self.now() - watch.came >= self.limits.list_again:
                 self.beside = self.ask_list()
-            self.next_watch = self.clock.after(self.limits.list_again, self.ask_beside, watch)
+            self.next_watch = self.clock.after(
+                self.limits.list_again, self.ask_beside, watch
+            )
 
     def watch_answered(self, watch):
         other = self.watch if watch is self.beside else self.beside
@@ -128,11 +139,18 @@
         if self.limits.list_spread:
             # Every proxy meets its failure at once, and calls that come together again keep it down.
             self.list_failures = 0 if watch.answered else self.list_failures + 1
-            wait = min(self.limits.list_longest, self.limits.list_spread * 2.0 ** min(self.list_failures, 5))
-            self.next_watch = self.clock.after(wait * self.balancer.uniform(0.5, 1.0), self.open_watch)
+            wait = min(
+                self.limits.list_longest,
+                self.limits.list_spread * 2.0 ** min(self.list_failures, 5),
+            )
+            self.next_watch = self.clock.after(
+                wait * self.balancer.uniform(0.5, 1.0), self.open_watch
+            )
             return
         # At once after one that had lasted: what the agent has meanwhile counts as told.
-        self.next_watch = self.clock.at(max(self.now(), self.asked_at + self.limits.list_retry), self.open_watch)
+        self.next_watch = self.clock.at(
+            max(self.now(), self.asked_at + self.limits.list_retry), self.open_watch
+        )
 
     def read_again(self, watch):
         if watch is self.watch:
@@ -161,7 +179,9 @@
                 unread += 1
                 entries += self.what_is_left(host)
         if unread and not entries:
-            kind = ListKind.CHANGES     # nothing of it could be read: it is no list of nobody
+            kind = (
+                ListKind.CHANGES
+            )  # nothing of it could be read: it is no list of nobody
         before = dict(self.balancer.roster.servers)
         try:
             self.balancer.on_list(self.now(), kind, entries)
@@ -200,7 +220,9 @@
     def note_told(self, entries, kind, version):
         for server, phase, _, started in entries:
             self.names.pop(server.name, None)
-            self.names[server.name] = None if phase is Phase.READY else (version, started)
+            self.names[server.name] = (
+                None if phase is Phase.READY else (version, started)
+            )
         if kind is ListKind.FULL:
             for server in self.servers.values():
                 if server.phase is Phase.GONE and self.names.get(server.name) is None:
@@ -210,7 +232,11 @@
         """Names may be new with every release: those that left would add up. One that comes back is new."""
         ready = self.balancer.roster.servers
         for name, server in list(self.servers.items()):
-            if server.phase is Phase.GONE and server not in ready and not server.sessions:
+            if (
+                server.phase is Phase.GONE
+                and server not in ready
+                and not server.sessions
+            ):
                 if server in self.links:
                     self.links[server].end(Outcome.RESET)
                 del self.servers[name]
@@ -219,7 +245,11 @@
                     self.peers.forget_server(name)
         # Of those listed the list is the bound; of the others the oldest go, unless they are out.
         over = len(self.names) - len(self.servers) - self.limits.names
-        gone = (old for old in self.names if old not in self.servers and old not in self.balancer.roster.out)
+        gone = (
+            old
+            for old in self.names
+            if old not in self.servers and old not in self.balancer.roster.out
+        )
         for old in list(islice(gone, max(0, over))):
             del self.names[old]
 
@@ -228,29 +258,46 @@
         started = self.clock.from_wall(born) if born else None
         if server.listed is not phase or (server.started or 0.0) < (started or 0.0):
             self.log_event("told by a peer", server=server.name, phase=phase.value)
-            self.balancer.on_list(self.now(), ListKind.BY_HAND, [(server, phase, server.weight, started)])
+            self.balancer.on_list(
+                self.now(), ListKind.BY_HAND, [(server, phase, server.weight, started)]
+            )
 
     def entry(self, host, version, moved):
         """Raises AttributeError, KeyError, TypeError or ValueError, with nothing changed, where it can't be read."""
-        name, phase, born = host["host"], PHASES[host["health"]], float(host.get("born_ms") or 0)
+        name, phase, born = (
+            host["host"],
+            PHASES[host["health"]],
+            float(host.get("born_ms") or 0),
+        )
         weight = float(host.get("share") or 1.0)
         cell = int(host.get("block") or 0)
         if not isinstance(name, str) or not name or not math.isfinite(born + weight):
             raise ValueError("no name, or figures that are none")
         server = self.servers.get(name) or Server(name)
-        where = address(host["dial"], "dial") if host.get("dial") else self.addresses.get(server)
+        where = (
+            address(host["dial"], "dial")
+            if host.get("dial")
+            else self.addresses.get(server)
+        )
         if where is None and phase is not Phase.GONE:
             raise ValueError("no address")
         if self.peers:
             phase, born = self.peers.on_entry(name, phase, born)
         started = self.clock.from_wall(born) if born else None
         left, since = self.names.get(name) or (None, None)
-        if phase is Phase.READY and None not in (left, version) and version < left \
-                and (started or -math.inf) <= (since or -math.inf):
+        if (
+            phase is Phase.READY
+            and None not in (left, version)
+            and version < left
+            and (started or -math.inf) <= (since or -math.inf)
+        ):
             # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
             # come back by an older one, unless it has started since.
             self.log_event("older list", server=name, version=version, newer=left)
-            phase, started = server.listed if name in self.servers else Phase.GONE, since
+            phase, started = (
+                server.listed if name in self.servers else Phase.GONE,
+                since,
+            )
         if where is not None:
             if self.addresses.get(server, where) != where:
                 moved.append(server)
@@ -268,5 +315,14 @@
         if server is None:
             return []
         phase = host.get("health")
-        leaves = isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
-        return [(server, PHASES[phase] if leaves else server.listed, server.weight, server.started)]
+        leaves = (
+            isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
+        )
+        return [
+            (
+                server,
+                PHASES[phase] if leaves else server.listed,
+                server.weight,
+                server.started,
+            )
+        ]
--- a/wheathill/peers/__init__.py
+++ b/wheathill/peers/__init__.py
@@ -6,6 +6,8 @@
     """The class of the instance that a `config.peers.Told` asks for."""
     if told.layout is None:
         from wheathill.peers.instance import Peers
+
         return Peers
     from wheathill.peers.zoned import ZonedPeers
+
     return ZonedPeers
--- a/wheathill/peers/board.py
+++ b/wheathill/peers/board.py
@@ -17,7 +17,9 @@
 
 
 def digest(record):
-    return int.from_bytes(hashlib.blake2b(repr(record[:4]).encode(), digest_size=6).digest(), "big")
+    return int.from_bytes(
+        hashlib.blake2b(repr(record[:4]).encode(), digest_size=6).digest(), "big"
+    )
 
 
 def version(record):
@@ -26,18 +28,21 @@
 
 class Board:
     BUCKETS = 32
-    MOST = 4096             # servers; those that were last written of stay
-    AHEAD = 60_000.0        # ms; what lies further in the future is no start
-    DRAINING, STARTED = 86_400_000.0, 600_000.0     # ms that a record is held, of a drain and of a start
+    MOST = 4096  # servers; those that were last written of stay
+    AHEAD = 60_000.0  # ms; what lies further in the future is no start
+    DRAINING, STARTED = (
+        86_400_000.0,
+        600_000.0,
+    )  # ms that a record is held, of a drain and of a start
 
     def __init__(self, zones, check):
         """`zones`: names of those of which there may be a record; `check(value)` raises ValueError or TypeError where
         that is no summary."""
         self.zones, self.check = dict.fromkeys(zones), check
-        self.records = {}               # key -> record
+        self.records = {}  # key -> record
         self.sums = [0] * self.BUCKETS
         self.digest = 0
-        self.listed = {}                # server -> version of the record that its own list's "drains" agreed with
+        self.listed = {}  # server -> version of the record that its own list's "drains" agreed with
 
     # Records
 
@@ -69,33 +74,52 @@
             if held is not None and version(held) >= version(record):
                 continue
             if record[0].startswith(SERVER) and (
-                    record[1] > wall + self.AHEAD or self.over(wall, record) or not self.room(record)):
+                record[1] > wall + self.AHEAD
+                or self.over(wall, record)
+                or not self.room(record)
+            ):
                 continue
             self.hold(record)
             news.append(record)
         return news
 
     def read(self, key, epoch, counter, writer, value):
-        if not isinstance(writer, str) or not isinstance(counter, int) or not 0 <= counter < 2 ** 48 \
-                or not 0 <= epoch < 2 ** 48:
+        if (
+            not isinstance(writer, str)
+            or not isinstance(counter, int)
+            or not 0 <= counter < 2**48
+            or not 0 <= epoch < 2**48
+        ):
             raise ValueError("no record")
         if key.startswith(SERVER):
             draining, written = value
-            return [key, float(epoch), counter, writer, [bool(draining), float(written)]]
-        if not key.startswith(ZONE) or key[len(ZONE):] not in self.zones or epoch:
+            return [
+                key,
+                float(epoch),
+                counter,
+                writer,
+                [bool(draining), float(written)],
+            ]
+        if not key.startswith(ZONE) or key[len(ZONE) :] not in self.zones or epoch:
             raise ValueError("a record of nothing")
         self.check(value)
         return [key, 0, counter, writer, value]
 
     def over(self, wall, record):
         draining, written = record[4]
-        return max(record[1], written) + (self.DRAINING if draining else self.STARTED) < wall
+        return (
+            max(record[1], written) + (self.DRAINING if draining else self.STARTED)
+            < wall
+        )
 
     def room(self, record):
         """Of too many the oldest go, at every instance the same ones."""
         if record[0] in self.records or len(self.records) < self.MOST + len(self.zones):
             return True
-        oldest = min((held for held in self.records.values() if held[0].startswith(SERVER)), key=self.age)
+        oldest = min(
+            (held for held in self.records.values() if held[0].startswith(SERVER)),
+            key=self.age,
+        )
         if self.age(oldest) >= self.age(record):
             return False
         self.drop(oldest[0])
@@ -106,7 +130,11 @@
         return record[4][1], record[1], record[0]
 
     def forget(self, wall):
-        for key in [key for key, record in self.records.items() if key.startswith(SERVER) and self.over(wall, record)]:
+        for key in [
+            key
+            for key, record in self.records.items()
+            if key.startswith(SERVER) and self.over(wall, record)
+        ]:
             self.drop(key)
 
     # Differences
@@ -114,7 +142,11 @@
     def differing(self, sums):
         if len(sums) != self.BUCKETS:
             raise ValueError("not as many buckets")
-        return [place for place, (mine, theirs) in enumerate(zip(self.sums, sums)) if mine != theirs]
+        return [
+            place
+            for place, (mine, theirs) in enumerate(zip(self.sums, sums))
+            if mine != theirs
+        ]
 
     def within(self, buckets):
         """{bucket: records in it} of these, in one look at all that is held."""
@@ -126,8 +158,12 @@
     def ahead(self, buckets, records):
         """What this board has in `buckets` that is later than `records`, which are all that another has there."""
         theirs = {record[0]: version(record) for record in records}
-        return [record for some in self.within(buckets).values() for record in some
-                if record[0] not in theirs or theirs[record[0]] < version(record)]
+        return [
+            record
+            for some in self.within(buckets).values()
+            for record in some
+            if record[0] not in theirs or theirs[record[0]] < version(record)
+        ]
 
     # Zones
 
@@ -153,7 +189,13 @@
         held = self.records.get(key)
         before = self.listed.get(server)
         if draining:
-            if held is None or held[1] < start or not held[4][0] and held[1] == start and before is None:
+            if (
+                held is None
+                or held[1] < start
+                or not held[4][0]
+                and held[1] == start
+                and before is None
+            ):
                 record = self.write(wall, key, start, True)
                 if record is not None:
                     self.agree(server, record)
@@ -162,9 +204,16 @@
                 self.agree(server, held)
             return None
         self.listed.pop(server, None)
-        if before is not None and held is not None and held[4][0] and version(held) == before:
+        if (
+            before is not None
+            and held is not None
+            and held[4][0]
+            and version(held) == before
+        ):
             return self.write(wall, key, max(start, held[1]), False)
-        if wall - self.STARTED < start <= wall + self.AHEAD and (held is None or held[1] < start):
+        if wall - self.STARTED < start <= wall + self.AHEAD and (
+            held is None or held[1] < start
+        ):
             record = [key, start, 0, "", [False, start]]
             return record if self.merge(wall, [record]) else None
         return None
--- a/wheathill/peers/drains.py
+++ b/wheathill/peers/drains.py
@@ -9,13 +9,13 @@
 
 
 class Drains:
-    MOST = 1024         # servers
+    MOST = 1024  # servers
 
     def __init__(self):
-        self.mine = {}      # server -> [count, draining, start of its process or 0.0]
+        self.mine = {}  # server -> [count, draining, start of its process or 0.0]
         # server -> {(source, birth): (count, draining, start, whether the own list has said so since)}
         self.others = {}
-        self.listed = {}    # server -> whether the own list calls it draining
+        self.listed = {}  # server -> whether the own list calls it draining
 
     # The own list
 
@@ -29,7 +29,12 @@
         for source, (count, drains, since, covered) in said.items():
             # The list has caught up with whoever said so before it; then it is the newer witness. A word that
             # came in between may be of another drain, of which the list doesn't know yet: that one stays.
-            said[source] = count, drains and (draining or not covered), since, covered or draining
+            said[source] = (
+                count,
+                drains and (draining or not covered),
+                since,
+                covered or draining,
+            )
         count = self.mine.get(server, (0,))[0] + 1
         self.mine[server] = [count, draining, started or 0.0]
         for kept in (self.mine, self.listed):
@@ -50,7 +55,12 @@
             known = self.others.get(server, {}).get((source, birth))
             if known is not None and known[0] >= count:
                 continue
-            self.others.setdefault(server, {})[source, birth] = count, bool(draining), float(started), False
+            self.others.setdefault(server, {})[source, birth] = (
+                count,
+                bool(draining),
+                float(started),
+                False,
+            )
             changed.append(server)
         while len(self.others) > self.MOST:
             del self.others[next(iter(self.others))]
@@ -58,8 +68,10 @@
 
     def drains(self, server, started):
         """Whether any says that it drains, of the process that started then (wall clock, ms; 0.0: not told)."""
-        return any(draining and (started or 0.0) <= since
-                   for _, draining, since, _ in self.others.get(server, {}).values())
+        return any(
+            draining and (started or 0.0) <= since
+            for _, draining, since, _ in self.others.get(server, {}).values()
+        )
 
 
 class Starts:
@@ -67,10 +79,10 @@
     counts, so that a word that comes late or again changes nothing."""
 
     MOST = 4096
-    AHEAD = 60_000.0    # ms; what lies further in the future is no start
+    AHEAD = 60_000.0  # ms; what lies further in the future is no start
 
     def __init__(self):
-        self.latest = {}    # server -> ms, Unix
+        self.latest = {}  # server -> ms, Unix
 
     def hear(self, wall, said):
         """Returns the servers of which it is news."""
--- a/wheathill/peers/facts.py
+++ b/wheathill/peers/facts.py
@@ -26,11 +26,13 @@
 
     def __init__(self, birth, state):
         self.birth, self.state = birth, state
-        self.digest = None      # of its own view of who may be at work, as last told
+        self.digest = None  # of its own view of who may be at work, as last told
         # Whether all agreed on it once. Who is only known by hearsay is taken for one that was there before.
         self.old = True
-        self.bears = None       # what a warm server bears of its connections, as it finds
-        self.layout = 0         # the version of the layout of zones that it holds, as last told
+        self.bears = None  # what a warm server bears of its connections, as it finds
+        self.layout = (
+            0  # the version of the layout of zones that it holds, as last told
+        )
 
 
 class Facts:
@@ -39,22 +41,34 @@
     others may have taken over what the process before it left."""
 
     MOST_NAMES = 4096
-    UNANSWERED = 3      # probes in a row that nobody answers: whoever is alive can't be reached from here
+    UNANSWERED = 3  # probes in a row that nobody answers: whoever is alive can't be reached from here
 
     def __init__(self, now, name, birth, meant, roster, aged, silence):
-        self.speaks = now + silence     # from when on it counts as the only one, where nobody was heard
-        self.name, self.birth, self.meant, self.roster, self.aged = name, birth, meant, tuple(roster), aged
-        self.there = {}                 # name -> Known
-        self.names = {name: None}       # all that were ever heard of
+        self.speaks = (
+            now + silence
+        )  # from when on it counts as the only one, where nobody was heard
+        self.name, self.birth, self.meant, self.roster, self.aged = (
+            name,
+            birth,
+            meant,
+            tuple(roster),
+            aged,
+        )
+        self.there = {}  # name -> Known
+        self.names = {name: None}  # all that were ever heard of
         # A process that starts may follow one that spent its share a moment ago.
-        self.ended = deque([now])       # when processes were surely gone
-        self.old = False                # all have agreed on this one
-        self.apart = False              # another holds its name, or it was taken off: nobody counts it
+        self.ended = deque([now])  # when processes were surely gone
+        self.old = False  # all have agreed on this one
+        self.apart = (
+            False  # another holds its name, or it was taken off: nobody counts it
+        )
         self.state, self.since = ALONE, now
         # A digest that all who are reached have told, as one says who has asked them: whoever has the same agrees.
         self.confirmed = None
-        self.least = 1                  # the smallest number of which a share is taken, whoever is surely gone
-        self.digested = None            # the digest of `there`, until that changes
+        self.least = (
+            1  # the smallest number of which a share is taken, whoever is surely gone
+        )
+        self.digested = None  # the digest of `there`, until that changes
 
     # What is told
 
@@ -83,15 +97,27 @@
         """What a member says of its own view."""
         known = self.there.get(name)
         if known is not None and known.birth == birth:
-            known.digest, known.old, known.bears, known.layout = digest, old, bears, layout
+            known.digest, known.old, known.bears, known.layout = (
+                digest,
+                old,
+                bears,
+                layout,
+            )
 
     # What follows
 
     def digest(self):
         """Of all that may be at work: equal where the views on that agree. Each message says it, so it is kept."""
         if self.digested is None:
-            here = sorted([(self.name, self.birth), *((name, known.birth) for name, known in self.there.items())])
-            self.digested = hashlib.blake2b(repr(here).encode(), digest_size=6).hexdigest()
+            here = sorted(
+                [
+                    (self.name, self.birth),
+                    *((name, known.birth) for name, known in self.there.items()),
+                ]
+            )
+            self.digested = hashlib.blake2b(
+                repr(here).encode(), digest_size=6
+            ).hexdigest()
         return self.digested
 
     def unseen(self):
@@ -112,7 +138,9 @@
     def all_told(self):
         """Whether all that are reached have told the digest that this one has."""
         mine = self.digest()
-        return all(known.digest == mine for known in self.there.values() if known.state != DEAD)
+        return all(
+            known.digest == mine for known in self.there.values() if known.state != DEAD
+        )
 
     def look(self, now, unanswered):
         """The state of this view, worked out anew; `since` tells its age."""
@@ -121,10 +149,18 @@
         same = self.confirmed == self.digest() or self.all_told()
         if len(self.names) == 1:
             state = ALONE
-        elif self.apart or unanswered >= self.UNANSWERED or 2 * (1 + len(reached)) <= every and every > 1:
+        elif (
+            self.apart
+            or unanswered >= self.UNANSWERED
+            or 2 * (1 + len(reached)) <= every
+            and every > 1
+        ):
             state = CUT_OFF
-        elif len(reached) < len(self.there) or not same or \
-                any(self.there[name].state == SUSPECT for name in reached):
+        elif (
+            len(reached) < len(self.there)
+            or not same
+            or any(self.there[name].state == SUSPECT for name in reached)
+        ):
             state = DOUBT
         else:
             state = AGREED
@@ -147,8 +183,14 @@
         if not before:
             return whole
         mine = self.digest()
-        return whole * sum(known.state != DEAD and mine in (known.digest, self.confirmed)
-                           for known in before) / len(before)
+        return (
+            whole
+            * sum(
+                known.state != DEAD and mine in (known.digest, self.confirmed)
+                for known in before
+            )
+            / len(before)
+        )
 
     def right(self, server, bears, unit, rounded=None):
         """Dials in a window that this proxy may send a cold server, which by all together may get `unit` for each
@@ -160,12 +202,27 @@
         a split thus name the same, and a death passes on one right alone. `rounded(server, whole)`: how many hold one,
         where this is a part of a larger fleet; rounded down, but to one at least, where left out."""
         before = [name for name in sorted(self.there) if self.there[name].old]
-        whole = unit * (bears + sum(bears if known.bears is None else known.bears for known in self.there.values()))
-        if self.state == ALONE or not before and not self.old or whole >= 1 + len(before):
-            return unit * bears         # none before `speaks`: what is borne goes by the share
+        whole = unit * (
+            bears
+            + sum(
+                bears if known.bears is None else known.bears
+                for known in self.there.values()
+            )
+        )
+        if (
+            self.state == ALONE
+            or not before
+            and not self.old
+            or whole >= 1 + len(before)
+        ):
+            return unit * bears  # none before `speaks`: what is borne goes by the share
         if not self.old or self.apart:
             return 0.0
-        ranked = sorted([self.name, *before], key=lambda name: hashlib.blake2b(
-            f"{server} {name}".encode(), digest_size=8).digest())
+        ranked = sorted(
+            [self.name, *before],
+            key=lambda name: hashlib.blake2b(
+                f"{server} {name}".encode(), digest_size=8
+            ).digest(),
+        )
         count = max(1, int(whole)) if rounded is None else rounded(server, whole)
         return 1.0 if self.name in ranked[:count] else 0.0
--- a/wheathill/peers/frames.py
+++ b/wheathill/peers/frames.py
@@ -38,13 +38,15 @@
 
     def __init__(self):
         self.highest = 0
-        self.seen = 0           # bit n: highest - n has come
+        self.seen = 0  # bit n: highest - n has come
 
     def fresh(self, counter):
         """Whether it has not come before; from now on it has."""
         ahead = counter - self.highest
         if ahead > 0:
-            self.seen = (self.seen << min(ahead, self.WIDTH) | 1) & (1 << self.WIDTH) - 1
+            self.seen = (self.seen << min(ahead, self.WIDTH) | 1) & (
+                1 << self.WIDTH
+            ) - 1
             self.highest = counter
             return True
         if -ahead >= self.WIDTH or self.seen >> -ahead & 1:
@@ -57,7 +59,7 @@
     """Of one process. `birth` tells it from all others, also from those before it under the same name."""
 
     VERSION = 1
-    SENDERS = 4096      # whose counters are kept
+    SENDERS = 4096  # whose counters are kept
 
     def __init__(self, cluster, key, name, birth):
         self.cluster, self.key, self.name, self.birth = cluster, key, name, birth
@@ -66,15 +68,24 @@
         # Receiver's birth -> counter of the last frame for it, the longest unused first; `used`: of those forgotten. One for
         # all passed the window of a receiver whose frames waited in a stream, while a seed answered hundreds.
         self.counters, self.used = OrderedDict(), 0
-        self.windows = OrderedDict()    # (name, birth) -> Window, the longest silent first
+        self.windows = (
+            OrderedDict()
+        )  # (name, birth) -> Window, the longest silent first
 
     def close(self, to_birth, words):
         """A frame as bytes; `to_birth` 0 where it is not known yet."""
         counter = self.counters[to_birth] = self.counters.pop(to_birth, self.used) + 1
         if len(self.counters) > self.SENDERS:
             self.used = max(self.used, self.counters.popitem(last=False)[1])
-        body = self.encode([self.cluster, self.name, self.birth, to_birth, counter, words])
-        return HEAD.pack(MARK, self.VERSION, len(body), crc32(body), digest(self.key, body)) + body
+        body = self.encode(
+            [self.cluster, self.name, self.birth, to_birth, counter, words]
+        )
+        return (
+            HEAD.pack(
+                MARK, self.VERSION, len(body), crc32(body), digest(self.key, body)
+            )
+            + body
+        )
 
     def length(self, data, most):
         """Of the whole frame that `data` begins with, None while its head is not complete."""
@@ -94,7 +105,7 @@
         if self.length(frame, len(frame)) != len(frame):
             raise Dropped("damaged")
         _, _, _, check, signed = HEAD.unpack_from(frame)
-        body = bytes(memoryview(frame)[HEAD.size:])
+        body = bytes(memoryview(frame)[HEAD.size :])
         if crc32(body) != check:
             raise Dropped("damaged")
         if not hmac.compare_digest(signed, digest(self.key, body)):
@@ -105,8 +116,12 @@
             raise Dropped("nonsense") from None
         if cluster != self.cluster:
             raise Dropped("another cluster")
-        if not isinstance(name, str) or not isinstance(words, list) or not words or \
-                not all(isinstance(number, int) for number in (birth, to_birth, counter)):
+        if (
+            not isinstance(name, str)
+            or not isinstance(words, list)
+            or not words
+            or not all(isinstance(number, int) for number in (birth, to_birth, counter))
+        ):
             raise Dropped("nonsense")
         if birth == self.birth:
             raise Dropped("its own")
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -16,7 +16,14 @@
 from wheathill.peers.witness import BAD, WELL, Witnesses
 from wheathill.model import Phase
 
-DRAINS, STARTS, SEEN, ASK_VIEW, VIEW, NOTE = "drains", "starts", "seen", "view?", "view", "note"
+DRAINS, STARTS, SEEN, ASK_VIEW, VIEW, NOTE = (
+    "drains",
+    "starts",
+    "seen",
+    "view?",
+    "view",
+    "note",
+)
 
 
 def bounded(bears):
@@ -30,13 +37,15 @@
 class Peers:
     """`told`: a `config.peers.Told`. `birth` is a number that no other process of this name has."""
 
-    AGED = 3000.0           # ms; after that what a process had under way has ended or come back
-    FRESH = 3000.0          # evidence of servers
-    TELLS = 8               # instances told a period of what was seen: the same however many there are
-    MOST_SEEN = 64          # servers a message
-    NOTED = 64              # instances told at once that this view has changed; more hear it with what is said anyway
-    SILENCE = 3             # periods in which others would have answered
-    ANSWERS = 1000.0        # for the views of others
+    AGED = 3000.0  # ms; after that what a process had under way has ended or come back
+    FRESH = 3000.0  # evidence of servers
+    TELLS = (
+        8  # instances told a period of what was seen: the same however many there are
+    )
+    MOST_SEEN = 64  # servers a message
+    NOTED = 64  # instances told at once that this view has changed; more hear it with what is said anyway
+    SILENCE = 3  # periods in which others would have answered
+    ANSWERS = 1000.0  # for the views of others
 
     def __init__(self, told, proxy, carrier, clock, log, birth, meant):
         self.told, self.proxy, self.clock, self.log_event = told, proxy, clock, log
@@ -46,29 +55,54 @@
         self.seal = Seal(told.cluster, told.key, told.name, birth)
         self.links = Links(carrier, clock, log, self.seal, self.heard, told.listen)
         self.membership = Membership(
-            self, rng, told.name, told.advertise, birth, period=told.period, patience=told.patience, helpers=3,
-            kept=60 * told.period, sync_every=10 * told.period, differences=told.layout is not None)
+            self,
+            rng,
+            told.name,
+            told.advertise,
+            birth,
+            period=told.period,
+            patience=told.patience,
+            helpers=3,
+            kept=60 * told.period,
+            sync_every=10 * told.period,
+            differences=told.layout is not None,
+        )
         others = [seed for seed in told.seeds if seed != told.advertise]
-        self.facts = Facts(now, told.name, birth, meant, told.roster, self.AGED,
-                           self.SILENCE * told.period if others else 0.0)
+        self.facts = Facts(
+            now,
+            told.name,
+            birth,
+            meant,
+            told.roster,
+            self.AGED,
+            self.SILENCE * told.period if others else 0.0,
+        )
         self.witnesses = Witnesses(self.FRESH)
         self.drains, self.starts = Drains(), Starts()
-        self.own = {}           # server name -> (phase, start) as the own list has it
-        self.telling = []       # whom to tell next
-        self.noted = None       # the digest that all were last told
-        self.shared = None      # the share as last told to the decisions
+        self.own = {}  # server name -> (phase, start) as the own list has it
+        self.telling = []  # whom to tell next
+        self.noted = None  # the digest that all were last told
+        self.shared = None  # the share as last told to the decisions
         self.failing, self.here = [], []
-        self.views = {}         # number of a comparison -> [views by name, when done]
+        self.views = {}  # number of a comparison -> [views by name, when done]
         self.asked = 0
         self.place = None
         if told.control:
             folder, name = os.path.split(told.control)
-            self.place = carrier.meet(folder or ".", name, lambda post: Control(
-                post, self.answer, carrier.limits, clock))
+            self.place = carrier.meet(
+                folder or ".",
+                name,
+                lambda post: Control(post, self.answer, carrier.limits, clock),
+            )
 
     def start(self):
         now = self.clock.now()
-        self.log_event("peers", at=self.told.advertise, cluster=self.told.cluster, seeds=len(self.told.seeds))
+        self.log_event(
+            "peers",
+            at=self.told.advertise,
+            cluster=self.told.cluster,
+            seeds=len(self.told.seeds),
+        )
         self.proxy.balancer.cold.rights = self.right
         self.membership.start(now, self.told.seeds)
         self.tick()
@@ -96,8 +130,13 @@
         return self.proxy.balancer.levels.borne
 
     def knock(self, name, birth, address, wait, why):
-        self.links.knock(address, wait, lambda how: self.membership.on_knock(
-            self.clock.now(), name, birth, how, why))
+        self.links.knock(
+            address,
+            wait,
+            lambda how: self.membership.on_knock(
+                self.clock.now(), name, birth, how, why
+            ),
+        )
 
     def alarm(self, at, what):
         self.clock.at(at, self.ring, what)
@@ -111,8 +150,15 @@
         if member.state in (DEAD, LEFT):
             self.witnesses.forget(member.name)
         by = list(member.accusers) if member.state == SUSPECT else None
-        self.log_event("peer", peer=member.name, state=member.state, was=old, address=member.address, by=by,
-                       surely=member.certain if member.state == DEAD else None)
+        self.log_event(
+            "peer",
+            peer=member.name,
+            state=member.state,
+            was=old,
+            address=member.address,
+            by=by,
+            surely=member.certain if member.state == DEAD else None,
+        )
         if old is None and member.state == ALIVE:
             self.tell_news(member.address)
         self.look(now)
@@ -161,7 +207,9 @@
     def listens(self, name):
         """Evidence counts where this instance is not cut off, and from members that are there."""
         member = self.membership.members.get(name)
-        return self.facts.state != CUT_OFF and member is not None and member.state == ALIVE
+        return (
+            self.facts.state != CUT_OFF and member is not None and member.state == ALIVE
+        )
 
     # What follows
 
@@ -173,12 +221,17 @@
             self.telling = self.reached()
             self.shuffle(self.telling)
         self.note()
-        now_told, self.telling = self.telling[:self.TELLS], self.telling[self.TELLS:]
+        now_told, self.telling = self.telling[: self.TELLS], self.telling[self.TELLS :]
         own = self.sight(now)
         if self.facts.state not in (CUT_OFF, ALONE):
             # The bad first: what is well is known to be so by most.
-            seen = sorted(own.items(), key=lambda item: (item[1][0], item[0]))[:self.MOST_SEEN]
-            words = [SEEN, [[name, how, round(now - when, 1)] for name, (how, when) in seen]]
+            seen = sorted(own.items(), key=lambda item: (item[1][0], item[0]))[
+                : self.MOST_SEEN
+            ]
+            words = [
+                SEEN,
+                [[name, how, round(now - when, 1)] for name, (how, when) in seen],
+            ]
             for member in now_told if seen else ():
                 self.say(member.address, words)
         if now_told:
@@ -187,7 +240,11 @@
         self.judge_servers(now, own)
 
     def reached(self):
-        return [member for member in self.membership.alive() if member is not self.membership.me]
+        return [
+            member
+            for member in self.membership.alive()
+            if member is not self.membership.me
+        ]
 
     def note(self):
         """Every message tells the digest of this view; one that has changed is told at once, so that all know soon
@@ -198,7 +255,7 @@
             self.tell_all([NOTE])
 
     def tell_all(self, words):
-        for member in self.membership.alive()[:self.NOTED]:
+        for member in self.membership.alive()[: self.NOTED]:
             if member is not self.membership.me:
                 self.say(member.address, words)
 
@@ -207,8 +264,14 @@
         before, since = self.facts.state, self.facts.since
         state = self.facts.look(now, self.membership.unanswered)
         if state != before:
-            self.log_event("peers are", state=state, was=before, after=round(now - since),
-                           reached=len(self.facts.reached()), fleet=self.facts.fleet(now))
+            self.log_event(
+                "peers are",
+                state=state,
+                was=before,
+                after=round(now - since),
+                reached=len(self.facts.reached()),
+                fleet=self.facts.fleet(now),
+            )
         share = self.share(now)
         if share != self.shared:
             self.shared = share
@@ -230,7 +293,9 @@
             if server.samples:
                 seen.append((server.samples[-1][0], WELL))
             if server.results:
-                seen.append((server.results[-1][0], WELL if server.results[-1][1] else BAD))
+                seen.append(
+                    (server.results[-1][0], WELL if server.results[-1][1] else BAD)
+                )
             if server.silent >= 2:
                 seen.append((server.asked, BAD))
             when, how = max(seen)
@@ -239,14 +304,21 @@
         return found
 
     def judge_servers(self, now, own):
-        failing, here = self.witnesses.verdicts(now, own) if self.facts.state != CUT_OFF else ([], [])
+        failing, here = (
+            self.witnesses.verdicts(now, own)
+            if self.facts.state != CUT_OFF
+            else ([], [])
+        )
         servers = self.proxy.servers
         if (failing, here) != (self.failing, self.here):
             self.failing, self.here = failing, here
             self.log_event("peers say", fail_for_all=failing, fail_here_alone=here)
         if failing or here:
-            self.proxy.balancer.on_witnesses(now, [servers[name] for name in failing if name in servers],
-                                             [servers[name] for name in here if name in servers])
+            self.proxy.balancer.on_witnesses(
+                now,
+                [servers[name] for name in failing if name in servers],
+                [servers[name] for name in here if name in servers],
+            )
 
     # Drains and starts
 
@@ -260,7 +332,11 @@
     def on_entry(self, name, phase, started):
         """What holds for an entry of the own list: its phase and start, or what others were told of it since."""
         self.own[name] = phase, started
-        if phase is not Phase.GONE and started and self.starts.hear(started, [[name, started]]):
+        if (
+            phase is not Phase.GONE
+            and started
+            and self.starts.hear(started, [[name, started]])
+        ):
             self.tell_all([STARTS, [[name, started]]])
         if phase is not Phase.GONE:
             said = self.drains.list_says(name, phase is Phase.DRAINING, started)
@@ -288,13 +364,19 @@
         for name in names:
             server = self.proxy.servers.get(name)
             if server is not None and name in self.own:
-                self.proxy.told_by_peers(server, self.holds(name, *self.own[name]),
-                                         self.latest(name, self.own[name][1]))
+                self.proxy.told_by_peers(
+                    server,
+                    self.holds(name, *self.own[name]),
+                    self.latest(name, self.own[name][1]),
+                )
 
     # Operators
 
     def view(self):
-        return {name: [member.birth, member.state] for name, member in self.membership.members.items()}
+        return {
+            name: [member.birth, member.state]
+            for name, member in self.membership.members.items()
+        }
 
     def table(self):
         now = self.clock.now()
@@ -302,35 +384,74 @@
         members = []
         for name in sorted(membership.members):
             member, known = membership.members[name], facts.there.get(name)
-            members.append({
-                "name": name, "address": member.address, "state": member.state,
-                "since_s": round((now - member.since) / 1000, 1),
-                "heard_s": None if member is membership.me else round((now - member.heard) / 1000, 1),
-                "accused_by": list(member.accusers) if member.state == SUSPECT else [],
-                "surely_gone": member.certain or member.state == LEFT,
-                "agrees": known is not None and known.digest == facts.digest() or member is membership.me})
-        return {"name": self.told.name, "cluster": self.told.cluster, "state": facts.state,
-                "since_s": round((now - facts.since) / 1000, 1), "digest": membership.digest(),
-                "alone": membership.alone, "fleet": facts.fleet(now), "share": round(self.share(now), 6),
-                "members": members, "differs": self.differs(now), "links": self.links.figures()}
+            members.append(
+                {
+                    "name": name,
+                    "address": member.address,
+                    "state": member.state,
+                    "since_s": round((now - member.since) / 1000, 1),
+                    "heard_s": None
+                    if member is membership.me
+                    else round((now - member.heard) / 1000, 1),
+                    "accused_by": list(member.accusers)
+                    if member.state == SUSPECT
+                    else [],
+                    "surely_gone": member.certain or member.state == LEFT,
+                    "agrees": known is not None
+                    and known.digest == facts.digest()
+                    or member is membership.me,
+                }
+            )
+        return {
+            "name": self.told.name,
+            "cluster": self.told.cluster,
+            "state": facts.state,
+            "since_s": round((now - facts.since) / 1000, 1),
+            "digest": membership.digest(),
+            "alone": membership.alone,
+            "fleet": facts.fleet(now),
+            "share": round(self.share(now), 6),
+            "members": members,
+            "differs": self.differs(now),
+            "links": self.links.figures(),
+        }
 
     def differs(self, now):
         """What this proxy does because of its peers, and would not do without."""
         facts = self.facts
         if facts.state == CUT_OFF:
-            found = ["is cut off: serves with what it has, tells and takes no evidence of servers"]
+            found = [
+                "is cut off: serves with what it has, tells and takes no evidence of servers"
+            ]
         else:
             found = []
         if facts.fleet(now) != facts.meant:
-            found.append(f"takes {told(self.share(now))} of what all may do, {told(self.meant_share())} by its file")
-        drained = [name for name, (phase, started) in sorted(self.own.items())
-                   if self.holds(name, phase, started) is not phase]
+            found.append(
+                f"takes {told(self.share(now))} of what all may do, {told(self.meant_share())} by its file"
+            )
+        drained = [
+            name
+            for name, (phase, started) in sorted(self.own.items())
+            if self.holds(name, phase, started) is not phase
+        ]
         if drained:
-            found.append("sends nothing new to " + ", ".join(drained) + ": a peer was told that they drain")
+            found.append(
+                "sends nothing new to "
+                + ", ".join(drained)
+                + ": a peer was told that they drain"
+            )
         if self.failing:
-            found.append("tries with one session at a time " + ", ".join(self.failing) + ": they fail for others")
+            found.append(
+                "tries with one session at a time "
+                + ", ".join(self.failing)
+                + ": they fail for others"
+            )
         if self.here:
-            found.append("takes for its own way's fault that " + ", ".join(self.here) + " fail here")
+            found.append(
+                "takes for its own way's fault that "
+                + ", ".join(self.here)
+                + " fail here"
+            )
         return found
 
     def meant_share(self):
@@ -338,15 +459,24 @@
 
     def figures(self):
         now = self.clock.now()
-        return {"state": self.facts.state, "reached": len(self.facts.reached()), "fleet": self.facts.fleet(now),
-                "share": round(self.share(now), 6), **self.links.figures()}
+        return {
+            "state": self.facts.state,
+            "reached": len(self.facts.reached()),
+            "fleet": self.facts.fleet(now),
+            "share": round(self.share(now), 6),
+            **self.links.figures(),
+        }
 
     def answer(self, request, done):
         if "compare" in request:
             self.compare(done)
         elif "remove" in request:
             gone = self.membership.remove(self.clock.now(), str(request["remove"]))
-            done({"removed": request["remove"]} if gone else {"wrong": f"no other member {request['remove']!r}"})
+            done(
+                {"removed": request["remove"]}
+                if gone
+                else {"wrong": f"no other member {request['remove']!r}"}
+            )
         else:
             done(self.table())
 
@@ -361,15 +491,32 @@
 
     def viewed(self, number, name, view):
         if number in self.views:
-            self.views[number][name] = {str(other): [birth, str(state)] for other, (birth, state) in view.items()}
+            self.views[number][name] = {
+                str(other): [birth, str(state)]
+                for other, (birth, state) in view.items()
+            }
 
     def compared(self, number, done):
         views = self.views.pop(number)
         names = sorted({name for view in views.values() for name in view})
         differ = {}
         for name in names:
-            said = {viewer: view.get(name, [0, "unknown"]) for viewer, view in sorted(views.items())}
+            said = {
+                viewer: view.get(name, [0, "unknown"])
+                for viewer, view in sorted(views.items())
+            }
             if len({tuple(each) for each in said.values()}) > 1:
                 differ[name] = {viewer: state for viewer, (_, state) in said.items()}
-        silent = [member.name for member in self.membership.alive() if member.name not in views]
-        done({**self.table(), "answered": sorted(views), "silent": silent, "views_differ": differ})
+        silent = [
+            member.name
+            for member in self.membership.alive()
+            if member.name not in views
+        ]
+        done(
+            {
+                **self.table(),
+                "answered": sorted(views),
+                "silent": silent,
+                "views_differ": differ,
+            }
+        )
--- a/wheathill/peers/links.py
+++ b/wheathill/peers/links.py
@@ -20,9 +20,9 @@
 
     def __init__(self, address):
         self.address = address
-        self.birth = 0              # of the process there, as it said itself
-        self.past = deque(maxlen=8)     # of those before it
-        self.unsent = deque(maxlen=4)   # words that wait for its birth
+        self.birth = 0  # of the process there, as it said itself
+        self.past = deque(maxlen=8)  # of those before it
+        self.unsent = deque(maxlen=4)  # words that wait for its birth
         self.stream = None
 
 
@@ -30,33 +30,44 @@
     """`heard(name, birth, address, words)` is called for each message that is taken; `address` is None for what
     came on a stream."""
 
-    DATAGRAM = 1400         # bytes; more goes by stream
+    DATAGRAM = 1400  # bytes; more goes by stream
     FRAME = 262_144
-    QUEUE = 1_048_576       # bytes that wait for one peer
-    STANDS = 5000.0         # ms without any progress
+    QUEUE = 1_048_576  # bytes that wait for one peer
+    STANDS = 5000.0  # ms without any progress
     IDLE = 10_000.0
-    BURST, RATE = 400, 200.0    # messages of one address: at once, and a second
-    ADDRESSES = 4096        # whose rates are kept
+    BURST, RATE = 400, 200.0  # messages of one address: at once, and a second
+    ADDRESSES = 4096  # whose rates are kept
 
     def __init__(self, carrier, clock, log, seal, heard, listen):
-        self.carrier, self.clock, self.log, self.seal, self.heard = carrier, clock, log, seal, heard
+        self.carrier, self.clock, self.log, self.seal, self.heard = (
+            carrier,
+            clock,
+            log,
+            seal,
+            heard,
+        )
         self.limits = carrier.limits
         self.source = listen[0]
-        self.streams = max(4, self.limits.sockets // 16)    # that others have opened
-        self.peers = {}             # "HOST:PORT" -> Peer
-        self.inward = OrderedDict()     # streams that others have opened, oldest first
+        self.streams = max(4, self.limits.sockets // 16)  # that others have opened
+        self.peers = {}  # "HOST:PORT" -> Peer
+        self.inward = OrderedDict()  # streams that others have opened, oldest first
         self.rates = OrderedDict()  # address -> [messages left, when]
-        self.dropped = {}           # reason -> how often
-        self.logged = {}            # reason -> when last
-        self.sent = self.taken = 0   # messages
-        self.bytes = self.bytes_in = 0      # of frames: sent, and come, damaged ones with them
+        self.dropped = {}  # reason -> how often
+        self.logged = {}  # reason -> when last
+        self.sent = self.taken = 0  # messages
+        self.bytes = self.bytes_in = (
+            0  # of frames: sent, and come, damaged ones with them
+        )
         self.door = carrier.listen(lambda wire: Inward(self, wire), listen, self.room)
         self.post = carrier.datagrams(self, listen)
 
     def close(self):
         self.door.close()
         self.post.close()
-        for stream in [*self.inward, *(peer.stream for peer in self.peers.values() if peer.stream)]:
+        for stream in [
+            *self.inward,
+            *(peer.stream for peer in self.peers.values() if peer.stream),
+        ]:
             stream.end()
 
     # Out
@@ -92,7 +103,9 @@
     def stream(self, peer, words):
         if peer.stream is None:
             peer.stream = Outward(self, peer)
-            peer.stream.wire = self.carrier.connect(peer.stream, parts(peer.address), self.source)
+            peer.stream.wire = self.carrier.connect(
+                peer.stream, parts(peer.address), self.source
+            )
         peer.stream.say(words)
 
     def knock(self, address, wait, told):
@@ -156,11 +169,21 @@
         now = self.clock.now()
         if now - self.logged.get(reason, -60_000.0) >= 60_000.0:
             self.logged[reason] = now
-            self.log("peers: dropped", why=reason, came_from=address, so_far=self.dropped[reason])
+            self.log(
+                "peers: dropped",
+                why=reason,
+                came_from=address,
+                so_far=self.dropped[reason],
+            )
 
     def figures(self):
-        return {"sent": self.sent, "taken": self.taken, "bytes": self.bytes, "bytes_in": self.bytes_in,
-                "dropped": dict(self.dropped)}
+        return {
+            "sent": self.sent,
+            "taken": self.taken,
+            "bytes": self.bytes,
+            "bytes_in": self.bytes_in,
+            "dropped": dict(self.dropped),
+        }
 
 
 def parts(address):
@@ -187,7 +210,9 @@
         if self.told is not None:
             knock = Knock(self.links, self.over)
             self.knocks.append(knock)
-            knock.wire = self.links.carrier.connect(knock, parts(self.address), self.links.source)
+            knock.wire = self.links.carrier.connect(
+                knock, parts(self.address), self.links.source
+            )
 
     def over(self, how):
         told, self.told = self.told, None
@@ -221,13 +246,15 @@
         super().__init__(links, links.limits, links.clock)
         self.links = links
         self.rest = bytearray()
-        self.birth = 0          # of the process at the other end
+        self.birth = 0  # of the process at the other end
 
     def received(self, data):
         self.links.bytes_in += len(data)
         self.rest += data
         try:
-            while (length := self.links.seal.length(self.rest, Links.FRAME)) is not None and len(self.rest) >= length:
+            while (
+                length := self.links.seal.length(self.rest, Links.FRAME)
+            ) is not None and len(self.rest) >= length:
                 frame = bytes(self.rest[:length])
                 del self.rest[:length]
                 self.frame(frame)
@@ -320,7 +347,9 @@
             self.waiting -= size
             self.links.bytes += size
             self.wire.send(self.links.seal.close(self.birth, words))
-        self.set_timer(Links.STANDS if self.unsent or self.wire.full else Links.IDLE, self.end)
+        self.set_timer(
+            Links.STANDS if self.unsent or self.wire.full else Links.IDLE, self.end
+        )
 
     def blocked(self, on):
         if on:
