--- a/wheathill/peers/membership.py
+++ b/wheathill/peers/membership.py
@@ -20,7 +20,15 @@
 
 ALIVE, SUSPECT, DEAD, LEFT = "alive", "suspect", "dead", "left"
 RANK = {ALIVE: 0, SUSPECT: 1, DEAD: 2, LEFT: 3}
-PING, ACK, ASK, NACK, JOIN, STATE, CLASH = "ping", "ack", "ask", "nack", "join", "state", "clash"
+PING, ACK, ASK, NACK, JOIN, STATE, CLASH = (
+    "ping",
+    "ack",
+    "ask",
+    "nack",
+    "join",
+    "state",
+    "clash",
+)
 COMPARE, WANT = "compare", "want"
 
 
@@ -28,27 +36,51 @@
     """`birth` tells one process from another under the same name; `incarnation` orders what is said of
     one."""
 
-    __slots__ = ("name", "address", "incarnation", "birth", "state", "since", "accusers", "deadline", "heard",
-                 "doubted", "buried", "told", "certain", "claimed", "renewed")
+    __slots__ = (
+        "name",
+        "address",
+        "incarnation",
+        "birth",
+        "state",
+        "since",
+        "accusers",
+        "deadline",
+        "heard",
+        "doubted",
+        "buried",
+        "told",
+        "certain",
+        "claimed",
+        "renewed",
+    )
 
     def __init__(self, name, address, incarnation, birth, state, since):
-        self.name, self.address, self.incarnation, self.birth = name, address, incarnation, birth
+        self.name, self.address, self.incarnation, self.birth = (
+            name,
+            address,
+            incarnation,
+            birth,
+        )
         self.state, self.since = state, since
-        self.accusers = ()          # names of those who suspect it, each by itself
-        self.deadline = None        # while suspect: when it counts as dead
-        self.heard = since          # when it last said something itself
-        self.doubted = None         # since when it doesn't answer this instance, which knocks
-        self.buried = None          # since when it is knocked at for the last time
-        self.told = -1              # incarnation of which others say that it is dead, while that is looked into
-        self.certain = False        # its death was seen: its machine refuses connections
-        self.claimed = None         # birth of the last that claimed its name
-        self.renewed = None         # when its suspicion last began anew
+        self.accusers = ()  # names of those who suspect it, each by itself
+        self.deadline = None  # while suspect: when it counts as dead
+        self.heard = since  # when it last said something itself
+        self.doubted = None  # since when it doesn't answer this instance, which knocks
+        self.buried = None  # since when it is knocked at for the last time
+        self.told = (
+            -1
+        )  # incarnation of which others say that it is dead, while that is looked into
+        self.certain = False  # its death was seen: its machine refuses connections
+        self.claimed = None  # birth of the last that claimed its name
+        self.renewed = None  # when its suspicion last began anew
 
     def words(self):
         return [self.state, self.name, self.address, self.incarnation, self.birth]
 
     def digest(self):
-        return int.from_bytes(hashlib.blake2b(repr(self.words()).encode(), digest_size=6).digest(), "big")
+        return int.from_bytes(
+            hashlib.blake2b(repr(self.words()).encode(), digest_size=6).digest(), "big"
+        )
 
 
 class Rumours:
@@ -56,7 +88,7 @@
 
     def __init__(self, times):
         self.times = times
-        self.told = {}              # member -> [how often, who says so]
+        self.told = {}  # member -> [how often, who says so]
 
     def add(self, member, by):
         self.told[member] = [0, by]
@@ -64,9 +96,11 @@
     def take(self, most, members, first=None):
         """Up to `most` updates as words; `first` goes in whatever was told of it."""
         # First those that are gone: at a start of hundreds the newcomers would keep them waiting.
-        chosen = sorted(self.told, key=lambda member: (RANK[member.state] < 2, self.told[member][0]))[:most]
+        chosen = sorted(
+            self.told, key=lambda member: (RANK[member.state] < 2, self.told[member][0])
+        )[:most]
         if first is not None and first not in chosen:
-            chosen = [first, *chosen[:most - 1]]
+            chosen = [first, *chosen[: most - 1]]
         limit = math.ceil(self.times * math.log10(members + 1))
         words = []
         for member in chosen:
@@ -86,53 +120,81 @@
     differs is sent; all of a cluster do so or none."""
 
     MOST_UPDATES = 8
-    MOST_HEALTH = 8             # Lifeguard's S: 9 times the usual patience at the most
-    STATE_CHUNK = 24            # entries a message
+    MOST_HEALTH = 8  # Lifeguard's S: 9 times the usual patience at the most
+    STATE_CHUNK = 24  # entries a message
     SUSPICION, SLOWEST, CONFIRMATIONS = 3.0, 6.0, 3
     # Periods for one of several connections to come up (`links.Knocks`), without losses and with many.
     DOUBT, BURIAL = (1.3, 2.0), (3.5, 3.5)
-    RUMOUR = 0.5, 1.2           # the same, where others have buried it already
-    CHECKS = 4                  # of those that hear of a suspicion, so many look for themselves
-    HELD, CONTESTS = 10.0, 3    # periods after which a name is one's own; how often it is then defended against another
-    PROOFS = 8                  # of those that can't be reached, asked for again with each exchange
-    BUCKETS = 16                # of a state that is compared
+    RUMOUR = 0.5, 1.2  # the same, where others have buried it already
+    CHECKS = 4  # of those that hear of a suspicion, so many look for themselves
+    HELD, CONTESTS = (
+        10.0,
+        3,
+    )  # periods after which a name is one's own; how often it is then defended against another
+    PROOFS = 8  # of those that can't be reached, asked for again with each exchange
+    BUCKETS = 16  # of a state that is compared
     MOST_REMOVED = MOST_DOUBTFUL = 1024
-    RECENT = 5.0, 20.0          # periods that own sight of a member beats a rumour of its death: among few, among many
-
-    def __init__(self, actions, rng, name, address, birth, *, period, patience, helpers, kept, sync_every,
-                 differences=False):
+    RECENT = (
+        5.0,
+        20.0,
+    )  # periods that own sight of a member beats a rumour of its death: among few, among many
+
+    def __init__(
+        self,
+        actions,
+        rng,
+        name,
+        address,
+        birth,
+        *,
+        period,
+        patience,
+        helpers,
+        kept,
+        sync_every,
+        differences=False,
+    ):
         self.actions, self.differences = actions, differences
         self.shuffle, self.sample = rng.shuffle, rng.sample
         self.uniform, self.choice, self.random = rng.uniform, rng.choice, rng.random
-        self.period, self.patience, self.helpers, self.kept = period, patience, helpers, kept
+        self.period, self.patience, self.helpers, self.kept = (
+            period,
+            patience,
+            helpers,
+            kept,
+        )
         self.sync_every = sync_every
         # Often while it teaches: where hundreds start at once each has met few, and rumours of all are long on their
         # way.
         self.sync_wait = min(period, sync_every)
-        self.news = False           # a whole state has told of some that were not known
+        self.news = False  # a whole state has told of some that were not known
         self.me = Member(name, address, 0, birth, ALIVE, 0.0)
         self.members = {name: self.me}
         self.rumours = Rumours(times=8.0)
-        self.health = 0             # 0: well; each missed answer makes this instance more careful
-        self.round = []             # whom to probe next
+        self.health = 0  # 0: well; each missed answer makes this instance more careful
+        self.round = []  # whom to probe next
         self.number = 0
-        self.probe = None           # [number, member, acknowledged, nacks awaited, late]
-        self.asks = {}              # number of a last question for one -> that member
-        self.asked = {}             # number of a probe made for another -> (address to answer, its number)
+        self.probe = None  # [number, member, acknowledged, nacks awaited, late]
+        self.asks = {}  # number of a last question for one -> that member
+        self.asked = {}  # number of a probe made for another -> (address to answer, its number)
         self.seeds = []
         self.joined = False
-        self.asking = False         # whether the alarm for the next try is set
-        self.alone = False          # another holds its name: it probes nobody, and says nothing of itself but its claim
-        self.off = False            # an operator took it off
-        self.held = 0.0             # since when it holds its name
-        self.contests = {}          # birth of another that claims it -> how often this one has gone past it
+        self.asking = False  # whether the alarm for the next try is set
+        self.alone = False  # another holds its name: it probes nobody, and says nothing of itself but its claim
+        self.off = False  # an operator took it off
+        self.held = 0.0  # since when it holds its name
+        self.contests = {}  # birth of another that claims it -> how often this one has gone past it
         self.stopped = False
-        self.due = None             # when the next probe's alarm rings
-        self.late = deque(maxlen=16)    # of the last probes: who answered late or not, else None
-        self.unanswered = 0         # probes in a row that nobody answered
-        self.woke = None            # since when it has been stopped itself and not been answered yet
-        self.proofs = []            # names of those that can't be reached, whom to ask for again next
-        self.removed = {}           # (name, birth) of processes that are gone for good
+        self.due = None  # when the next probe's alarm rings
+        self.late = deque(
+            maxlen=16
+        )  # of the last probes: who answered late or not, else None
+        self.unanswered = 0  # probes in a row that nobody answered
+        self.woke = (
+            None  # since when it has been stopped itself and not been answered yet
+        )
+        self.proofs = []  # names of those that can't be reached, whom to ask for again next
+        self.removed = {}  # (name, birth) of processes that are gone for good
 
     # Start and end
 
@@ -158,7 +220,10 @@
         self.me.incarnation += 1
         others = [member for member in self.alive() if member is not self.me]
         for member in self.sample(others, min(len(others), 2 * self.helpers)):
-            self.actions.send(member.address, [PING, 0, self.me.name, [[*self.me.words(), self.me.name]]])
+            self.actions.send(
+                member.address,
+                [PING, 0, self.me.name, [[*self.me.words(), self.me.name]]],
+            )
         self.stopped = True
 
     def remove(self, now, name):
@@ -183,8 +248,11 @@
 
     def alive(self):
         """Members that count as there, suspects among them, in order of name."""
-        return [self.members[name] for name in sorted(self.members)
-                if self.members[name].state in (ALIVE, SUSPECT)]
+        return [
+            self.members[name]
+            for name in sorted(self.members)
+            if self.members[name].state in (ALIVE, SUSPECT)
+        ]
 
     # Alarms
 
@@ -211,8 +279,11 @@
             if not self.joined:
                 self.join(now)
         elif what == "sync":
-            self.sync_wait = max(self.period, self.sync_wait / 2) if self.news else min(
-                self.sync_every, 2 * self.sync_wait)
+            self.sync_wait = (
+                max(self.period, self.sync_wait / 2)
+                if self.news
+                else min(self.sync_every, 2 * self.sync_wait)
+            )
             self.news = False
             self.actions.alarm(now + self.sync_wait * self.uniform(0.75, 1.25), "sync")
             self.sync(now)
@@ -238,8 +309,12 @@
             return
         for name in sorted(self.members):
             suspect = self.members[name]
-            if suspect.doubted is not None and suspect.state in (ALIVE, SUSPECT) or \
-                    suspect.state == SUSPECT and self.me.name in suspect.accusers:
+            if (
+                suspect.doubted is not None
+                and suspect.state in (ALIVE, SUSPECT)
+                or suspect.state == SUSPECT
+                and self.me.name in suspect.accusers
+            ):
                 # Whom this instance doubts or accuses it also tells, again and again: one lost message is no
                 # death. The number asks for an answer, whichever probe is under way.
                 self.number += 1
@@ -258,12 +333,17 @@
         sooner."""
         while True:
             if not self.round:
-                self.round = [member for member in self.alive() if member is not self.me]
+                self.round = [
+                    member for member in self.alive() if member is not self.me
+                ]
                 self.shuffle(self.round)
                 if not self.round:
                     return None
             member = self.round.pop()
-            if member.state in (ALIVE, SUSPECT) and self.members.get(member.name) is member:
+            if (
+                member.state in (ALIVE, SUSPECT)
+                and self.members.get(member.name) is member
+            ):
                 return member
 
     def enter_round(self, member):
@@ -273,7 +353,9 @@
     def send_probe(self, member, number):
         # A suspect hears of it first of all, so that it can deny it.
         first = member if member.state == SUSPECT else None
-        self.actions.send(member.address, [PING, number, self.me.name, self.gossip(first)])
+        self.actions.send(
+            member.address, [PING, number, self.me.name, self.gossip(first)]
+        )
 
     def gossip(self, first=None):
         return self.rumours.take(self.MOST_UPDATES, len(self.members), first)
@@ -283,7 +365,7 @@
             return
         number, target = self.probe[:2]
         self.probe[4] = True
-        self.send_probe(target, number)     # the first may have been lost
+        self.send_probe(target, number)  # the first may have been lost
         self.probe[3] = self.ask_for(target, number, self.helpers)
 
     def end_probe(self, now):
@@ -299,7 +381,11 @@
         self.unanswered += 1
         # Helpers that say nothing at all point at this instance, not at the target.
         self.health = min(self.MOST_HEALTH, self.health + 1 + missing)
-        if target.state in (ALIVE, SUSPECT) and target.doubted is None and self.woke is None:
+        if (
+            target.state in (ALIVE, SUSPECT)
+            and target.doubted is None
+            and self.woke is None
+        ):
             target.doubted = now
             self.knock(target, "doubt", self.DOUBT)
 
@@ -329,14 +415,21 @@
         others = [member for member in self.alive() if member not in (self.me, target)]
         chosen = self.sample(others, min(len(others), count))
         for member in chosen:
-            self.actions.send(member.address, [ASK, number, self.me.name, target.name, target.address,
-                                               self.gossip()])
+            self.actions.send(
+                member.address,
+                [ASK, number, self.me.name, target.name, target.address, self.gossip()],
+            )
         return len(chosen)
 
     def on_knock(self, now, name, birth, how, why):
         """Whether a process listens where the member is: "up", "refused" or "nothing"."""
         member = self.members.get(name)
-        if self.stopped or member is None or member.birth != birth or member.state == LEFT:
+        if (
+            self.stopped
+            or member is None
+            or member.birth != birth
+            or member.state == LEFT
+        ):
             return
         since = member.buried if why == "burial" else member.doubted
         if why == "burial":
@@ -359,7 +452,12 @@
             # It stands still, or its datagrams are lost: a death is neither.
             if member.state == SUSPECT:
                 self.renew(now, member)
-        elif self.woke is not None or since is None or member.heard > since or why == "claim":
+        elif (
+            self.woke is not None
+            or since is None
+            or member.heard > since
+            or why == "claim"
+        ):
             if member.state == SUSPECT:
                 self.set_deadline(now, member)
         elif member.told >= member.incarnation:
@@ -369,7 +467,9 @@
             self.knock_last(now, member)
             others = [other for other in self.alive() if other not in (self.me, member)]
             for other in self.sample(others, min(len(others), self.CHECKS)):
-                self.actions.send(other.address, [PING, 0, self.me.name, self.gossip(member)])
+                self.actions.send(
+                    other.address, [PING, 0, self.me.name, self.gossip(member)]
+                )
         elif why != "burial":
             self.confirm(now, member, self.me.name)
             self.knock_last(now, member)
@@ -381,7 +481,12 @@
     def prove(self, now, name, birth):
         """Others say that it is dead: whether its machine says so as well."""
         member = self.members.get(name)
-        if member is not None and member.birth == birth and member.state == DEAD and not member.certain:
+        if (
+            member is not None
+            and member.birth == birth
+            and member.state == DEAD
+            and not member.certain
+        ):
             self.knock(member, "proof", self.DOUBT)
 
     # Messages
@@ -398,8 +503,20 @@
             if number:
                 # Who is held for gone here, and speaks, is told so, and denies it.
                 member = self.members.get(sender)
-                accused = member is not None and member.state in (SUSPECT, DEAD) and member.address == address
-                self.actions.send(address, [ACK, number, self.me.name, self.gossip(member if accused else None)])
+                accused = (
+                    member is not None
+                    and member.state in (SUSPECT, DEAD)
+                    and member.address == address
+                )
+                self.actions.send(
+                    address,
+                    [
+                        ACK,
+                        number,
+                        self.me.name,
+                        self.gossip(member if accused else None),
+                    ],
+                )
         elif kind == ACK:
             number, sender, updates = rest
             self.woke, self.unanswered = None, 0
@@ -416,7 +533,9 @@
                 del self.asked[next(iter(self.asked))]
             member = self.members.get(name)
             first = member if member is not None and member.state == SUSPECT else None
-            self.actions.send(target, [PING, self.number, self.me.name, self.gossip(first)])
+            self.actions.send(
+                target, [PING, self.number, self.me.name, self.gossip(first)]
+            )
             self.actions.alarm(now + self.patience * 0.8, ("nack", self.number))
         elif kind == NACK:
             if self.probe is not None and self.probe[0] == rest[0]:
@@ -441,8 +560,13 @@
         """A process has spoken here itself, and not in the past. At the address of another one of its name it is
         that one's successor, whether or not that death was noticed."""
         known = self.members.get(name)
-        if known is None or known is self.me or known.birth == birth or known.address != address \
-                or (name, birth) in self.removed:
+        if (
+            known is None
+            or known is self.me
+            or known.birth == birth
+            or known.address != address
+            or (name, birth) in self.removed
+        ):
             return
         if self.differences:
             # Who hasn't met it holds to the one before until this one is ahead; no whole state tells it of that one.
@@ -475,12 +599,18 @@
     def on_join(self, now, address, words):
         state, name, their_address, incarnation, birth = words
         known = self.members.get(name)
-        if known is not None and known.birth != birth and known.address != their_address and \
-                self.holds_name(known):
+        if (
+            known is not None
+            and known.birth != birth
+            and known.address != their_address
+            and self.holds_name(known)
+        ):
             # Two claim one name: who holds it keeps it while it is there.
             if known.claimed != birth:
                 known.claimed = birth
-                self.actions.log(f"peers: {their_address} claims the name {name}, which {known.address} holds")
+                self.actions.log(
+                    f"peers: {their_address} claims the name {name}, which {known.address} holds"
+                )
             self.actions.send(their_address, [CLASH, [*known.words()]])
             if known is not self.me:
                 # It may have died a moment ago, and its successor be at another address.
@@ -516,7 +646,9 @@
             # It asks again: who holds the name may be gone by then.
             self.alone = True
             self.rumours.told.pop(self.me, None)
-            self.actions.log(f"peers: the name {self.me.name} is held by {address}; this instance stays alone")
+            self.actions.log(
+                f"peers: the name {self.me.name} is held by {address}; this instance stays alone"
+            )
 
     def hold(self, now):
         """Its name is its own."""
@@ -531,28 +663,44 @@
 
     def send_state(self, address, buckets=None):
         """Of all members, or of those in `buckets`."""
-        everyone = [[*member.words(), self.me.name] for name, member in sorted(self.members.items())
-                    if buckets is None or self.bucket(name) in buckets]
+        everyone = [
+            [*member.words(), self.me.name]
+            for name, member in sorted(self.members.items())
+            if buckets is None or self.bucket(name) in buckets
+        ]
         for place in range(0, len(everyone), self.STATE_CHUNK):
-            self.actions.send(address, [STATE, everyone[place:place + self.STATE_CHUNK]])
+            self.actions.send(
+                address, [STATE, everyone[place : place + self.STATE_CHUNK]]
+            )
 
     def sync(self, now):
         """Whole states are exchanged now and then with one at random, the dead included: two halves that have
         taken each other for dead meet again so. Who has been forgotten is not a member."""
-        for name in [name for name, member in self.members.items()
-                     if (member.state == LEFT or member.certain) and now - member.since > self.kept]:
+        for name in [
+            name
+            for name, member in self.members.items()
+            if (member.state == LEFT or member.certain)
+            and now - member.since > self.kept
+        ]:
             del self.members[name]
         # Whose death nobody saw may only be cut off: kept until it is certain or an operator takes it off.
-        doubtful = [name for name, member in self.members.items() if member.state == DEAD and not member.certain]
-        for name in doubtful[:-self.MOST_DOUBTFUL]:
+        doubtful = [
+            name
+            for name, member in self.members.items()
+            if member.state == DEAD and not member.certain
+        ]
+        for name in doubtful[: -self.MOST_DOUBTFUL]:
             del self.members[name]
         # Some in turn are asked for again; a connection that comes up ends a cut sooner than chance does.
         self.proofs = [name for name in self.proofs if name in doubtful] or doubtful
-        asked, self.proofs = self.proofs[:self.PROOFS], self.proofs[self.PROOFS:]
+        asked, self.proofs = self.proofs[: self.PROOFS], self.proofs[self.PROOFS :]
         for name in asked:
             self.prove(now, name, self.members[name].birth)
-        others = [self.members[name] for name in sorted(self.members)
-                  if name != self.me.name and self.members[name].state != LEFT]
+        others = [
+            self.members[name]
+            for name in sorted(self.members)
+            if name != self.me.name and self.members[name].state != LEFT
+        ]
         if self.alone:
             self.join(now)
         elif others:
@@ -576,7 +724,11 @@
     def compare(self, address, theirs):
         if len(theirs) != self.BUCKETS:
             raise ValueError("not as many buckets")
-        differ = [place for place, (mine, other) in enumerate(zip(self.sums(), theirs)) if mine != other]
+        differ = [
+            place
+            for place, (mine, other) in enumerate(zip(self.sums(), theirs))
+            if mine != other
+        ]
         if differ:
             self.send_state(address, differ)
             self.actions.send(address, [WANT, differ])
@@ -610,10 +762,16 @@
             self.go_past(incarnation)
         elif state == LEFT and not self.off:
             self.alone = self.off = True
-            self.actions.log("peers: an operator took this instance off; it comes back with its next start")
+            self.actions.log(
+                "peers: an operator took this instance off; it comes back with its next start"
+            )
         elif state == ALIVE:
             self.hold(now)
-        elif state in (SUSPECT, DEAD) and incarnation >= self.me.incarnation and not self.alone:
+        elif (
+            state in (SUSPECT, DEAD)
+            and incarnation >= self.me.incarnation
+            and not self.alone
+        ):
             # To be accused is a sign of being slow.
             self.health = min(self.MOST_HEALTH, self.health + 1)
             self.go_past(incarnation)
@@ -627,13 +785,17 @@
         if accuser is not None and accuser is not self.me and accuser not in told:
             told.append(accuser)
         for member in told:
-            self.actions.send(member.address, [PING, 0, self.me.name, self.gossip(self.me)])
+            self.actions.send(
+                member.address, [PING, 0, self.me.name, self.gossip(self.me)]
+            )
 
     def hear_of(self, now, state, name, address, incarnation, birth, by):
         known = self.members.get(name)
         if known is None:
             if state in (ALIVE, SUSPECT):
-                known = self.members[name] = Member(name, address, incarnation, birth, ALIVE, now)
+                known = self.members[name] = Member(
+                    name, address, incarnation, birth, ALIVE, now
+                )
                 self.enter_round(known)
                 self.rumours.add(known, by)
                 self.actions.changed(known, None)
@@ -641,17 +803,26 @@
                     self.accuse(now, known, incarnation, by)
             elif state == DEAD:
                 # Kept, so that an old rumour does not bring it back.
-                self.members[name] = Member(name, address, incarnation, birth, DEAD, now)
+                self.members[name] = Member(
+                    name, address, incarnation, birth, DEAD, now
+                )
                 self.seek_proof(now, self.members[name])
             return
         if known.birth != birth:
             # Another process under the name: it counts where it is ahead, or where the one known is gone. Births
             # have no order, but one that is surely gone or was succeeded at its address never counts again. Of two
             # that are there the lower birth counts, so that all come to the same.
-            ahead = (incarnation, -birth) > (known.incarnation, -known.birth) and known.address != address
-            if state == ALIVE and (incarnation > known.incarnation or ahead or known.state in (DEAD, LEFT)):
+            ahead = (incarnation, -birth) > (
+                known.incarnation,
+                -known.birth,
+            ) and known.address != address
+            if state == ALIVE and (
+                incarnation > known.incarnation or ahead or known.state in (DEAD, LEFT)
+            ):
                 if known.state == ALIVE and known.address != address:
-                    self.actions.log(f"peers: {name} is at {address} now, and was at {known.address}")
+                    self.actions.log(
+                        f"peers: {name} is at {address} now, and was at {known.address}"
+                    )
                 self.set_alive(now, known, address, incarnation, birth, by)
             return
         if state == ALIVE:
@@ -663,8 +834,11 @@
             elif known.state == ALIVE and incarnation >= known.incarnation:
                 self.accuse(now, known, incarnation, by)
                 # A few see for themselves: what several found apart is likelier, and sooner certain.
-                if known.doubted is None and self.woke is None and \
-                        self.random() * (len(self.members) - 2) < self.CHECKS:
+                if (
+                    known.doubted is None
+                    and self.woke is None
+                    and self.random() * (len(self.members) - 2) < self.CHECKS
+                ):
                     known.doubted = now
                     self.knock(known, "doubt", self.DOUBT)
         elif known.state in (ALIVE, SUSPECT) and incarnation >= known.incarnation:
@@ -688,7 +862,13 @@
 
     def set_alive(self, now, member, address, incarnation, birth, by):
         old, changed = member.state, member.birth != birth
-        member.doubted, member.buried, member.certain, member.heard, member.told = None, None, False, now, -1
+        member.doubted, member.buried, member.certain, member.heard, member.told = (
+            None,
+            None,
+            False,
+            now,
+            -1,
+        )
         member.address, member.incarnation, member.birth = address, incarnation, birth
         member.state, member.since, member.deadline = ALIVE, now, None
         self.rumours.add(member, by)
@@ -709,7 +889,10 @@
 
     def seek_proof(self, now, member):
         if not member.certain:
-            self.actions.alarm(now + self.uniform(0.0, self.period), ("prove", member.name, member.birth))
+            self.actions.alarm(
+                now + self.uniform(0.0, self.period),
+                ("prove", member.name, member.birth),
+            )
 
     def accuse(self, now, member, incarnation, by):
         member.state, member.incarnation, member.since = SUSPECT, incarnation, now
@@ -720,7 +903,11 @@
 
     def confirm(self, now, member, by):
         """Others that came to it by themselves make it likelier that it is true."""
-        if by and by not in member.accusers and len(member.accusers) <= self.CONFIRMATIONS:
+        if (
+            by
+            and by not in member.accusers
+            and len(member.accusers) <= self.CONFIRMATIONS
+        ):
             member.accusers += (by,)
             self.set_deadline(now, member)
             self.rumours.add(member, by)
@@ -728,14 +915,19 @@
     def set_deadline(self, now, member):
         """From the slowest down to the fastest as others confirm. Alone among a few there is nobody to
         confirm: the fastest at once."""
-        count = len([each for each in self.members.values() if each.state in (ALIVE, SUSPECT)])
+        count = len(
+            [each for each in self.members.values() if each.state in (ALIVE, SUSPECT)]
+        )
         fastest = self.SUSPICION * max(1.0, math.log10(max(1, count))) * self.period
         most = min(self.CONFIRMATIONS, count - 2)
         if most < 1:
             wait = fastest
         else:
             told = min(most, len(member.accusers) - 1)
-            wait = fastest * (self.SLOWEST - (self.SLOWEST - 1) * math.log(told + 1) / math.log(most + 1))
+            wait = fastest * (
+                self.SLOWEST
+                - (self.SLOWEST - 1) * math.log(told + 1) / math.log(most + 1)
+            )
         member.deadline = member.since + wait
         self.actions.alarm(max(now, self.last_call(member)), "suspects")
 
@@ -755,8 +947,12 @@
         """Nobody is buried whom a connection still reaches, nor by one that was stopped itself."""
         for name in sorted(self.members):
             member = self.members[name]
-            if member.state != SUSPECT or member.deadline is None or member.buried is not None or \
-                    now < self.last_call(member):
+            if (
+                member.state != SUSPECT
+                or member.deadline is None
+                or member.buried is not None
+                or now < self.last_call(member)
+            ):
                 continue
             if self.woke is not None:
                 self.renew(now, member)
--- a/wheathill/peers/show.py
+++ b/wheathill/peers/show.py
@@ -8,7 +8,7 @@
 from wheathill.config import Misconfigured, checked, operator
 from wheathill.peers.facts import AGREED
 
-WAIT = 5.0      # s
+WAIT = 5.0  # s
 
 
 def ask(path, request):
@@ -32,19 +32,48 @@
 def control_of(path):
     file = operator.file_of(checked.load(path))
     if file.peers is None or file.peers.control is None:
-        raise Misconfigured("peers.control: is missing, so that the instance can't be asked")
+        raise Misconfigured(
+            "peers.control: is missing, so that the instance can't be asked"
+        )
     return file.peers.control
 
 
 def zone_lines(found):
-    yield f"zone {found['zone']}, region {found['region']} {found['region_state']}, fleet {found['fleet_state']}: " \
-          f"{found['fleet_at_work']} may be at work, layout {found['layout']}, the zone's part {found['part']:g}"
-    rows = [["zone", "region", "state", "at work", "reached", "meant", "part", "layout", "out of reach", "delegates"]]
+    yield (
+        f"zone {found['zone']}, region {found['region']} {found['region_state']}, fleet {found['fleet_state']}: "
+        f"{found['fleet_at_work']} may be at work, layout {found['layout']}, the zone's part {found['part']:g}"
+    )
+    rows = [
+        [
+            "zone",
+            "region",
+            "state",
+            "at work",
+            "reached",
+            "meant",
+            "part",
+            "layout",
+            "out of reach",
+            "delegates",
+        ]
+    ]
     for zone in found["zones"]:
-        rows.append([zone["name"], zone["region"], zone["state"],
-                     *("-" if zone[key] is None else str(zone[key]) for key in ("at_work", "reached")),
-                     str(zone["meant"]), f"{zone['part']:g}", "-" if zone["layout"] is None else str(zone["layout"]),
-                     " ".join(zone["out_of_reach"]) or "-", " ".join(zone["delegates"]) or "-"])
+        rows.append(
+            [
+                zone["name"],
+                zone["region"],
+                zone["state"],
+                *(
+                    "-" if zone[key] is None else str(zone[key])
+                    for key in ("at_work", "reached")
+                ),
+                str(zone["meant"]),
+                f"{zone['part']:g}",
+                "-" if zone["layout"] is None else str(zone["layout"]),
+                " ".join(zone["out_of_reach"]) or "-",
+                " ".join(zone["delegates"]) or "-",
+            ]
+        )
     yield from columns(rows)
 
 
@@ -55,27 +84,52 @@
 
 
 def lines(found):
-    yield f"{found['name']} of {found['cluster']}: {found['state']} for {found['since_s']:.0f} s, " \
-          f"{found['fleet']} may be at work, share {found['share']:g}" + (", alone" if found["alone"] else "")
+    yield (
+        f"{found['name']} of {found['cluster']}: {found['state']} for {found['since_s']:.0f} s, "
+        f"{found['fleet']} may be at work, share {found['share']:g}"
+        + (", alone" if found["alone"] else "")
+    )
     if "zones" in found:
         yield from zone_lines(found)
     rows = [["member", "state", "since", "heard", "agrees", "address", "accused by"]]
     for member in found["members"]:
-        state = member["state"] + (" (seen)" if member["state"] == "dead" and member["surely_gone"] else "")
+        state = member["state"] + (
+            " (seen)" if member["state"] == "dead" and member["surely_gone"] else ""
+        )
         heard = "-" if member["heard_s"] is None else f"{member['heard_s']:.0f} s"
-        rows.append([member["name"], state, f"{member['since_s']:.0f} s", heard, "yes" if member["agrees"] else "no",
-                     member["address"], " ".join(member["accused_by"])])
+        rows.append(
+            [
+                member["name"],
+                state,
+                f"{member['since_s']:.0f} s",
+                heard,
+                "yes" if member["agrees"] else "no",
+                member["address"],
+                " ".join(member["accused_by"]),
+            ]
+        )
     yield from columns(rows)
     for text in found["differs"]:
         yield f"because of its peers it {text}"
     dropped = found["links"]["dropped"]
     if dropped:
-        yield "dropped: " + ", ".join(f"{count} ({why})" for why, count in dropped.items())
+        yield "dropped: " + ", ".join(
+            f"{count} ({why})" for why, count in dropped.items()
+        )
     if "answered" in found:
-        yield "asked: " + ", ".join(found["answered"]) + \
-            (", no answer from " + ", ".join(found["silent"]) if found["silent"] else "")
+        yield (
+            "asked: "
+            + ", ".join(found["answered"])
+            + (
+                ", no answer from " + ", ".join(found["silent"])
+                if found["silent"]
+                else ""
+            )
+        )
         for name, views in found["views_differ"].items():
-            yield f"views of {name} differ: " + ", ".join(f"{viewer} {state}" for viewer, state in views.items())
+            yield f"views of {name} differ: " + ", ".join(
+                f"{viewer} {state}" for viewer, state in views.items()
+            )
         if not found["views_differ"]:
             yield "all views alike"
 
--- a/wheathill/peers/witness.py
+++ b/wheathill/peers/witness.py
@@ -15,12 +15,12 @@
     """`fresh`: ms that evidence weighs anything."""
 
     MOST_SERVERS = 4096
-    TOGETHER = 300.0    # ms between what two saw of one server, at the most, for them to contradict
-    ENOUGH = 1.5        # weight of witnesses that agree: two at least
+    TOGETHER = 300.0  # ms between what two saw of one server, at the most, for them to contradict
+    ENOUGH = 1.5  # weight of witnesses that agree: two at least
 
     def __init__(self, fresh):
         self.fresh = fresh
-        self.said = {}      # server -> {source: (BAD or WELL, when it was seen)}
+        self.said = {}  # server -> {source: (BAD or WELL, when it was seen)}
 
     def tell(self, now, source, evidence):
         """`evidence`: [server, BAD or WELL, how old in ms] each, as seen by `source` itself."""
@@ -39,7 +39,9 @@
 
     def recent(self, now, server):
         said = self.said.get(server, {})
-        for source in [source for source, (_, when) in said.items() if now - when >= self.fresh]:
+        for source in [
+            source for source, (_, when) in said.items() if now - when >= self.fresh
+        ]:
             del said[source]
         return said
 
@@ -56,7 +58,9 @@
                 if how == BAD:
                     claims[source] = claims.get(source, 0) + 1
                     denied[source] = denied.get(source, 0) + (2 * well >= len(said))
-        return {source: 1.0 - denied[source] / count for source, count in claims.items()}
+        return {
+            source: 1.0 - denied[source] / count for source, count in claims.items()
+        }
 
     def verdicts(self, now, own):
         """(servers that fail for all, servers that fail here alone). `own`: {server: (BAD or WELL, when)} of
@@ -65,15 +69,26 @@
         all_over, here = [], []
         for server in sorted(self.said):
             said = self.said[server]
-            against = sum(weights.get(source, 1.0) for source, (how, _) in said.items() if how == BAD)
+            against = sum(
+                weights.get(source, 1.0)
+                for source, (how, _) in said.items()
+                if how == BAD
+            )
             # One that is served now speaks against all that were not: a server that is there serves somebody.
             well = [when for how, when in said.values() if how == WELL]
             bad = [when for how, when in said.values() if how == BAD]
             mine, when = own.get(server, (None, None))
             # Served after it failed here, or so soon before that a way hardly broke for all between.
-            if mine == BAD and not bad and sum(seen > when - self.TOGETHER for seen in well) >= 2:
+            if (
+                mine == BAD
+                and not bad
+                and sum(seen > when - self.TOGETHER for seen in well) >= 2
+            ):
                 here.append(server)
-            elif against >= self.ENOUGH and not (well and max(well) > min(bad)) and \
-                    not (mine == WELL and when >= min(bad)):
+            elif (
+                against >= self.ENOUGH
+                and not (well and max(well) > min(bad))
+                and not (mine == WELL and when >= min(bad))
+            ):
                 all_over.append(server)
         return all_over, here
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -10,20 +10,32 @@
 from wheathill.peers.board import SERVER, Board
 from wheathill.peers.facts import AGREED, ALONE
 from wheathill.peers.instance import NOTE, Peers, bounded
-from wheathill.peers.zones import AT_WORK, DELEGATES, DIGEST, LAYOUT, OUT_OF_REACH, REACHED, Zones, check
+from wheathill.peers.zones import (
+    AT_WORK,
+    DELEGATES,
+    DIGEST,
+    LAYOUT,
+    OUT_OF_REACH,
+    REACHED,
+    Zones,
+    check,
+)
 
 NEWS, DIFFER, HAVE, BEAT, BEATEN = "news", "differ", "have", "beat", "beaten"
 
 
 class ZonedPeers(Peers):
-    TELLS, MOST_SEEN = 4, 12    # evidence: instances a period, servers each
-    PUSHED = 3                  # members that news is passed on to
-    BATCH = 20.0                # ms that news is gathered
-    CHUNK = 1150                # bytes of records in a datagram
-    VERSION = 2                 # of frames; instances without zones speak another and are refused
-    MOST_ASKS = 8               # differences told a period, by whoever is asked
-    AGAIN, TRIES = 0.3, 4       # periods until an answer would be there; how often the same one is asked
-    NOTED_AGAIN = 32.0          # periods at the most between two tellings of one view
+    TELLS, MOST_SEEN = 4, 12  # evidence: instances a period, servers each
+    PUSHED = 3  # members that news is passed on to
+    BATCH = 20.0  # ms that news is gathered
+    CHUNK = 1150  # bytes of records in a datagram
+    VERSION = 2  # of frames; instances without zones speak another and are refused
+    MOST_ASKS = 8  # differences told a period, by whoever is asked
+    AGAIN, TRIES = (
+        0.3,
+        4,
+    )  # periods until an answer would be there; how often the same one is asked
+    NOTED_AGAIN = 32.0  # periods at the most between two tellings of one view
 
     def __init__(self, told, proxy, carrier, clock, log, birth, meant):
         meant = max(1, told.layout.zone(told.zone).proxies)
@@ -33,23 +45,39 @@
         self.facts.least = meant
         self.wall = lambda: clock.to_wall(clock.now())
         self.board = Board([zone.name for zone in told.layout.zones], check)
-        self.zones = Zones(clock.now(), told.layout, told.zone, f"{told.name} {birth}", self.board,
-                           told.period, self.shuffle, self.choice)
-        self.news = {}              # key -> record that waits to be passed on
-        self.abroad = {}            # those of them that were first heard within the zone
-        self.begun = False          # whether some of them begin here
-        self.changed_at = self.same_at = clock.now()    # when the board last changed; was last the same as another's
-        self.asked_at = {}          # address -> when its board was last asked for what differs
-        self.asks = 0               # answered since the last tick
-        self.answers = {}           # address that was asked -> whether it has answered
+        self.zones = Zones(
+            clock.now(),
+            told.layout,
+            told.zone,
+            f"{told.name} {birth}",
+            self.board,
+            told.period,
+            self.shuffle,
+            self.choice,
+        )
+        self.news = {}  # key -> record that waits to be passed on
+        self.abroad = {}  # those of them that were first heard within the zone
+        self.begun = False  # whether some of them begin here
+        self.changed_at = self.same_at = (
+            clock.now()
+        )  # when the board last changed; was last the same as another's
+        self.asked_at = {}  # address -> when its board was last asked for what differs
+        self.asks = 0  # answered since the last tick
+        self.answers = {}  # address that was asked -> whether it has answered
         self.note_at, self.note_wait = 0.0, told.period
-        self.states = None          # of region and fleet, as last logged
+        self.states = None  # of region and fleet, as last logged
 
     # Words
 
     def beliefs(self):
-        return (self.told.zone, self.facts.digest(), self.facts.old, round(self.bears(), 2), self.told.layout.version,
-                self.board.digest)
+        return (
+            self.told.zone,
+            self.facts.digest(),
+            self.facts.old,
+            round(self.bears(), 2),
+            self.told.layout.version,
+            self.board.digest,
+        )
 
     def take(self, now, name, birth, address, words):
         zone, digest, old, bears, layout, board, (kind, *rest) = words
@@ -81,9 +109,24 @@
         began = self.clock.now()
 
         def told(how):
-            member, peer = self.membership.members.get(name), self.links.peers.get(address)
-            replaced = member is not None and member.heard <= began and peer is not None and birth in peer.past
-            self.membership.on_knock(self.clock.now(), name, birth, "refused" if how == "up" and replaced else how, why)
+            member, peer = (
+                self.membership.members.get(name),
+                self.links.peers.get(address),
+            )
+            replaced = (
+                member is not None
+                and member.heard <= began
+                and peer is not None
+                and birth in peer.past
+            )
+            self.membership.on_knock(
+                self.clock.now(),
+                name,
+                birth,
+                "refused" if how == "up" and replaced else how,
+                why,
+            )
+
         self.links.knock(address, wait, told)
 
     # The board
@@ -130,9 +173,13 @@
         if self.answers.get(address) == since:
             self.say(address, [DIFFER, self.told.advertise, self.board.sums])
             if tries > 1:
-                self.clock.after(self.AGAIN * self.told.period, self.ask, address, since, tries - 1)
+                self.clock.after(
+                    self.AGAIN * self.told.period, self.ask, address, since, tries - 1
+                )
             else:
-                self.clock.after(self.AGAIN * self.told.period, self.give_up, address, since)
+                self.clock.after(
+                    self.AGAIN * self.told.period, self.give_up, address, since
+                )
 
     def give_up(self, address, since):
         if self.answers.get(address) == since:
@@ -170,7 +217,13 @@
         news = self.board.merge(self.wall(), records)
         if news:
             self.pass_on(now, news, abroad=zone == self.told.zone)
-            self.apply([record[0][len(SERVER):] for record in news if record[0].startswith(SERVER)])
+            self.apply(
+                [
+                    record[0][len(SERVER) :]
+                    for record in news
+                    if record[0].startswith(SERVER)
+                ]
+            )
 
     def pass_on(self, now, records, abroad):
         """What is news here is told on in a moment. Delegates tell other zones what they hear in theirs."""
@@ -196,11 +249,17 @@
         members = self.reached()
         chosen = self.sample(members, min(len(members), self.PUSHED))
         if begun:
-            chosen += [member for member in members if member.name in delegates and member not in chosen]
+            chosen += [
+                member
+                for member in members
+                if member.name in delegates and member not in chosen
+            ]
         self.tell_each([member.address for member in chosen], news)
         if self.told.name in delegates:
             now = self.clock.now()
-            self.tell_each([self.zones.address(now, zone) for zone in self.zones.others], abroad)
+            self.tell_each(
+                [self.zones.address(now, zone) for zone in self.zones.others], abroad
+            )
 
     def tell_each(self, addresses, records):
         for part in self.chunks(records):
@@ -213,7 +272,12 @@
         """(name, birth, address) of those who speak for the zone, by this view."""
         if self.membership.alone:
             return []
-        return self.zones.delegates([(member.name, member.birth, member.address) for member in self.membership.alive()])
+        return self.zones.delegates(
+            [
+                (member.name, member.birth, member.address)
+                for member in self.membership.alive()
+            ]
+        )
 
     def summaries(self):
         """The record of the own zone's summary, if there is one."""
@@ -222,15 +286,30 @@
 
     def state(self):
         """Of the own zone; one of a single member is agreed with itself."""
-        return AGREED if self.facts.state == ALONE and self.zones.own.proxies <= 1 else self.facts.state
+        return (
+            AGREED
+            if self.facts.state == ALONE and self.zones.own.proxies <= 1
+            else self.facts.state
+        )
 
     def summary(self, now, delegates):
         facts = self.facts
-        layouts = [self.told.layout.version, *(known.layout for known in facts.there.values())]
-        return [self.state(), facts.fleet(now), 1 + len(facts.reached()), facts.digest() if facts.all_told() else "",
-                sorted(self.zones.out_of_reach(now)),
-                max(self.zones.through(self.told.zone), 0 if facts.unseen() else min(layouts)),
-                [[name, address] for name, _, address in delegates]]
+        layouts = [
+            self.told.layout.version,
+            *(known.layout for known in facts.there.values()),
+        ]
+        return [
+            self.state(),
+            facts.fleet(now),
+            1 + len(facts.reached()),
+            facts.digest() if facts.all_told() else "",
+            sorted(self.zones.out_of_reach(now)),
+            max(
+                self.zones.through(self.told.zone),
+                0 if facts.unseen() else min(layouts),
+            ),
+            [[name, address] for name, _, address in delegates],
+        ]
 
     def tick(self):
         now = self.clock.now()
@@ -238,7 +317,9 @@
         self.board.forget(self.wall())
         super().tick()
         delegates = self.delegates()
-        alone = self.facts.state == ALONE and now < self.facts.speaks    # others may be on the way
+        alone = (
+            self.facts.state == ALONE and now < self.facts.speaks
+        )  # others may be on the way
         if delegates and delegates[0][0] == self.told.name and not alone:
             record = self.zones.write(now, self.summary(now, delegates))
             if record is not None:
@@ -248,10 +329,18 @@
                 self.say(address, [BEAT, self.told.advertise, self.summaries()])
         else:
             self.zones.listen(now)
-        states = self.zones.region_state(self.state()), self.zones.fleet_state(self.state())
+        states = (
+            self.zones.region_state(self.state()),
+            self.zones.fleet_state(self.state()),
+        )
         if states != self.states:
             self.states = states
-            self.log_event("zones are", region=states[0], fleet=states[1], out_of_reach=self.zones.unreached())
+            self.log_event(
+                "zones are",
+                region=states[0],
+                fleet=states[1],
+                out_of_reach=self.zones.unreached(),
+            )
 
     def zones_say(self):
         """What the own zone's summary confirms."""
@@ -266,8 +355,10 @@
         elif self.facts.confirmed == noted[0]:
             return
         if now >= self.note_at:
-            self.note_at, self.note_wait = now + self.note_wait, min(2 * self.note_wait,
-                                                                     self.NOTED_AGAIN * self.told.period)
+            self.note_at, self.note_wait = (
+                now + self.note_wait,
+                min(2 * self.note_wait, self.NOTED_AGAIN * self.told.period),
+            )
             for name, _, address in self.delegates():
                 if name != self.told.name:
                     self.say(address, [NOTE])
@@ -281,17 +372,23 @@
         return self.zones.own.part / self.facts.meant
 
     def right(self, server, unit):
-        return self.facts.right(server, self.bears(), unit, self.zones.rounded) if self.zones.part() else 0.0
+        return (
+            self.facts.right(server, self.bears(), unit, self.zones.rounded)
+            if self.zones.part()
+            else 0.0
+        )
 
     # Drains and starts
 
     def tell_news(self, address):
-        pass        # the board is compared with each message
+        pass  # the board is compared with each message
 
     def on_entry(self, name, phase, started):
         self.own[name] = phase, started
         if phase is not Phase.GONE:
-            record = self.board.list_says(self.wall(), name, phase is Phase.DRAINING, started)
+            record = self.board.list_says(
+                self.wall(), name, phase is Phase.DRAINING, started
+            )
             if record is not None:
                 self.begin(self.clock.now(), record)
         return self.holds(name, phase, started), self.latest(name, started)
@@ -310,21 +407,39 @@
         rows = []
         for zone in self.told.layout.zones:
             said = partial(self.zones.said, zone.name)
-            rows.append({
-                "name": zone.name, "region": zone.region, "meant": zone.proxies, "part": round(zone.part, 6),
-                "state": self.zones.state(zone.name, self.state()),
-                "at_work": said(AT_WORK), "reached": said(REACHED), "layout": said(LAYOUT),
-                "out_of_reach": said(OUT_OF_REACH, []), "delegates": [name for name, _ in said(DELEGATES, [])]})
-        return {**found, "zone": self.told.zone, "region": self.zones.own.region, "layout": self.told.layout.version,
-                "part": round(self.zones.part(), 6), "fleet_at_work": self.zones.at_work(self.facts.fleet(now)),
-                "region_state": self.zones.region_state(self.state()),
-                "fleet_state": self.zones.fleet_state(self.state()), "zones": rows,
-                "board": len(self.board.records)}
+            rows.append(
+                {
+                    "name": zone.name,
+                    "region": zone.region,
+                    "meant": zone.proxies,
+                    "part": round(zone.part, 6),
+                    "state": self.zones.state(zone.name, self.state()),
+                    "at_work": said(AT_WORK),
+                    "reached": said(REACHED),
+                    "layout": said(LAYOUT),
+                    "out_of_reach": said(OUT_OF_REACH, []),
+                    "delegates": [name for name, _ in said(DELEGATES, [])],
+                }
+            )
+        return {
+            **found,
+            "zone": self.told.zone,
+            "region": self.zones.own.region,
+            "layout": self.told.layout.version,
+            "part": round(self.zones.part(), 6),
+            "fleet_at_work": self.zones.at_work(self.facts.fleet(now)),
+            "region_state": self.zones.region_state(self.state()),
+            "fleet_state": self.zones.fleet_state(self.state()),
+            "zones": rows,
+            "board": len(self.board.records),
+        }
 
     def differs(self, now):
         found = super().differs(now)
         if self.zones.part() < self.zones.own.part:
             held = self.zones.through(self.told.zone)
-            found.append(f"takes {self.zones.part():.3g} for its zone's part, {self.zones.own.part:.3g} by its layout: "
-                         f"not all zones hold version {self.told.layout.version} (its own: {held})")
+            found.append(
+                f"takes {self.zones.part():.3g} for its zone's part, {self.zones.own.part:.3g} by its layout: "
+                f"not all zones hold version {self.told.layout.version} (its own: {held})"
+            )
         return found
--- a/wheathill/peers/zones.py
+++ b/wheathill/peers/zones.py
@@ -15,7 +15,9 @@
 from wheathill.peers.facts import AGREED, ALONE, CUT_OFF, DOUBT
 
 STATES = AGREED, DOUBT, CUT_OFF, ALONE
-STATE, AT_WORK, REACHED, DIGEST, OUT_OF_REACH, LAYOUT, DELEGATES = range(7)     # of a summary
+STATE, AT_WORK, REACHED, DIGEST, OUT_OF_REACH, LAYOUT, DELEGATES = range(
+    7
+)  # of a summary
 
 
 def rank(*words):
@@ -25,9 +27,17 @@
 def check(value):
     """Raises ValueError or TypeError where `value` is no summary."""
     state, at_work, reached, digest, out, layout, delegates = value
-    if state not in STATES or not all(isinstance(number, int) and number >= 0 for number in (at_work, reached, layout)) \
-            or not isinstance(digest, str) or not isinstance(out, list) or not isinstance(delegates, list) \
-            or not all(isinstance(text, str) for text in out):
+    if (
+        state not in STATES
+        or not all(
+            isinstance(number, int) and number >= 0
+            for number in (at_work, reached, layout)
+        )
+        or not isinstance(digest, str)
+        or not isinstance(out, list)
+        or not isinstance(delegates, list)
+        or not all(isinstance(text, str) for text in out)
+    ):
         raise ValueError("no summary")
     for name, address in delegates:
         host, _, port = address.rpartition(":")
@@ -40,23 +50,31 @@
     has; `period`: ms; `shuffle` and `choice`: of a random.Random."""
 
     DELEGATES = 3
-    VISITED = 3             # zones that a delegate tells each period
-    LATE, OUT = 7.0, 15.0   # periods without a word: told each period; out of reach
-    APART, PATIENCE = 4, 64     # periods between two summaries; the most, for one that is overwritten
+    VISITED = 3  # zones that a delegate tells each period
+    LATE, OUT = 7.0, 15.0  # periods without a word: told each period; out of reach
+    APART, PATIENCE = (
+        4,
+        64,
+    )  # periods between two summaries; the most, for one that is overwritten
 
     def __init__(self, now, layout, own, writer, board, period, shuffle, choice):
-        self.layout, self.writer, self.board, self.period = layout, writer, board, period
+        self.layout, self.writer, self.board, self.period = (
+            layout,
+            writer,
+            board,
+            period,
+        )
         self.shuffle, self.choice = shuffle, choice
         self.own = layout.zone(own)
         self.others = {zone.name: zone for zone in layout.zones if zone is not self.own}
         # zone -> when anyone of it last spoke here, or since when this one speaks for its own
         self.heard = dict.fromkeys(self.others, now)
-        self.spoken = {}            # those heard since then
+        self.spoken = {}  # those heard since then
         self.round = []
         self.tried = 0
-        self.wrote = None           # version of the summary that this one wrote last
+        self.wrote = None  # version of the summary that this one wrote last
         self.wait, self.write_at = self.APART * period, now
-        self.behind = False         # somebody holds a layout two versions later
+        self.behind = False  # somebody holds a layout two versions later
 
     def said(self, zone, what, nothing=None):
         """One word of a zone's summary, as far as it is known; `nothing` where none was said."""
@@ -68,7 +86,9 @@
     def delegates(self, members):
         """Of (name, birth, address), those who speak for the zone, first one first: by rendezvous (highest random weight:
         Thaler and Ravishankar, 1998), so that equal views choose alike."""
-        return sorted(members, key=lambda member: rank(self.own.name, member[0], member[1]))[:self.DELEGATES]
+        return sorted(
+            members, key=lambda member: rank(self.own.name, member[0], member[1])
+        )[: self.DELEGATES]
 
     def spoke(self, now, zone):
         self.heard[zone] = now
@@ -81,8 +101,13 @@
     def out_of_reach(self, now):
         """What the delegate before this one held for out of reach is so until it is heard."""
         before = self.unreached()
-        return [zone for zone in self.others if now - self.heard[zone] > self.OUT * self.period
-                or zone in before and zone not in self.spoken]
+        return [
+            zone
+            for zone in self.others
+            if now - self.heard[zone] > self.OUT * self.period
+            or zone in before
+            and zone not in self.spoken
+        ]
 
     def addresses(self, zone):
         """Where members of another zone are, as far as is known: its delegates, as it last said, then its seeds."""
@@ -92,19 +117,27 @@
     def address(self, now, zone):
         """One of them. Where nothing is heard each is tried in turn: its delegates may be gone."""
         addresses = self.addresses(zone)
-        if self.board.summary(zone) is None or now - self.heard[zone] > self.LATE * self.period:
+        if (
+            self.board.summary(zone) is None
+            or now - self.heard[zone] > self.LATE * self.period
+        ):
             self.tried += 1
             return addresses[self.tried % len(addresses)]
-        return self.choice(addresses[:self.DELEGATES])
+        return self.choice(addresses[: self.DELEGATES])
 
     def due(self, now):
         """Addresses of other zones to tell now, one a zone."""
         if not self.round:
             self.round = list(self.others)
             self.shuffle(self.round)
-        visited, self.round = self.round[:self.VISITED], self.round[self.VISITED:]
-        late = [zone for zone in self.others
-                if self.LATE * self.period < now - self.heard[zone] <= self.OUT * self.period]
+        visited, self.round = self.round[: self.VISITED], self.round[self.VISITED :]
+        late = [
+            zone
+            for zone in self.others
+            if self.LATE * self.period
+            < now - self.heard[zone]
+            <= self.OUT * self.period
+        ]
         return [self.address(now, zone) for zone in dict.fromkeys([*visited, *late])]
 
     # The own zone's summary
@@ -136,8 +169,13 @@
     def part(self):
         """The own zone's part of every limit over all."""
         layout, own = self.layout, self.own
-        if self.behind or self.through(own.name) > layout.version or \
-                any(self.through(zone.name) > layout.version + 1 for zone in layout.zones):
+        if (
+            self.behind
+            or self.through(own.name) > layout.version
+            or any(
+                self.through(zone.name) > layout.version + 1 for zone in layout.zones
+            )
+        ):
             return 0.0
         given = [zone for zone in layout.zones if zone.part < zone.was]
         if all(self.through(zone.name) >= layout.version for zone in given):
@@ -159,8 +197,10 @@
             if zone is self.own:
                 break
             before += zone.part
-        shift = int.from_bytes(rank("rights", server), "big") / 2 ** 64
-        return int(whole / part * (before + part) + shift) - int(whole / part * before + shift)
+        shift = int.from_bytes(rank("rights", server), "big") / 2**64
+        return int(whole / part * (before + part) + shift) - int(
+            whole / part * before + shift
+        )
 
     # What follows for the fleet
 
@@ -175,7 +215,9 @@
         return self.said(self.own.name, OUT_OF_REACH, [])
 
     def region_state(self, mine):
-        others = [zone for zone in self.others.values() if zone.region != self.own.region]
+        others = [
+            zone for zone in self.others.values() if zone.region != self.own.region
+        ]
         near = [zone for zone in self.others.values() if zone.region == self.own.region]
         out = self.unreached()
         if others and all(zone.name in out for zone in others):
@@ -183,7 +225,9 @@
         return self.together([mine, *(self.state(zone.name, mine) for zone in near)])
 
     def fleet_state(self, mine):
-        return self.together([self.state(zone.name, mine) for zone in self.layout.zones])
+        return self.together(
+            [self.state(zone.name, mine) for zone in self.layout.zones]
+        )
 
     @staticmethod
     def together(states):
@@ -191,4 +235,6 @@
 
     def at_work(self, mine):
         """How many may be at work in all: as last said, or as the layout says where nothing was."""
-        return mine + sum(self.said(name, AT_WORK, zone.proxies) for name, zone in self.others.items())
+        return mine + sum(
+            self.said(name, AT_WORK, zone.proxies) for name, zone in self.others.items()
+        )
--- a/wheathill/policy.py
+++ b/wheathill/policy.py
@@ -16,11 +16,22 @@
 from itertools import chain
 from statistics import fmean, median
 
-from wheathill.model import LIST_CALL, LIST_LONGEST, Dial, ListKind, Outcome, Phase, Repeat
+from wheathill.model import (
+    LIST_CALL,
+    LIST_LONGEST,
+    Dial,
+    ListKind,
+    Outcome,
+    Phase,
+    Repeat,
+)
 
 
 def slot_of(text, size):
-    return int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big") % size
+    return (
+        int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
+        % size
+    )
 
 
 def slot_draws(name, count):
@@ -35,19 +46,40 @@
 class SlotTable:
     """Current and new table; which server a session's key leads to."""
 
-    def __init__(self, choose, size, least, moved_share, hard_time_out, keys_kept, keys_age,
-                 zone, near, reach):
-        self.reach, self.zone, self.near, self.choose, self.size = reach, zone, near, choose, size
-        self.least, self.moved_share, self.hard_time_out = least, moved_share, hard_time_out
+    def __init__(
+        self,
+        choose,
+        size,
+        least,
+        moved_share,
+        hard_time_out,
+        keys_kept,
+        keys_age,
+        zone,
+        near,
+        reach,
+    ):
+        self.reach, self.zone, self.near, self.choose, self.size = (
+            reach,
+            zone,
+            near,
+            choose,
+            size,
+        )
+        self.least, self.moved_share, self.hard_time_out = (
+            least,
+            moved_share,
+            hard_time_out,
+        )
         self.keys_kept, self.keys_age = keys_kept, keys_age
         # Highest hash of all that are listed, whatever was shifted, and its score.
         self.home, self.lowest = [None] * size, [math.inf] * size
         self.current, self.new = [None] * size, [None] * size
         self.sessions = [{} for _ in range(size)]
-        self.holders = {}       # group -> {server: how many of it are open there through this proxy}
-        self.serving = {}       # servers that hold sessions, as of the last tick: far fewer than these to walk over
-        self.opened = {}        # slot -> when its entry in the new table was written
-        self.moved, self.exceptions = {}, {}    # key -> (server, when), oldest first
+        self.holders = {}  # group -> {server: how many of it are open there through this proxy}
+        self.serving = {}  # servers that hold sessions, as of the last tick: far fewer than these to walk over
+        self.opened = {}  # slot -> when its entry in the new table was written
+        self.moved, self.exceptions = {}, {}  # key -> (server, when), oldest first
 
     def slot(self, sess):
         """Exception: where connections of a group share work, a server pays for the group as soon as
@@ -66,7 +98,9 @@
 
     def find(self, key, slot):
         """The server that should hold a connection whose packets arrive mid-flow."""
-        return (self.exceptions.get(key) or self.moved.get(key) or (self.current[slot],))[0]
+        return (
+            self.exceptions.get(key) or self.moved.get(key) or (self.current[slot],)
+        )[0]
 
     def accepted(self, now, sess):
         self.sessions[sess.slot][sess] = self.serving[sess.server] = None
@@ -79,7 +113,9 @@
         self.sessions[sess.slot].pop(sess, None)
         self.exceptions.pop(sess.key, None)
         if sess.group is not None:
-            self.holders[sess.group] -= Counter((sess.server,))     # keeps what is above none
+            self.holders[sess.group] -= Counter(
+                (sess.server,)
+            )  # keeps what is above none
             if not self.holders[sess.group]:
                 del self.holders[sess.group]
 
@@ -110,27 +146,39 @@
             pulls = {server: pull for server, pull in pulls.items() if at < last * pull}
             if not pulls:
                 return
-            upto = int(min(at + 16 + 4 * self.size // len(pulls), 1 + last * max(pulls.values())))
+            upto = int(
+                min(
+                    at + 16 + 4 * self.size // len(pulls),
+                    1 + last * max(pulls.values()),
+                )
+            )
             for server, pull in pulls.items():
                 if len(server.draws) < 3 * upto:
                     server.draws = slot_draws(server.name, upto)
                 draws = server.draws
-                for k, slot in enumerate(draws[3 * at:3 * upto:3], at):
+                for k, slot in enumerate(draws[3 * at : 3 * upto : 3], at):
                     if k / pull < when[slot & mask]:
-                        claimed = (k + draws[3 * k + 1] / 2 ** 16 + draws[3 * k + 2] / 2 ** 32) / pull
+                        claimed = (
+                            k + draws[3 * k + 1] / 2**16 + draws[3 * k + 2] / 2**32
+                        ) / pull
                         if claimed < when[slot & mask]:
                             when[slot & mask], whom[slot & mask] = claimed, server
             at = upto
 
     def settle(self, slots, servers):
-        self.claim(slots, self.lowest, self.home, {server: server.pull for server in servers})
+        self.claim(
+            slots, self.lowest, self.home, {server: server.pull for server in servers}
+        )
 
     def stand(self, servers, slots, opened, known):
         """As another process of this proxy left it; without slots where its table was of another size."""
         for server in servers:
             self.weigh(server)
         self.settle(range(self.size), servers)
-        self.current, self.new = slots.get("current") or list(self.home), slots.get("new") or self.new
+        self.current, self.new = (
+            slots.get("current") or list(self.home),
+            slots.get("new") or self.new,
+        )
         self.opened = opened
         self.moved, self.exceptions = known["moved"], known["exceptions"]
 
@@ -151,7 +199,9 @@
                 self.redirect(now, slot, server)
 
     def leave(self, left, live):
-        freed = [slot for slot, home in enumerate(self.home if left else ()) if home in left]
+        freed = [
+            slot for slot, home in enumerate(self.home if left else ()) if home in left
+        ]
         for slot in freed:
             self.home[slot], self.lowest[slot] = None, math.inf
         self.settle(freed, live)
@@ -177,13 +227,23 @@
     def halve(self, now, levels, wait, usable):
         """Shift half of one top-level server's free slots to servers on lower levels."""
         top = max(levels.values(), default=0)
-        tops = [server for server, level in levels.items() if level == top and server.shift_after <= now]
-        lower = [server for server, level in levels.items() if level < top and usable(server)]
+        tops = [
+            server
+            for server, level in levels.items()
+            if level == top and server.shift_after <= now
+        ]
+        lower = [
+            server for server, level in levels.items() if level < top and usable(server)
+        ]
         room = int(self.size * self.moved_share) - len(self.opened)
         if not lower or not tops or room <= 0 or len(self.exceptions) >= self.keys_kept:
             return None
         server = self.choose(tops)
-        free = [slot for slot in range(self.size) if self.current[slot] is server and self.new[slot] is None]
+        free = [
+            slot
+            for slot in range(self.size)
+            if self.current[slot] is server and self.new[slot] is None
+        ]
         count = min(len(free) // 2, len(free) - self.least, room)
         if count <= 0:
             return None
@@ -194,8 +254,12 @@
         when, whom = [-math.inf] * self.size, [None] * self.size
         for slot in free[:count]:
             when[slot] = math.inf
-        self.claim(free[:count], when, whom,
-                   {other: other.pull * 2.0 ** (top - levels[other]) for other in lower})
+        self.claim(
+            free[:count],
+            when,
+            whom,
+            {other: other.pull * 2.0 ** (top - levels[other]) for other in lower},
+        )
         for slot in free[:count]:
             self.redirect(now, slot, whom[slot])
         return server, count
@@ -206,9 +270,15 @@
             while known and next(iter(known.values()))[1] < now - self.keys_age:
                 del known[next(iter(known))]
         for slot, since in list(self.opened.items()):
-            old = [sess for sess in self.sessions[slot] if sess.server is not self.new[slot]]
-            if old and (now - since < self.hard_time_out or
-                        len(self.exceptions) + len(old) > self.keys_kept):
+            old = [
+                sess
+                for sess in self.sessions[slot]
+                if sess.server is not self.new[slot]
+            ]
+            if old and (
+                now - since < self.hard_time_out
+                or len(self.exceptions) + len(old) > self.keys_kept
+            ):
                 continue
             for sess in old:
                 self.except_key(now, sess)
@@ -221,18 +291,29 @@
 class LoadLevels:
     """From the last few probe answers to doubling levels."""
 
-    def __init__(self, names, proxies, fresh, together, late, full, late_for, floor, tells_late):
-        self.tells_late, self.together, self.late_for, self.late = tells_late, together, late_for, late
+    def __init__(
+        self, names, proxies, fresh, together, late, full, late_for, floor, tells_late
+    ):
+        self.tells_late, self.together, self.late_for, self.late = (
+            tells_late,
+            together,
+            late_for,
+            late,
+        )
         self.full, self.names, self.fresh = full, names, fresh
         # Load over capacity says most; a queue or a count of connections only orders the servers.
-        self.source = next((name for name in ("x0", "util", "queue") if name in names), None)
+        self.source = next(
+            (name for name in ("x0", "util", "queue") if name in names), None
+        )
         self.of_capacity = self.source in ("x0", "util")
-        self.share = 1.0 / proxies      # of what all proxies may do together
+        self.share = 1.0 / proxies  # of what all proxies may do together
         # Until some connections are held: this proxy's part of a few dozen in all.
         self.bearable = 40.0 * self.share
-        self.found = deque(maxlen=5)    # the last of what it was found to be
-        self.firm = deque(maxlen=5)     # the same, since sessions came slowly for the first time
-        self.held = 0.0                 # on a warm server, a tick ago
+        self.found = deque(maxlen=5)  # the last of what it was found to be
+        self.firm = deque(
+            maxlen=5
+        )  # the same, since sessions came slowly for the first time
+        self.held = 0.0  # on a warm server, a tick ago
         # A proxy that has just started holds nothing on servers that others have loaded: without a floor it
         # took each of its connections for a whole server and refused nearly all.
         self.floor = floor
@@ -240,26 +321,43 @@
 
     def sample(self, now, server, report):
         if self.source and report and len(report) == len(self.names):
-            if (figure := report[self.names.index(self.source)]) is not None and 0 <= figure < math.inf:
+            if (
+                figure := report[self.names.index(self.source)]
+            ) is not None and 0 <= figure < math.inf:
                 server.samples.append((now, figure))
 
     def figure(self, now, server):
         # Smoothed over two that lie close together: an older one says how it was before the rush.
-        samples = server.samples        # two at most: asked for of dozens of servers a session
+        samples = (
+            server.samples
+        )  # two at most: asked for of dozens of servers a session
         if not samples or samples[-1][0] <= now - self.fresh:
             return None
         (earlier, first), (when, last) = samples[0], samples[-1]
-        return ((first + last) / 2 if earlier > when - self.together else last) * server.doubt
+        return (
+            (first + last) / 2 if earlier > when - self.together else last
+        ) * server.doubt
 
     def figures(self, now, servers):
         """Of those that have one: with hundreds of proxies each sees few servers at a time."""
-        return {server: found for server in servers if (found := self.figure(now, server)) is not None}
+        return {
+            server: found
+            for server in servers
+            if (found := self.figure(now, server)) is not None
+        }
 
     def learn(self, now, warm):
         """What a warm server bears at full load, in this proxy's own connections. A proxy among hundreds
         holds less than one a server: only those on all together, over their mean load, tell it."""
-        fresh = [server for server in warm if self.of_capacity and self.age(now, server) < self.together]
-        loads = [load / min(1.0, server.doubt) for server, load in self.figures(now, fresh).items()]
+        fresh = [
+            server
+            for server in warm
+            if self.of_capacity and self.age(now, server) < self.together
+        ]
+        loads = [
+            load / min(1.0, server.doubt)
+            for server, load in self.figures(now, fresh).items()
+        ]
         held = sum(len(server.sessions) for server in warm) / max(1, len(warm))
         if held and loads:
             # Not the last alone: one odd report would count for all.
@@ -279,7 +377,9 @@
     def take_share(self, share):
         """What is found follows a larger share by itself, but a smaller one too late."""
         less = min(1.0, share / self.share) if self.share else 1.0
-        self.found, self.firm = (deque((each * less for each in kept), 5) for kept in (self.found, self.firm))
+        self.found, self.firm = (
+            deque((each * less for each in kept), 5) for kept in (self.found, self.firm)
+        )
         self.bearable = self.bearable * less if self.found else 40.0 * share
         self.share = share
 
@@ -290,7 +390,9 @@
         if figure is None:
             return 0.0
         since = server.samples[-1][0] - self.late
-        return figure + sum(when > since for when in server.dialled) / max(self.floor, self.bearable)
+        return figure + sum(when > since for when in server.dialled) / max(
+            self.floor, self.bearable
+        )
 
     def told_late(self, now, server, times):
         """Evidence before belief: where messages miss their target a server is near full at least, whatever
@@ -300,19 +402,36 @@
         server.late = now
         figure = self.figure(now, server) if self.of_capacity else None
         if figure and times and again:
-            server.doubt = min(8.0, server.doubt * max(1.0, 0.95 * min(1.0, times) / figure))
+            server.doubt = min(
+                8.0, server.doubt * max(1.0, 0.95 * min(1.0, times) / figure)
+            )
 
     def believe(self, now, servers):
         """Also the other way: one that says it is past its capacity while this proxy's connections there
         hear nothing late says too much. Where late ones are not told, nothing speaks against it."""
         for server in servers:
             if server.doubt > 1.0 and not self.late_now(now, server):
-                server.doubt = max(1.0, server.doubt * (0.85 if server.sessions else 0.93))
-            elif self.tells_late and now - server.late > self.fresh and server.doubt <= 1.0:
+                server.doubt = max(
+                    1.0, server.doubt * (0.85 if server.sessions else 0.93)
+                )
+            elif (
+                self.tells_late
+                and now - server.late > self.fresh
+                and server.doubt <= 1.0
+            ):
                 first = next(iter(server.sessions), None)
                 over = (self.figure(now, server) or 0.0) >= server.doubt
-                if not over or first and first.accepted is not None and now - first.accepted > self.fresh:
-                    server.doubt = max(0.5, server.doubt * 0.9) if over else min(1.0, server.doubt * 1.01)
+                if (
+                    not over
+                    or first
+                    and first.accepted is not None
+                    and now - first.accepted > self.fresh
+                ):
+                    server.doubt = (
+                        max(0.5, server.doubt * 0.9)
+                        if over
+                        else min(1.0, server.doubt * 1.01)
+                    )
 
     def late_now(self, now, server):
         """Told, free of any probe, that messages there miss their target: it is full, by how much unknown."""
@@ -342,12 +461,19 @@
 class Roster:
     """Follows the list of servers; tells who joined and who left."""
 
-    def __init__(self, actions, must_ask, spread, drain_grace, sized, uniform, gone_binds):
-        self.gone_binds, self.spread, self.actions, self.sized = gone_binds, spread, actions, sized
+    def __init__(
+        self, actions, must_ask, spread, drain_grace, sized, uniform, gone_binds
+    ):
+        self.gone_binds, self.spread, self.actions, self.sized = (
+            gone_binds,
+            spread,
+            actions,
+            sized,
+        )
         self.must_ask, self.drain_grace, self.uniform = must_ask, drain_grace, uniform
-        self.servers = {}       # ready ones, in order of name: the same at every proxy
-        self.out = {}           # names of those that are out by hand -> since when
-        self.back = {}          # of those put back -> (since when they were out, until when)
+        self.servers = {}  # ready ones, in order of name: the same at every proxy
+        self.out = {}  # names of those that are out by hand -> since when
+        self.back = {}  # of those put back -> (since when they were out, until when)
         self.following, self.asked, self.failures = False, None, 0
 
     def begin(self, now):
@@ -367,7 +493,9 @@
             # Every proxy meets the failure at once; asking again together would keep the list
             # service down, so the wait doubles and is spread.
             self.following, self.asked, self.failures = False, None, self.failures + 1
-            wait = min(LIST_LONGEST, max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5))
+            wait = min(
+                LIST_LONGEST, max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5)
+            )
             self.actions.alarm("follow", now + wait * self.uniform(0.5, 1.0))
             return [], []
         if kind in (ListKind.CHANGES, ListKind.FULL) and self.asked is not None:
@@ -379,10 +507,18 @@
             if phase is Phase.READY and server.name in self.out:
                 phase = Phase.DRAINING
             since, until = self.back.get(server.name, (-math.inf, None))
-            if started is None and until is not None or started is not None and started < since:
-                started = until         # that it was restarted meanwhile may not be told yet
-            restarted = started is not None and (server in self.servers if server.started is None
-                                                 else started > server.started)
+            if (
+                started is None
+                and until is not None
+                or started is not None
+                and started < since
+            ):
+                started = until  # that it was restarted meanwhile may not be told yet
+            restarted = started is not None and (
+                server in self.servers
+                if server.started is None
+                else started > server.started
+            )
             # Only a registered size is the same at every proxy; a live weight would tear tables apart.
             server.weight = weight if self.sized and weight and weight > 0 else 1.0
             server.started = started
@@ -390,7 +526,12 @@
                 if server not in self.servers or restarted:
                     joined[server] = None
                     # A new process knows nothing of what the old one was judged by.
-                    for known in (server.samples, server.took, server.results, server.dialled):
+                    for known in (
+                        server.samples,
+                        server.took,
+                        server.results,
+                        server.dialled,
+                    ):
                         known.clear()
                     server.silent, server.probed, server.doubt = 0, None, 1.0
                 server.phase = Phase.READY
@@ -406,8 +547,11 @@
         return [server for server in joined if server in self.servers], list(left)
 
     def keep_ready(self):
-        self.servers = {server: None for server in sorted(self.servers, key=lambda server: server.name)
-                        if server.phase is Phase.READY}
+        self.servers = {
+            server: None
+            for server in sorted(self.servers, key=lambda server: server.name)
+            if server.phase is Phase.READY
+        }
 
     def miss(self, now, server, phase, left):
         """Where only draining binds, a list without a server is one witness: it leaves when it also gives no
@@ -427,7 +571,11 @@
         """Rule 3. A draining server still carries on what it holds, but only within the grace."""
         if server.phase is Phase.READY:
             return True
-        return mid_flow and server.phase is Phase.DRAINING and now < server.told + self.drain_grace / 2
+        return (
+            mid_flow
+            and server.phase is Phase.DRAINING
+            and now < server.told + self.drain_grace / 2
+        )
 
 
 class Probes:
@@ -453,9 +601,19 @@
         """Those near full first, then those not asked for longest."""
         if not self.allowed or self.earned < 1.0:
             return []
-        near = {server: None for server, figure in figures.items() if figure > self.near_full}
-        due = [server for server in servers if server.probed is None and now - server.asked >= self.every]
-        return sorted(due, key=lambda server: (server not in near, server.asked))[:int(self.earned)]
+        near = {
+            server: None
+            for server, figure in figures.items()
+            if figure > self.near_full
+        }
+        due = [
+            server
+            for server in servers
+            if server.probed is None and now - server.asked >= self.every
+        ]
+        return sorted(due, key=lambda server: (server not in near, server.asked))[
+            : int(self.earned)
+        ]
 
 
 class Ways:
@@ -467,7 +625,7 @@
 
     def __init__(self, fresh):
         self.fresh = fresh
-        self.zones = {}     # zone -> the last few (when, ms) of its servers
+        self.zones = {}  # zone -> the last few (when, ms) of its servers
 
     def took(self, now, server, ms):
         server.took.append((now, ms))
@@ -498,7 +656,11 @@
         no other one: all sessions of a server that dies are reset at once, and are one server's trouble."""
         server.results.append((now, False))
         if (accepted, server, True) in self.dials:
-            self.dials[self.dials.index((accepted, server, True))] = accepted, server, False
+            self.dials[self.dials.index((accepted, server, True))] = (
+                accepted,
+                server,
+                False,
+            )
 
     def silent(self, server):
         return server.silent >= 2
@@ -506,7 +668,9 @@
     def failing(self, now, server):
         """No fixed time stands for its return: one session at a time tries it, and until that one has stood
         a while nothing else goes there; each failure among the last few doubles the wait for the next try."""
-        recent = [(when, well) for when, well in server.results if when > now - self.memory]
+        recent = [
+            (when, well) for when, well in server.results if when > now - self.memory
+        ]
         bad = [when for when, well in recent if not well]
         if len(bad) < 2 or 3 * len(bad) < len(recent):
             return False
@@ -515,7 +679,9 @@
             return now - tries[0] < self.stood
         trial = server.dialled and bad[-1] < server.dialled[-1] > now - self.pause * 2
         # What breaks together failed once.
-        failed = 1 + sum(later - earlier > self.pause for earlier, later in zip(bad, bad[1:]))
+        failed = 1 + sum(
+            later - earlier > self.pause for earlier, later in zip(bad, bad[1:])
+        )
         return trial or now - bad[-1] < self.pause * 2 ** (failed + 1)
 
     def shared_trouble(self, now):
@@ -544,11 +710,18 @@
 
     GOLDEN = (math.sqrt(5) - 1) / 2
 
-    def __init__(self, levels, start_share, cold_for, multiple, window, number, proxies):
+    def __init__(
+        self, levels, start_share, cold_for, multiple, window, number, proxies
+    ):
         self.levels, self.start_share, self.cold_for = levels, start_share, cold_for
-        self.multiple, self.window, self.number, self.proxies = multiple, max(1.0, window), number, proxies
-        self.since = math.inf   # this process began; the one before it may have dialled
-        self.rights = None      # where proxies know each other: (server, dials for each borne) -> own dials
+        self.multiple, self.window, self.number, self.proxies = (
+            multiple,
+            max(1.0, window),
+            number,
+            proxies,
+        )
+        self.since = math.inf  # this process began; the one before it may have dialled
+        self.rights = None  # where proxies know each other: (server, dials for each borne) -> own dials
 
     def cold(self, now, server):
         return server.started is not None and now < server.started + self.cold_for
@@ -556,22 +729,37 @@
     def turn(self, now, server):
         """Between 0 and 1, anew each window, which no two proxies begin together. Multiples of the golden
         ratio fill the circle evenly (Steinhaus's three gaps): below a part lies that part of the proxies."""
-        window = max(0.0, now - server.started) / self.window + self.number / self.proxies
-        return ((self.number + int(window)) * self.GOLDEN + server.draws[0] / 2 ** 16) % 1.0
+        window = (
+            max(0.0, now - server.started) / self.window + self.number / self.proxies
+        )
+        return (
+            (self.number + int(window)) * self.GOLDEN + server.draws[0] / 2**16
+        ) % 1.0
 
     def allows(self, now, server):
         if not self.cold(now, server):
             return True
-        ready = self.start_share + (1 - self.start_share) * max(0.0, now - server.started) / self.cold_for
+        ready = (
+            self.start_share
+            + (1 - self.start_share) * max(0.0, now - server.started) / self.cold_for
+        )
         # A server fills over its warm-up at the fastest; a quarter is left for repeats, probes, handshakes.
         unit = 0.75 * ready * self.multiple * self.window / self.cold_for
-        part = unit * self.levels.borne if self.rights is None else self.rights(server.name, unit)
-        server.cold_dials[:] = [when for when in server.cold_dials if when > now - self.window]
+        part = (
+            unit * self.levels.borne
+            if self.rights is None
+            else self.rights(server.name, unit)
+        )
+        server.cold_dials[:] = [
+            when for when in server.cold_dials if when > now - self.window
+        ]
         whole, rest = divmod(part, 1.0)
         # Two turns that follow one another fall into one window of the server's: each has half of the part. But
         # for so few proxies that one dial more of each is within what chance has beyond what is allowed.
         allowed = part * self.proxies / 0.75
-        few = self.proxies * (1.0 - rest) <= 0.75 * (allowed / 4 + 2 * math.sqrt(allowed) + 2)
+        few = self.proxies * (1.0 - rest) <= 0.75 * (
+            allowed / 4 + 2 * math.sqrt(allowed) + 2
+        )
         most = whole + (self.turn(now, server) < (rest if few else rest / 2))
         return len(server.cold_dials) < most and now >= self.since + self.window
 
@@ -590,7 +778,9 @@
     def __init__(self, free, share, span):
         self.free, self.share, self.span = free, share, span
         # Of the last span: when sessions came; (when, utility of the session) of further dials; of wanted.
-        self.taken, self.spent, self.asked = (deque(maxlen=None if span else 0) for _ in range(3))
+        self.taken, self.spent, self.asked = (
+            deque(maxlen=None if span else 0) for _ in range(3)
+        )
         self.withheld = 0
 
     def wanted(self, now, sess):
@@ -614,8 +804,16 @@
             return True
         self.forget(now)
         utility = sess.listener.utility
-        dearer = [sum(other > utility for _, other in kept) for kept in (self.asked, self.spent)]
-        room = self.free + self.share * len(self.taken) - len(self.spent) - max(0, dearer[0] - dearer[1])
+        dearer = [
+            sum(other > utility for _, other in kept)
+            for kept in (self.asked, self.spent)
+        ]
+        room = (
+            self.free
+            + self.share * len(self.taken)
+            - len(self.spent)
+            - max(0, dearer[0] - dearer[1])
+        )
         self.withheld += room < 1.0
         return room >= 1.0
 
@@ -645,11 +843,30 @@
     and growing as they succeed. Clients that return together would otherwise keep swamped what all set-ups
     depend on. One each is still too many of hundreds of proxies: below one, the next waits ever longer."""
 
-    def __init__(self, actions, uniform, health, longest_wait, most_set_ups, least_set_ups, pause, cut_wait,
-                 hold):
+    def __init__(
+        self,
+        actions,
+        uniform,
+        health,
+        longest_wait,
+        most_set_ups,
+        least_set_ups,
+        pause,
+        cut_wait,
+        hold,
+    ):
         self.actions, self.uniform, self.health = actions, uniform, health
-        self.most_set_ups, self.least_set_ups, self.window = most_set_ups, least_set_ups, float(most_set_ups)
-        self.pause, self.cut_wait, self.hold, self.longest_wait = pause, cut_wait, hold, longest_wait
+        self.most_set_ups, self.least_set_ups, self.window = (
+            most_set_ups,
+            least_set_ups,
+            float(most_set_ups),
+        )
+        self.pause, self.cut_wait, self.hold, self.longest_wait = (
+            pause,
+            cut_wait,
+            hold,
+            longest_wait,
+        )
         self.cut_at = self.next_at = -math.inf
         self.under_way = {}
 
@@ -668,11 +885,15 @@
     def accepted(self, now, sess):
         self.under_way.pop(sess, None)
         if now >= self.cut_at + self.hold:
-            self.window = min(self.most_set_ups, self.window + min(self.window, 1 / self.window))
+            self.window = min(
+                self.most_set_ups, self.window + min(self.window, 1 / self.window)
+            )
 
     def failed(self, now):
         if self.health.shared_trouble(now) and now >= self.cut_at + self.cut_wait:
-            self.window = max(self.least_set_ups, min(self.window, max(1, len(self.under_way))) / 2)
+            self.window = max(
+                self.least_set_ups, min(self.window, max(1, len(self.under_way))) / 2
+            )
             self.cut_at = now
             self.space(now)
             self.actions.log(f"store: at most {self.window:.2g} set-ups at once")
@@ -692,14 +913,42 @@
 class Placement(Stage):
     """Names the server: the table's for the first dial, those of the slots after it for further ones."""
 
-    def __init__(self, actions, table, levels, roster, health, ways, cold, budget, probes, most_dials,
-                 most_asked, recent):
-        self.ways, self.actions, self.budget, self.probes = ways, actions, budget, probes
-        self.waiting = {}       # server -> sessions that wait for its answer
-        self.patience = {}      # number of the wait -> (session, server)
+    def __init__(
+        self,
+        actions,
+        table,
+        levels,
+        roster,
+        health,
+        ways,
+        cold,
+        budget,
+        probes,
+        most_dials,
+        most_asked,
+        recent,
+    ):
+        self.ways, self.actions, self.budget, self.probes = (
+            ways,
+            actions,
+            budget,
+            probes,
+        )
+        self.waiting = {}  # server -> sessions that wait for its answer
+        self.patience = {}  # number of the wait -> (session, server)
         self.waits = 0
-        self.levels, self.table, self.roster, self.health = levels, table, roster, health
-        self.cold, self.most_dials, self.most_asked, self.recent = cold, most_dials, most_asked, recent
+        self.levels, self.table, self.roster, self.health = (
+            levels,
+            table,
+            roster,
+            health,
+        )
+        self.cold, self.most_dials, self.most_asked, self.recent = (
+            cold,
+            most_dials,
+            most_asked,
+            recent,
+        )
 
     def enter(self, now, sess):
         sess.slot = self.table.slot(sess)
@@ -707,8 +956,11 @@
             # The server keeps such a connection for a short time only: asked at once, ill or not. Only
             # a cold one keeps its budget: where the guess is wrong the connection is set up anew there.
             server = self.table.find(sess.key, sess.slot)
-            if server is not None and self.roster.may_dial(now, server, True) \
-                    and self.cold.allows(now, server):
+            if (
+                server is not None
+                and self.roster.may_dial(now, server, True)
+                and self.cold.allows(now, server)
+            ):
                 return self.dial(now, sess, server)
         sess.choices = self.choices(now, sess)
         self.go(now, sess)
@@ -758,13 +1010,20 @@
         Among hundreds of proxies each sees too few sessions to pay for following every server's load,
         so what the others sent meanwhile would be met blindly; a server that went silent shows as well.
         Not with little time left, and only a few a session: with none left, unknown ones are dialled."""
-        if sess.asked >= self.most_asked or not self.probes.allowed or not self.levels.of_capacity:
+        if (
+            sess.asked >= self.most_asked
+            or not self.probes.allowed
+            or not self.levels.of_capacity
+        ):
             return False
         age = self.levels.age(now, server)
         # One that was full a moment ago is hardly empty now: who came again found the same ones full.
-        return (age > self.recent and not self.levels.late_now(now, server)
-                and (age > 4 * self.recent or self.has_room(now, sess, server))
-                and sess.deadline - now > sess.listener.dial_timeout / 2)
+        return (
+            age > self.recent
+            and not self.levels.late_now(now, server)
+            and (age > 4 * self.recent or self.has_room(now, sess, server))
+            and sess.deadline - now > sess.listener.dial_timeout / 2
+        )
 
     def ask(self, now, sess, server):
         sess.asked += 1
@@ -792,29 +1051,48 @@
         self.go(now, sess, server if well else None)
 
     def usable(self, now, sess, server):
-        return (self.roster.may_dial(now, server, False) and may_redial(now, sess, server)
-                and self.cold.allows(now, server))
+        return (
+            self.roster.may_dial(now, server, False)
+            and may_redial(now, sess, server)
+            and self.cold.allows(now, server)
+        )
 
     def has_room(self, now, sess, server):
         # One that holds the group takes its member for far less than one that does not. What is not held
         # through this proxy is likely held through others, where its slot leads.
         holders = self.table.holders.get(sess.group, ())
-        part = 1.0 if sess.group is None or server in holders else max(0.45, 0.85 - 0.07 * (sess.place - 1))
+        part = (
+            1.0
+            if sess.group is None or server in holders
+            else max(0.45, 0.85 - 0.07 * (sess.place - 1))
+        )
         # Of whom nothing is told after others were full, the same is to be expected: dialled unseen they took
         # what no other had room for, and each new holder of a group added its cost to a full fleet.
-        known = (server is sess.home or not self.probes.allowed or not self.levels.of_capacity
-                 or self.levels.figure(now, server) is not None)
-        return (known and self.levels.expected(now, server) < self.levels.full * part
-                and not self.levels.late_now(now, server))
+        known = (
+            server is sess.home
+            or not self.probes.allowed
+            or not self.levels.of_capacity
+            or self.levels.figure(now, server) is not None
+        )
+        return (
+            known
+            and self.levels.expected(now, server) < self.levels.full * part
+            and not self.levels.late_now(now, server)
+        )
 
     def dial(self, now, sess, server):
         sess.server = server
         self.next.enter(now, sess)
 
     def back(self, now, sess, outcome):
-        sensible = outcome is Outcome.CONNECT_FAILED or not self.health.shared_trouble(now)
-        possible = (len(sess.dials) < self.most_dials and sess.deadline > now
-                    and outcome not in (None, Outcome.CANCELLED))
+        sensible = outcome is Outcome.CONNECT_FAILED or not self.health.shared_trouble(
+            now
+        )
+        possible = (
+            len(sess.dials) < self.most_dials
+            and sess.deadline > now
+            and outcome not in (None, Outcome.CANCELLED)
+        )
         if sensible and possible and self.budget.wanted(now, sess):
             sess.choices = sess.choices or self.choices(now, sess)
             self.go(now, sess)
@@ -826,7 +1104,12 @@
     """Sends one dial at a time, and judges how it ended."""
 
     def __init__(self, actions, table, levels, health, cold, budget, alive):
-        self.levels, self.budget, self.alive, self.actions = levels, budget, alive, actions
+        self.levels, self.budget, self.alive, self.actions = (
+            levels,
+            budget,
+            alive,
+            actions,
+        )
         self.table, self.health, self.cold = table, health, cold
 
     def enter(self, now, sess):
@@ -840,7 +1123,9 @@
         # store must not be asked twice: most of the time goes to the first dial, not all of it.
         # One that has just answered a probe is not silent.
         alive = self.levels.age(now, sess.server) < self.alive
-        self.actions.dial(sess, sess.server, left if alive or len(sess.dials) > 1 else left * 0.6)
+        self.actions.dial(
+            sess, sess.server, left if alive or len(sess.dials) > 1 else left * 0.6
+        )
 
     def accepted(self, now, sess):
         self.before.accepted(now, sess)
@@ -868,15 +1153,21 @@
     listener, scope = sess.listener, sess.listener.scope
     if listener.repeat is not Repeat.REFERENCED:
         return listener.repeat is Repeat.REPEATABLE or not ran(sess)
-    return all(now < dial.sent + listener.window
-               and (scope == "all" or getattr(server, scope) == getattr(dial.server, scope))
-               for dial in ran(sess))
+    return all(
+        now < dial.sent + listener.window
+        and (scope == "all" or getattr(server, scope) == getattr(dial.server, scope))
+        for dial in ran(sess)
+    )
 
 
 def may_refuse(sess):
     listener = sess.listener
-    return (listener.repeat is Repeat.REPEATABLE or not ran(sess)
-            or listener.repeat is Repeat.REFERENCED and listener.scope == "all")
+    return (
+        listener.repeat is Repeat.REPEATABLE
+        or not ran(sess)
+        or listener.repeat is Repeat.REFERENCED
+        and listener.scope == "all"
+    )
 
 
 class Balancer:
@@ -889,46 +1180,143 @@
     SILENCE = 1500.0
     QUIET = 500.0
 
-    def __init__(self, actions, rng, *, zone, proxies, report_names, may_probe, must_ask, ask_every,
-                 drain_grace, sized, start_share, cold_for, cold_multiple, cold_window, most_dials,
-                 longest_wait, crossing_price, move_price, passes_through, budget=None, gone_binds=True,
-                 nines=0.0, tells_late=False, number=None, slots=4096):
+    def __init__(
+        self,
+        actions,
+        rng,
+        *,
+        zone,
+        proxies,
+        report_names,
+        may_probe,
+        must_ask,
+        ask_every,
+        drain_grace,
+        sized,
+        start_share,
+        cold_for,
+        cold_multiple,
+        cold_window,
+        most_dials,
+        longest_wait,
+        crossing_price,
+        move_price,
+        passes_through,
+        budget=None,
+        gone_binds=True,
+        nines=0.0,
+        tells_late=False,
+        number=None,
+        slots=4096,
+    ):
         self.actions, self.passes_through = actions, passes_through
         self.uniform = rng.uniform
-        self.table = SlotTable(rng.choice, size=slots, least=4, moved_share=0.2, hard_time_out=10_000.0,
-                               keys_kept=4096, keys_age=60_000.0,
-                               zone=zone, near=self.nearness(crossing_price, move_price), reach=32)
-        self.levels = LoadLevels(report_names, proxies, fresh=5 * self.TICK, together=self.TICK, floor=5.0,
-                                 late=0.5 * self.TICK, full=0.8 - 0.3 * nines, late_for=1.5 * self.TICK,
-                                 tells_late=tells_late)
+        self.table = SlotTable(
+            rng.choice,
+            size=slots,
+            least=4,
+            moved_share=0.2,
+            hard_time_out=10_000.0,
+            keys_kept=4096,
+            keys_age=60_000.0,
+            zone=zone,
+            near=self.nearness(crossing_price, move_price),
+            reach=32,
+        )
+        self.levels = LoadLevels(
+            report_names,
+            proxies,
+            fresh=5 * self.TICK,
+            together=self.TICK,
+            floor=5.0,
+            late=0.5 * self.TICK,
+            full=0.8 - 0.3 * nines,
+            late_for=1.5 * self.TICK,
+            tells_late=tells_late,
+        )
         self.longest_spread = min(ask_every / 2, LIST_LONGEST)
-        self.roster = Roster(actions, must_ask, min(self.longest_spread, proxies * LIST_CALL),
-                             drain_grace, sized, rng.uniform, gone_binds)
-        self.health = Health(pause=250.0, stood=0.4 * self.EARLY, memory=self.CONNECTION_LIFE,
-                             shared_memory=5000.0)
+        self.roster = Roster(
+            actions,
+            must_ask,
+            min(self.longest_spread, proxies * LIST_CALL),
+            drain_grace,
+            sized,
+            rng.uniform,
+            gone_binds,
+        )
+        self.health = Health(
+            pause=250.0,
+            stood=0.4 * self.EARLY,
+            memory=self.CONNECTION_LIFE,
+            shared_memory=5000.0,
+        )
         self.ways = Ways(fresh=5 * self.TICK)
-        self.cold = ColdBudget(self.levels, start_share, cold_for, cold_multiple, cold_window,
-                               rng.uniform(0.0, proxies) if number is None else number, proxies)
+        self.cold = ColdBudget(
+            self.levels,
+            start_share,
+            cold_for,
+            cold_multiple,
+            cold_window,
+            rng.uniform(0.0, proxies) if number is None else number,
+            proxies,
+        )
         self.budget = DialBudget(*(budget or (0.0, 0.0, 0.0)))
-        admission = Admission(actions, rng.uniform, self.health, longest_wait, most_set_ups=256,
-                              least_set_ups=1 / 32, pause=250.0, cut_wait=500.0, hold=self.EARLY)
-        self.probes = Probes(actions, may_probe, a_session=3.0, every=0.9 * self.TICK,
-                             near_full=self.levels.full / 2)
-        self.placement = Placement(actions, self.table, self.levels, self.roster, self.health, self.ways,
-                                   self.cold, self.budget, self.probes, most_dials, most_asked=4,
-                                   recent=0.4 * self.TICK)
-        self.dialling = Dialling(actions, self.table, self.levels, self.health, self.cold, self.budget,
-                                 alive=self.TICK)
+        admission = Admission(
+            actions,
+            rng.uniform,
+            self.health,
+            longest_wait,
+            most_set_ups=256,
+            least_set_ups=1 / 32,
+            pause=250.0,
+            cut_wait=500.0,
+            hold=self.EARLY,
+        )
+        self.probes = Probes(
+            actions,
+            may_probe,
+            a_session=3.0,
+            every=0.9 * self.TICK,
+            near_full=self.levels.full / 2,
+        )
+        self.placement = Placement(
+            actions,
+            self.table,
+            self.levels,
+            self.roster,
+            self.health,
+            self.ways,
+            self.cold,
+            self.budget,
+            self.probes,
+            most_dials,
+            most_asked=4,
+            recent=0.4 * self.TICK,
+        )
+        self.dialling = Dialling(
+            actions,
+            self.table,
+            self.levels,
+            self.health,
+            self.cold,
+            self.budget,
+            alive=self.TICK,
+        )
         self.next_probes = deque()
         self.first = admission
-        for earlier, later in ((admission, self.placement), (self.placement, self.dialling)):
+        for earlier, later in (
+            (admission, self.placement),
+            (self.placement, self.dialling),
+        ):
             earlier.next, later.before = later, earlier
 
     @staticmethod
     def nearness(crossing_price, move_price):
         """How much more an own-zone server weighs. Tables that differ by zone cost resets when a
         connection's packets come to another zone, so it must pay well against moving clients."""
-        return min(8.0, max(1.0, crossing_price / (2 * move_price))) if move_price else 1.0
+        return (
+            min(8.0, max(1.0, crossing_price / (2 * move_price))) if move_price else 1.0
+        )
 
     def on_start(self, now):
         self.roster.begin(now)
@@ -944,7 +1332,9 @@
             server.asked = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
         for what, servers in (("joined", joined), ("left", left)):
             if servers:
-                self.actions.log(f"list: {len(servers)} {what}, {len(self.roster.servers)} ready")
+                self.actions.log(
+                    f"list: {len(servers)} {what}, {len(self.roster.servers)} ready"
+                )
 
     def on_hand(self, now, name, out, server):
         """A server is left out by hand, or put back, also if it is not listed now (`server` None). It drains
@@ -955,7 +1345,11 @@
         elif name in held:
             self.roster.back[name] = held.pop(name), now
         if server is not None and (server.phase is Phase.READY) is out:
-            self.on_list(now, ListKind.BY_HAND, [(server, server.listed, server.weight, server.started)])
+            self.on_list(
+                now,
+                ListKind.BY_HAND,
+                [(server, server.listed, server.weight, server.started)],
+            )
 
     def on_fleet(self, now, share):
         """This proxy's part of what all may do together, as far as it knows who is there."""
@@ -968,8 +1362,10 @@
         for server in failing:
             if not self.health.ill(now, server):
                 server.results.extend([(now, False)] * 2)
-        self.health.dials = deque((dial for dial in self.health.dials if dial[1] not in here),
-                                  maxlen=self.health.dials.maxlen)
+        self.health.dials = deque(
+            (dial for dial in self.health.dials if dial[1] not in here),
+            maxlen=self.health.dials.maxlen,
+        )
 
     def on_session(self, now, sess):
         # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
@@ -1022,10 +1418,18 @@
     def on_notice(self, now, sess, load=None, message_ms=None):
         if load is not None:
             sess.load = load
-        if message_ms is not None and message_ms > sess.listener.message_target and sess.server:
+        if (
+            message_ms is not None
+            and message_ms > sess.listener.message_target
+            and sess.server
+        ):
             # Where the way alone takes so long the server is not to blame.
             far = self.ways.slow(now, sess.server, sess.listener.message_target)
-            self.levels.told_late(now, sess.server, 0.0 if far else message_ms / sess.listener.message_target)
+            self.levels.told_late(
+                now,
+                sess.server,
+                0.0 if far else message_ms / sess.listener.message_target,
+            )
 
     def on_probed(self, now, server, outcome, report):
         sent, server.probed = server.probed, None
@@ -1038,7 +1442,9 @@
             # One that has too many probes to answer is not a silent one.
             server.silent += 1
             self.second_witness(now, server)
-        self.placement.answered(now, server, outcome in (Outcome.COMPLETED, Outcome.FULL))
+        self.placement.answered(
+            now, server, outcome in (Outcome.COMPLETED, Outcome.FULL)
+        )
 
     def second_witness(self, now, server):
         if server.doubted:
@@ -1059,7 +1465,9 @@
             self.actions.move(sess)
         elif now - server.heard >= self.QUIET and server.unheard not in (None, sess):
             server.silent = 2 if self.probes.allowed else 0
-            self.actions.log(f"move: {len(server.sessions)} connections off a server that says nothing")
+            self.actions.log(
+                f"move: {len(server.sessions)} connections off a server that says nothing"
+            )
             self.send_away(list(server.sessions), 1)
         server.unheard = sess
 
@@ -1070,12 +1478,15 @@
         """Asked again and again until the end, so that those accepted meanwhile are sent away as well. Where
         packets pass through, connections go on without this proxy."""
         if not self.passes_through:
-            self.send_away([sess for held in self.table.sessions for sess in held], 1 if last else 4)
+            self.send_away(
+                [sess for held in self.table.sessions for sess in held],
+                1 if last else 4,
+            )
 
     def send_away(self, sessions, parts):
         """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
         are set up anew, and at once they would swamp what set-ups depend on."""
-        for sess in sessions[:math.ceil(len(sessions) / parts)]:
+        for sess in sessions[: math.ceil(len(sessions) / parts)]:
             self.actions.move(sess)
 
     def on_alarm(self, now, name):
@@ -1094,20 +1505,37 @@
     def tick(self, now):
         self.table.close(now)
         self.levels.believe(now, self.roster.servers)
-        warm = [server for server in self.roster.servers if not self.cold.cold(now, server)]
+        warm = [
+            server for server in self.roster.servers if not self.cold.cold(now, server)
+        ]
         self.levels.learn(now, warm)
         levels = self.levels.levels(now, self.roster.servers)
-        shifted = self.table.halve(now, levels, self.CONNECTION_LIFE,
-                                   lambda server: not self.health.ill(now, server)
-                                   and not self.cold.cold(now, server))
+        shifted = self.table.halve(
+            now,
+            levels,
+            self.CONNECTION_LIFE,
+            lambda server: (
+                not self.health.ill(now, server) and not self.cold.cold(now, server)
+            ),
+        )
         if shifted:
-            self.actions.log(f"shift: {shifted[1]} slots off a server on level {levels[shifted[0]]}")
+            self.actions.log(
+                f"shift: {shifted[1]} slots off a server on level {levels[shifted[0]]}"
+            )
         self.relieve(now)
-        self.table.serving = {server: None for server in self.table.serving if server.sessions}
-        for server in [server for server in self.table.serving if server.phase is Phase.DRAINING]:
+        self.table.serving = {
+            server: None for server in self.table.serving if server.sessions
+        }
+        for server in [
+            server for server in self.table.serving if server.phase is Phase.DRAINING
+        ]:
             # In three ticks: servers were seen to end 3.2 s after this proxy was told.
-            self.send_away(list(server.sessions), max(1, 3 - int((now - server.told) / self.TICK)))
-        due = self.probes.due(now, self.roster.servers, self.levels.figures(now, self.roster.servers))
+            self.send_away(
+                list(server.sessions), max(1, 3 - int((now - server.told) / self.TICK))
+            )
+        due = self.probes.due(
+            now, self.roster.servers, self.levels.figures(now, self.roster.servers)
+        )
         self.next_probes = deque(due)
         for place in range(len(due)):
             self.actions.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
@@ -1119,10 +1547,17 @@
         who must wait outside cost less. Whole slots go, so that a group is not spread; half the excess
         at a time, since reports lag behind the moves, but all of it past full capacity."""
         full = self.levels.full
-        loads = {server: load for server, load in self.levels.figures(now, self.roster.servers).items()
-                 if self.levels.of_capacity and not self.health.silent(server)}
+        loads = {
+            server: load
+            for server, load in self.levels.figures(now, self.roster.servers).items()
+            if self.levels.of_capacity and not self.health.silent(server)
+        }
         room = sum(full - load for load in loads.values()) > 0
-        late = [server for server in self.roster.servers if self.levels.late_now(now, server)]
+        late = [
+            server
+            for server in self.roster.servers
+            if self.levels.late_now(now, server)
+        ]
         for server in dict.fromkeys(chain(loads, late)):
             load = loads.get(server, 1.0)
             if load < (self.MOVE_FROM if room else 1.0) or now < server.move_after:
@@ -1131,9 +1566,16 @@
             # By chance in proportion: rounded up by hundreds of proxies that hold one each, all would go.
             share = excess if load >= 1.0 else excess / 2
             count = int(len(server.sessions) * share + self.uniform(0.0, 1.0))
-            for sess in sorted(server.sessions, key=lambda sess: (self.table.home[sess.slot] is server,
-                                                                  -self.table.lowest[sess.slot]))[:count]:
+            for sess in sorted(
+                server.sessions,
+                key=lambda sess: (
+                    self.table.home[sess.slot] is server,
+                    -self.table.lowest[sess.slot],
+                ),
+            )[:count]:
                 self.actions.move(sess)
             if count:
                 server.move_after = now + 2 * self.TICK
-                self.actions.log(f"move: {count} connections off a server at {load:.1f} of its capacity")
+                self.actions.log(
+                    f"move: {count} connections off a server at {load:.1f} of its capacity"
+                )
--- a/wheathill/store/cells.py
+++ b/wheathill/store/cells.py
@@ -19,7 +19,13 @@
     __slots__ = ("time", "replica", "number", "value", "over")
 
     def __init__(self, time, replica, number, value, over):
-        self.time, self.replica, self.number, self.value, self.over = time, replica, number, value, over
+        self.time, self.replica, self.number, self.value, self.over = (
+            time,
+            replica,
+            number,
+            value,
+            over,
+        )
 
     @property
     def alive(self):
@@ -35,12 +41,20 @@
         return [self.time, self.replica, self.number, self.value]
 
     def merge(self, other):
-        if (self.time, self.replica, self.number) < (other.time, other.replica, other.number):
+        if (self.time, self.replica, self.number) < (
+            other.time,
+            other.replica,
+            other.number,
+        ):
             return other.merge(self)
         over = most(self.over, other.over)
         if (self.replica, self.number) != (other.replica, other.number):
             over = most(over, {other.replica: other.number})
-        return self if over == self.over else Value(self.time, self.replica, self.number, self.value, over)
+        return (
+            self
+            if over == self.over
+            else Value(self.time, self.replica, self.number, self.value, over)
+        )
 
     def words(self):
         return [self.time, self.replica, self.number, self.value, self.over]
@@ -48,8 +62,16 @@
     @staticmethod
     def read(words):
         time, replica, number, value, over = words
-        check(isinstance(time, int) and isinstance(replica, str) and isinstance(number, int) and number > 0)
-        check(isinstance(over, dict) and all(isinstance(each, int) for each in over.values()))
+        check(
+            isinstance(time, int)
+            and isinstance(replica, str)
+            and isinstance(number, int)
+            and number > 0
+        )
+        check(
+            isinstance(over, dict)
+            and all(isinstance(each, int) for each in over.values())
+        )
         return Value(time, replica, number, value, over)
 
 
@@ -61,11 +83,19 @@
     __slots__ = ("time", "adds", "removals", "changes")
 
     def __init__(self, time, adds, removals, changes):
-        self.time, self.adds, self.removals, self.changes = time, adds, removals, changes
+        self.time, self.adds, self.removals, self.changes = (
+            time,
+            adds,
+            removals,
+            changes,
+        )
 
     @property
     def alive(self):
-        return any(number > self.removals.get(replica, 0) for replica, number in self.adds.items())
+        return any(
+            number > self.removals.get(replica, 0)
+            for replica, number in self.adds.items()
+        )
 
     @property
     def value(self):
@@ -73,8 +103,11 @@
 
     def live(self):
         """The adds by which it is in."""
-        return sorted([replica, number] for replica, number in self.adds.items()
-                      if number > self.removals.get(replica, 0))
+        return sorted(
+            [replica, number]
+            for replica, number in self.adds.items()
+            if number > self.removals.get(replica, 0)
+        )
 
     def dots(self):
         return tuple(self.changes.items())
@@ -82,24 +115,41 @@
     all_dots = dots
 
     def merge(self, other):
-        return Element(max(self.time, other.time), most(self.adds, other.adds),
-                       most(self.removals, other.removals), most(self.changes, other.changes))
+        return Element(
+            max(self.time, other.time),
+            most(self.adds, other.adds),
+            most(self.removals, other.removals),
+            most(self.changes, other.changes),
+        )
 
     def words(self):
-        return [self.time, *(dict(sorted(each.items())) for each in (self.adds, self.removals, self.changes))]
+        return [
+            self.time,
+            *(
+                dict(sorted(each.items()))
+                for each in (self.adds, self.removals, self.changes)
+            ),
+        ]
 
     @staticmethod
     def read(words):
         time, adds, removals, changes = words
         check(isinstance(time, int) and changes)
         for each in (adds, removals, changes):
-            check(isinstance(each, dict) and all(isinstance(number, int) for number in each.values()))
+            check(
+                isinstance(each, dict)
+                and all(isinstance(number, int) for number in each.values())
+            )
         return Element(time, adds, removals, changes)
 
 
 def read(kind, words):
     """A cell from its words; ValueError for what is none."""
-    check(kind in KINDS and isinstance(words, list) and len(words) == (4 if kind == SET else 5))
+    check(
+        kind in KINDS
+        and isinstance(words, list)
+        and len(words) == (4 if kind == SET else 5)
+    )
     return (Element if kind == SET else Value).read(words)
 
 
@@ -110,7 +160,10 @@
 
 def most(one, other):
     """The larger of each, in one order of replicas for all."""
-    return {replica: max(one.get(replica, 0), other.get(replica, 0)) for replica in sorted({**one, **other})}
+    return {
+        replica: max(one.get(replica, 0), other.get(replica, 0))
+        for replica in sorted({**one, **other})
+    }
 
 
 def covers(vector, dots):
--- a/wheathill/store/journal.py
+++ b/wheathill/store/journal.py
@@ -19,7 +19,7 @@
 from msgspec import DecodeError, msgpack
 
 HEAD = struct.Struct(">II")
-LONGEST = 64 * 2 ** 20
+LONGEST = 64 * 2**20
 
 
 class DiskFailed(Exception):
@@ -30,7 +30,11 @@
     """What the journal asks of the system; tests stand in for it."""
 
     def open(self, path, append):
-        return os.open(path, os.O_RDWR | os.O_CREAT | (os.O_APPEND if append else os.O_TRUNC), 0o600)
+        return os.open(
+            path,
+            os.O_RDWR | os.O_CREAT | (os.O_APPEND if append else os.O_TRUNC),
+            0o600,
+        )
 
     def write(self, file, data):
         return os.write(file, data)
@@ -54,10 +58,16 @@
     while place < len(data):
         words, after = one(data, place)
         if after is None:
-            again = next((start for start in range(place + 1, len(data) - HEAD.size + 1)
-                          if one(data, start)[1] is not None), None)
+            again = next(
+                (
+                    start
+                    for start in range(place + 1, len(data) - HEAD.size + 1)
+                    if one(data, start)[1] is not None
+                ),
+                None,
+            )
             if again is None:
-                break           # nothing whole follows: the end was torn off
+                break  # nothing whole follows: the end was torn off
             damage.append(place)
             place = again
             continue
@@ -93,7 +103,7 @@
         self.damage, self.torn = [], 0
         self.image, self.tail = None, []
         self.file = None
-        self.broken = None      # why nothing can be written any more
+        self.broken = None  # why nothing can be written any more
         try:
             os.makedirs(path, mode=0o700, exist_ok=True)
             self.lock()
@@ -115,23 +125,34 @@
         try:
             fcntl.flock(self.held, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            raise DiskFailed(f"{self.at('lock')}: another process has this directory open") from None
+            raise DiskFailed(
+                f"{self.at('lock')}: another process has this directory open"
+            ) from None
 
     def check_cluster(self, cluster):
         try:
             with open(self.at("cluster")) as source:
                 found = source.read().strip()
         except FileNotFoundError:
-            if any(name.startswith(("log.", "snap.")) for name in os.listdir(self.path)):
-                raise DiskFailed(f"{self.at('cluster')}: is missing beside a log") from None
+            if any(
+                name.startswith(("log.", "snap.")) for name in os.listdir(self.path)
+            ):
+                raise DiskFailed(
+                    f"{self.at('cluster')}: is missing beside a log"
+                ) from None
             self.replace("cluster", cluster.encode())
             return
         if found != cluster:
-            raise DiskFailed(f"{self.at('cluster')}: a directory of {found!r}, not of {cluster!r}")
+            raise DiskFailed(
+                f"{self.at('cluster')}: a directory of {found!r}, not of {cluster!r}"
+            )
 
     def numbers(self, kind):
-        return sorted(int(name[len(kind):]) for name in os.listdir(self.path)
-                      if name.startswith(kind) and name[len(kind):].isdecimal())
+        return sorted(
+            int(name[len(kind) :])
+            for name in os.listdir(self.path)
+            if name.startswith(kind) and name[len(kind) :].isdecimal()
+        )
 
     def read(self):
         self.number = 0
@@ -185,7 +206,7 @@
         data = b"".join(map(record, words))
         try:
             while data:
-                data = data[self.files.write(self.file, data):]
+                data = data[self.files.write(self.file, data) :]
         except OSError as wrong:
             self.fail(f"log.{self.number}", wrong)
 
@@ -210,7 +231,12 @@
         except OSError as wrong:
             # The log that is open goes on as it was.
             raise DiskFailed(f"{self.at(f'snap.{number}')}: {wrong.strerror}") from None
-        old = [f"{kind}{each}" for kind in ("snap.", "log.") for each in self.numbers(kind) if each < number]
+        old = [
+            f"{kind}{each}"
+            for kind in ("snap.", "log.")
+            for each in self.numbers(kind)
+            if each < number
+        ]
         self.number = number
         self.broken = None
         self.open_log()
@@ -222,7 +248,7 @@
         file = self.files.open(temporary, False)
         try:
             while data:
-                data = data[self.files.write(file, data):]
+                data = data[self.files.write(file, data) :]
             self.files.sync(file)
         finally:
             os.close(file)
--- a/wheathill/store/kept.py
+++ b/wheathill/store/kept.py
@@ -19,9 +19,9 @@
     def __init__(self, journal, call_soon, kept, failed, *, snapshot_after):
         self.journal = journal
         self.call_soon, self.kept, self.failed = call_soon, kept, failed
-        self.snapshot_after = snapshot_after    # records, until a snapshot is asked for
+        self.snapshot_after = snapshot_after  # records, until a snapshot is asked for
         self.waiting = queue.SimpleQueue()
-        self.count = 0              # handed over
+        self.count = 0  # handed over
         self.since = len(journal.tail)
         self.writer = threading.Thread(target=self.run, daemon=True)
         self.writer.start()
--- a/wheathill/store/replica.py
+++ b/wheathill/store/replica.py
@@ -21,37 +21,57 @@
 
 from msgspec import msgpack
 
-from wheathill.store.cells import COUNTER, KINDS, LEASE, REGISTER, SET, Element, Value, covers, most, read
-
-CHUNK = 200             # cells a message
-LEASE_MARGIN = 0.1      # a share of a lease's term that its holder gives up early, and others wait longer
+from wheathill.store.cells import (
+    COUNTER,
+    KINDS,
+    LEASE,
+    REGISTER,
+    SET,
+    Element,
+    Value,
+    covers,
+    most,
+    read,
+)
+
+CHUNK = 200  # cells a message
+LEASE_MARGIN = 0.1  # a share of a lease's term that its holder gives up early, and others wait longer
 
 
 class Replica:
     """`name` is the instance's, `birth` text that no other start has. `write(key, cell)` is told of every
     change that is to be made durable. Times are this instance's own monotonic ms, and never leave it."""
 
-    def __init__(self, name, birth, write, *, most_cells, most_bytes, worth=(REGISTER, LEASE, SET, COUNTER)):
+    def __init__(
+        self,
+        name,
+        birth,
+        write,
+        *,
+        most_cells,
+        most_bytes,
+        worth=(REGISTER, LEASE, SET, COUNTER),
+    ):
         self.name = name
         self.id = f"{name}/{birth}"
         self.write = write
         self.most_cells, self.most_bytes = most_cells, most_bytes
-        self.worth = worth                  # kinds, the worthiest first
-        self.cells = {}                     # (kind, key, part) -> cell
-        self.sizes = {}                     # the same -> bytes, 0 for a tombstone
+        self.worth = worth  # kinds, the worthiest first
+        self.cells = {}  # (kind, key, part) -> cell
+        self.sizes = {}  # the same -> bytes, 0 for a tombstone
         self.bytes = dict.fromkeys(KINDS, 0)
         self.counts = dict.fromkeys(KINDS, 0)
-        self.seen = {}                      # replica -> number
+        self.seen = {}  # replica -> number
         self.time = 0
-        self.collected = {}                 # dots of the tombstones that were dropped, as a vector
-        self.floor = 0                      # the latest time of these
-        self.others = {}                    # member -> its vector as last told
-        self.since = {}                     # (kind, key, part) of leases -> when first seen here
-        self.tombs = {}                     # keys of tombstones, oldest first -> None
+        self.collected = {}  # dots of the tombstones that were dropped, as a vector
+        self.floor = 0  # the latest time of these
+        self.others = {}  # member -> its vector as last told
+        self.since = {}  # (kind, key, part) of leases -> when first seen here
+        self.tombs = {}  # keys of tombstones, oldest first -> None
         self.evicted = 0
-        self.fresh = {}                     # keys changed here, not yet pushed -> None
-        self.gap = False                    # and one of them was dropped since, with what it said
-        self.told = 0                       # the last number of this replica that was pushed
+        self.fresh = {}  # keys changed here, not yet pushed -> None
+        self.gap = False  # and one of them was dropped since, with what it said
+        self.told = 0  # the last number of this replica that was pushed
 
     # Reading
 
@@ -60,8 +80,11 @@
         return cell.value if cell is not None else None
 
     def parts(self, kind, key):
-        return [(part, cell) for (its, named, part), cell in self.cells.items()
-                if its == kind and named == key and cell.alive]
+        return [
+            (part, cell)
+            for (its, named, part), cell in self.cells.items()
+            if its == kind and named == key and cell.alive
+        ]
 
     def count(self, key):
         return sum(cell.value for _, cell in self.parts(COUNTER, key))
@@ -96,24 +119,41 @@
 
     def forget_counts(self, name):
         """The parts of an instance that is gone for good, or has started anew and counts from nothing."""
-        for kind, key, part in [found for found in self.cells if found[0] == COUNTER and found[2] == name]:
+        for kind, key, part in [
+            found for found in self.cells if found[0] == COUNTER and found[2] == name
+        ]:
             if self.cells[kind, key, part].alive:
                 self.delete(key, COUNTER, part)
 
     def include(self, key, element):
-        self.change_element(key, element, lambda cell, replica, number: (
-            {**cell.adds, replica: number}, cell.removals))
+        self.change_element(
+            key,
+            element,
+            lambda cell, replica, number: (
+                {**cell.adds, replica: number},
+                cell.removals,
+            ),
+        )
 
     def exclude(self, key, element):
         if (SET, key, element) in self.cells:
-            self.change_element(key, element, lambda cell, _replica, _number: (
-                cell.adds, most(cell.removals, cell.adds)))
+            self.change_element(
+                key,
+                element,
+                lambda cell, _replica, _number: (
+                    cell.adds,
+                    most(cell.removals, cell.adds),
+                ),
+            )
 
     def change_element(self, key, element, change):
         old = self.cells.get((SET, key, element)) or Element(0, {}, {}, {})
         time, replica, number = self.dot()
         adds, removals = change(old, replica, number)
-        self.put((SET, key, element), Element(time, adds, removals, {**old.changes, replica: number}))
+        self.put(
+            (SET, key, element),
+            Element(time, adds, removals, {**old.changes, replica: number}),
+        )
 
     # Leases
 
@@ -130,7 +170,7 @@
                     return False
                 number += 1
             elif not self.holds(key, now):
-                number += 1         # it had run out: others may have thought so
+                number += 1  # it had run out: others may have thought so
         self.set(key, [self.id, number, term], LEASE)
         self.since[LEASE, key, ""] = now
         return True
@@ -139,13 +179,19 @@
         """Counted from before it was written, by this process's own clock: one that slept for longer wakes
         without it, and a start anew holds nothing."""
         cell = self.cells.get((LEASE, key, ""))
-        return cell is not None and cell.alive and cell.value[0] == self.id and \
-            now < self.since[LEASE, key, ""] + cell.value[2] * (1 - LEASE_MARGIN)
+        return (
+            cell is not None
+            and cell.alive
+            and cell.value[0] == self.id
+            and now < self.since[LEASE, key, ""] + cell.value[2] * (1 - LEASE_MARGIN)
+        )
 
     def lease(self, key):
         """(owner, number) or None."""
         cell = self.cells.get((LEASE, key, ""))
-        return (cell.value[0], cell.value[1]) if cell is not None and cell.alive else None
+        return (
+            (cell.value[0], cell.value[1]) if cell is not None and cell.alive else None
+        )
 
     # Keeping
 
@@ -179,20 +225,34 @@
         self.gap |= key in self.fresh
 
     def keep_bounds(self):
-        while sum(self.bytes.values()) > self.most_bytes or sum(self.counts.values()) > self.most_cells:
+        while (
+            sum(self.bytes.values()) > self.most_bytes
+            or sum(self.counts.values()) > self.most_cells
+        ):
             if not self.evict():
                 return
 
     def evict(self):
         for kind in reversed(self.worth):
-            key = next((key for key, cell in self.cells.items() if key[0] == kind and cell.alive), None)
+            key = next(
+                (
+                    key
+                    for key, cell in self.cells.items()
+                    if key[0] == kind and cell.alive
+                ),
+                None,
+            )
             if key is not None:
                 self.evicted += 1
                 if kind == SET:
                     old = self.cells[key]
                     time, replica, number = self.dot()
-                    gone = Element(time, old.adds, most(old.removals, old.adds),
-                                   {**old.changes, replica: number})
+                    gone = Element(
+                        time,
+                        old.adds,
+                        most(old.removals, old.adds),
+                        {**old.changes, replica: number},
+                    )
                 else:
                     gone = Value(*self.dot(), None, self.over(key))
                 self.store(key, gone)
@@ -222,7 +282,7 @@
             old = self.cells.get(key)
             self.time = max(self.time, cell.time)
             if old is None and covers(self.seen, cell.dots()):
-                continue        # seen, and deleted since
+                continue  # seen, and deleted since
             if kind == SET:
                 cell = self.without_deleted(cell, old)
             new = cell if old is None else old.merge(cell)
@@ -239,9 +299,16 @@
     def without_deleted(self, cell, old):
         """Of an element: adds that were seen here and are no longer held were removed here."""
         held = old.adds if old is not None else {}
-        adds = {replica: number for replica, number in cell.adds.items()
-                if number > self.seen.get(replica, 0) or held.get(replica, 0) >= number}
-        return cell if len(adds) == len(cell.adds) else Element(cell.time, adds, cell.removals, cell.changes)
+        adds = {
+            replica: number
+            for replica, number in cell.adds.items()
+            if number > self.seen.get(replica, 0) or held.get(replica, 0) >= number
+        }
+        return (
+            cell
+            if len(adds) == len(cell.adds)
+            else Element(cell.time, adds, cell.removals, cell.changes)
+        )
 
     def pushed(self, replica, first, last, words, now):
         """Changes `first` to `last` of one replica, pushed as they were made: with none missing before them
@@ -256,9 +323,14 @@
         collected here and its latest time)."""
         self.note(member, vector)
         whole = self.behind(vector)
-        wanted = [[*key, cell.words()] for key, cell in self.cells.items()
-                  if whole or not covers(vector, cell.dots())]
-        chunks = [wanted[place:place + CHUNK] for place in range(0, len(wanted), CHUNK)] or [[]]
+        wanted = [
+            [*key, cell.words()]
+            for key, cell in self.cells.items()
+            if whole or not covers(vector, cell.dots())
+        ]
+        chunks = [
+            wanted[place : place + CHUNK] for place in range(0, len(wanted), CHUNK)
+        ] or [[]]
         return whole, chunks, dict(self.seen), dict(self.collected), self.floor
 
     def behind(self, vector):
@@ -269,7 +341,7 @@
         """All cells of an answer, and the sender's vector as it stood when it was made."""
         changed = False
         if self.behind(vector):
-            return False        # the sender needs the whole itself first
+            return False  # the sender needs the whole itself first
         if whole:
             self.collected = most(self.collected, collected)
             self.floor = max(self.floor, floor)
@@ -282,7 +354,9 @@
 
     def let_go(self, cells, vector):
         """Of what the sender has seen and no longer has: deleted there, and its tombstone dropped."""
-        held = {(kind, name, part): read(kind, state) for kind, name, part, state in cells}
+        held = {
+            (kind, name, part): read(kind, state) for kind, name, part, state in cells
+        }
         changed = False
         for key, cell in list(self.cells.items()):
             theirs = held.get(key)
@@ -293,12 +367,21 @@
                     changed = True
             elif key[0] == SET:
                 # An element may be in by a later add only: those that the sender let go of go here too.
-                adds = {replica: number for replica, number in cell.adds.items()
-                        if number > vector.get(replica, 0) or theirs.adds.get(replica, 0) >= number}
+                adds = {
+                    replica: number
+                    for replica, number in cell.adds.items()
+                    if number > vector.get(replica, 0)
+                    or theirs.adds.get(replica, 0) >= number
+                }
                 if len(adds) < len(cell.adds):
-                    changes = {replica: number for replica, number in cell.changes.items()
-                               if number > vector.get(replica, 0) or replica in theirs.changes}
-                    kept = Element(cell.time, adds, cell.removals, changes or theirs.changes)
+                    changes = {
+                        replica: number
+                        for replica, number in cell.changes.items()
+                        if number > vector.get(replica, 0) or replica in theirs.changes
+                    }
+                    kept = Element(
+                        cell.time, adds, cell.removals, changes or theirs.changes
+                    )
                     self.store(key, kept)
                     self.write(key, kept)
                     changed = True
@@ -313,7 +396,10 @@
                 self.include(key[1], key[2])
             elif key[0] != COUNTER or key[2] == self.name:
                 time, replica, number = self.dot()
-                self.put(key, Value(self.floor + 1, replica, number, cell.value, self.over(key)))
+                self.put(
+                    key,
+                    Value(self.floor + 1, replica, number, cell.value, self.over(key)),
+                )
             else:
                 # Another instance's part of a counter: that instance writes it anew itself.
                 self.drop(key)
@@ -324,13 +410,17 @@
 
     def collect(self, members):
         """Drops the tombstones that every one of `members`, those that count, has seen."""
-        vectors = [self.others.get(member, {}) for member in members if member != self.name] + [self.seen]
+        vectors = [
+            self.others.get(member, {}) for member in members if member != self.name
+        ] + [self.seen]
         for key in list(self.tombs):
             if all(covers(vector, self.cells[key].all_dots()) for vector in vectors):
                 self.collect_one(key)
 
     def collect_one(self, key):
-        self.collected = most(self.collected, most({}, dict(self.cells[key].all_dots())))
+        self.collected = most(
+            self.collected, most({}, dict(self.cells[key].all_dots()))
+        )
         self.floor = max(self.floor, self.cells[key].time)
         self.drop(key)
         self.write(key, None)
@@ -348,8 +438,13 @@
 
     def image(self):
         """All of it as words, for a snapshot."""
-        return [self.time, dict(self.seen), dict(self.collected), self.floor,
-                [[*key, cell.words()] for key, cell in self.cells.items()]]
+        return [
+            self.time,
+            dict(self.seen),
+            dict(self.collected),
+            self.floor,
+            [[*key, cell.words()] for key, cell in self.cells.items()],
+        ]
 
     def load(self, image, now):
         """From a snapshot, or one started from. What of it was pushed or not is not known: nothing is fresh.
--- a/wheathill/store/sync.py
+++ b/wheathill/store/sync.py
@@ -13,13 +13,32 @@
     """`every`: ms between two questions; `gather`: ms that fresh changes wait for others to go with them;
     `patience`: ms for all parts of an answer; `most_parts`: of answers that are put together at a time."""
 
-    def __init__(self, actions, rng, replica, members, counted, *, every, gather, patience, most_parts=4096):
+    def __init__(
+        self,
+        actions,
+        rng,
+        replica,
+        members,
+        counted,
+        *,
+        every,
+        gather,
+        patience,
+        most_parts=4096,
+    ):
         self.actions, self.replica = actions, replica
         self.uniform, self.choice = rng.uniform, rng.choice
         self.members, self.counted = members, counted
-        self.every, self.gather, self.patience, self.most_parts = every, gather, patience, most_parts
+        self.every, self.gather, self.patience, self.most_parts = (
+            every,
+            gather,
+            patience,
+            most_parts,
+        )
         self.number = 0
-        self.waiting = None         # [number, member, {place: cells}, until] of the question that is out
+        self.waiting = (
+            None  # [number, member, {place: cells}, until] of the question that is out
+        )
         self.due = False
 
     def start(self, now):
@@ -48,7 +67,9 @@
             return
         first, last, cells = self.replica.take_fresh()
         for member in self.others():
-            self.actions.send(member, [PUSH, self.replica.id, first, last, self.replica.seen, cells])
+            self.actions.send(
+                member, [PUSH, self.replica.id, first, last, self.replica.seen, cells]
+            )
 
     def ask(self, now, member=None):
         others = self.others()
@@ -70,13 +91,17 @@
             number, vector = rest
             whole, chunks, *told = self.replica.answer(member, vector)
             for place, cells in enumerate(chunks):
-                self.actions.send(member, [ANSWER, number, place, len(chunks), whole, *told, cells])
+                self.actions.send(
+                    member, [ANSWER, number, place, len(chunks), whole, *told, cells]
+                )
         elif kind == ANSWER:
             self.on_answer(now, member, *rest)
         else:
             raise ValueError(f"{kind!r} is no kind of message")
 
-    def on_answer(self, now, member, number, place, count, whole, seen, collected, floor, cells):
+    def on_answer(
+        self, now, member, number, place, count, whole, seen, collected, floor, cells
+    ):
         if self.waiting is None or self.waiting[:2] != [number, member]:
             return
         if not 0 <= place < count <= self.most_parts:
