--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,10 @@
 
 PYTHON ?= python3
 VENV := .venv-lab
+JOBS ?= 4
 READY := $(VENV)/.ready
 
-.PHONY: run test
+.PHONY: run test same same-quick
 
 run: $(READY)
 	$(VENV)/bin/python -m wheathill lab run experiments/first.toml --world sockets --report found
@@ -13,6 +14,13 @@
 test: $(READY)
 	$(VENV)/bin/python -m pytest
 
+# Whether the build behaves as the recorded one did, to the digit (tests/exactness/play.py).
+same: $(READY)
+	$(VENV)/bin/python tests/exactness/play.py compare --jobs $(JOBS)
+
+same-quick: $(READY)
+	$(VENV)/bin/python tests/exactness/play.py compare --quick --jobs $(JOBS)
+
 $(READY): requirements.txt requirements-lab.txt requirements-test.txt
 	$(PYTHON) -m venv $(VENV)
 	$(VENV)/bin/pip -q install -r requirements.txt -r requirements-lab.txt -r requirements-test.txt
--- /dev/null
+++ b/tests/exactness/cores.py
@@ -0,0 +1,94 @@
+"""Plays the proxy's cores without sessions: membership, the store, and fleets of zones.
+
+Prints one core's figures as JSON: ``shown``, a few for a reader, and all others, to be
+compared to the digit. They are numbers, truth values, digests and the lab's names of
+instances, so that a renaming in the package leaves them as they are.
+"""
+
+from __future__ import annotations
+
+import json
+import sys
+from collections.abc import Callable
+from typing import Any
+
+from wheathill.lab.cores.copies import converges
+from wheathill.lab.cores.fleets import Fleet
+from wheathill.lab.cores.members import Cluster, measure
+
+Found = dict[str, Any]
+
+# Zone -> (region, members).
+ZONES = {"a1": ("a", 4), "a2": ("a", 3), "b1": ("b", 4), "c1": ("c", 3)}
+
+
+def play_members(seed: int) -> Found:
+    """Deaths found under loss, and a cluster that is split, paused and mended."""
+    kills = measure(12, 0.05, [seed, seed + 10], watched=20.0)
+    machines = measure(20, 0.25, [seed], kills=2, machines=True)
+    cluster = Cluster(8, seed, faults={"loss": 0.05, "doubled": 0.1, "overtaken": 0.1})
+    names = list(cluster.hosts)
+    cluster.run(10)
+    cluster.faults.cut(names[:3], names[3:])
+    cluster.run(20)
+    cluster.faults.mend()
+    cluster.pause(names[4])
+    cluster.run(10)
+    cluster.resume(names[4])
+    cluster.kill(names[5])
+    cluster.run(20)
+    cluster.start(names[5])
+    cluster.run(20)
+    return {
+        "shown": [*kills.values(), *machines.values()],
+        "sent": [instance.sent for instance in cluster.instances.values()],
+        "carried": [cluster.faults.sent, cluster.faults.lost],
+        "false": cluster.false,
+        "suspected": cluster.suspected,
+        "found": list(cluster.found.values()),
+        "agreed": cluster.agreed(),
+    }
+
+
+def play_store(seed: int) -> Found:
+    """Random changes and faults at five copies, with room and with little."""
+    shown, digests = [], []
+    for first, more in ((seed * 100, {}), (seed * 100 + 50, {"most_cells": 8})):
+        for each in range(first, first + 8):
+            equal, found, copies = converges(each, **more)
+            shown.append([equal, copies.faults.sent, copies.bytes])
+            digests.append([str(digest) for digest in found.values()])
+    return {"shown": shown, "digests": digests}
+
+
+def play_zones(seed: int) -> Found:
+    """Zones under restarts, cuts and loss, then a drain issued at one member."""
+    fleet = Fleet(ZONES, seed, loss=0.02)
+    fleet.start_all()
+    settled_s = fleet.until(fleet.all_agree, 60.0)
+    rest = fleet.rates(5.0)
+    fleet.trouble(20.0)
+    fleet.cut(fleet.of_region("b"))
+    fleet.run(5.0)
+    fleet.cut(fleet.of_region("b"), on=False)
+    agreed_s = fleet.until(fleet.all_agree, 90.0)
+    issued_ms = fleet.change("s1", next(iter(fleet.peers)))
+    fleet.run(10.0)
+    return {
+        "shown": [settled_s, agreed_s, fleet.largest, len(fleet.over)],
+        "rates": [list(rates) for rates in rest.values()],
+        "after": [list(rates) for rates in fleet.rates(5.0).values()],
+        "in force": fleet.in_force("s1", issued_ms),
+        "noted": [[line[0], line[1]] for line in fleet.lines],
+    }
+
+
+CORES: dict[str, Callable[[int], Found]] = {
+    "cores/members": play_members,
+    "cores/store": play_store,
+    "cores/zones": play_zones,
+}
+
+
+if __name__ == "__main__":
+    print(json.dumps(CORES[sys.argv[1]](int(sys.argv[2]))))
