--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from wheathill.config.peers import Layout, Zone
+from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers.facts import AGREED, CUT_OFF
 
@@ -22,10 +22,10 @@
     """A layout in which `d1` is where c1 is, as far as `parts` names them; proxies go by the parts."""
     seeds = {zone.name: zone.seeds for zone in fleet.layouts[1].zones}
     regions = {zone: region for zone, (region, _) in ZONES.items()}
-    return Layout(
+    return ZoneLayout(
         version,
         tuple(
-            Zone(
+            ZoneSettings(
                 name,
                 regions.get(name, "c"),
                 4 if name == "d1" else ZONES[name][1],
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,7 +7,7 @@
 
 from test_peers import dropped
 from wheathill.config import Misconfigured, operator
-from wheathill.config.peers import Layout, Zone
+from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers.board import Board
 from wheathill.peers.facts import AGREED, CUT_OFF, DOUBT
@@ -177,10 +177,12 @@
 
 def layout(parts, was=None, version=1):
     was = was or parts
-    return Layout(
+    return ZoneLayout(
         version,
         tuple(
-            Zone(name, name[0], 4, (f"127.0.0.1:{place + 1}",), parts[name], was[name])
+            ZoneSettings(
+                name, name[0], 4, (f"127.0.0.1:{place + 1}",), parts[name], was[name]
+            )
             for place, name in enumerate(parts)
         ),
     )
@@ -257,7 +259,9 @@
         each = [zones(name, parts) for name in parts]
         whole = chance.choice((0.2, 0.9, 1.0, 3.7, 40.0))
         for server in range(20):
-            total = sum(one.rounded(f"g{server}", whole * one.own.part) for one in each)
+            total = sum(
+                one.rounded(f"g{server}", whole * one.own.quota) for one in each
+            )
             assert whole - 1 - 1e-6 <= total <= whole + 1 + 1e-6, (seed, total)
     one = zones("e", {"e": 0.25, "w": 0.75})
     assert (
@@ -589,7 +593,7 @@
     fleet.run(3)
     fleet.trouble(20)
     parts = dict(zip(fleet.zones, (0.1, 0.4, 0.2, 0.3)))
-    was = {zone.name: zone.part for zone in fleet.layouts[1].zones}
+    was = {zone.name: zone.quota for zone in fleet.layouts[1].zones}
     fleet.layouts[2] = fleet.layout(2, parts, was)
     order = list(fleet.zone_of)
     fleet.random.shuffle(order)
@@ -653,23 +657,26 @@
 """
 
 
-def test_the_layout_of_a_file():
-    from wheathill.config.peers import layout_of
+def test_the_zone_layout_of_a_file():
+    from wheathill.config.peers import read_zone_layout
 
     file = operator.file_of(tomllib.loads(FILE))
-    found = layout_of(file.peers)
+    found = read_zone_layout(file.peers)
     assert found.version == 2 and [
-        (zone.name, zone.region, zone.part, zone.was) for zone in found.zones
+        (zone.name, zone.region, zone.quota, zone.previous_quota)
+        for zone in found.zones
     ] == [("e", "r", 0.6, 0.7), ("w", "w", 0.4, 0.3)]
     bare = tomllib.loads(FILE)
     for zone in bare["peers"]["zones"]:
         del zone["part"], zone["was"]
-    assert [zone.part for zone in layout_of(operator.file_of(bare).peers).zones] == [
+    assert [
+        zone.quota for zone in read_zone_layout(operator.file_of(bare).peers).zones
+    ] == [
         4 / 6,
         2 / 6,
     ]
     del bare["peers"]["zone"], bare["peers"]["zones"]
-    assert layout_of(operator.file_of(bare).peers) is None
+    assert read_zone_layout(operator.file_of(bare).peers) is None
 
 
 @pytest.mark.parametrize(
--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -320,7 +320,9 @@
     report_fields: list
     balancer: dict
     told: dict  # the configuration as it was read, without `known`
-    peers: object = None  # a `config.peers.Told`; none: it knows no other instance
+    peers: object = (
+        None  # a `config.peers.PeerSettings`; none: it knows no other instance
+    )
 
     @property
     def mark(self):
--- a/wheathill/config/operator.py
+++ b/wheathill/config/operator.py
@@ -315,4 +315,8 @@
     node = node_of(
         {**platform_form(file), "peers": values.get("peers")}, surroundings(os.environ)
     )
-    return node if file.peers is None else replace(node, peers=peers.told_of(file))
+    return (
+        node
+        if file.peers is None
+        else replace(node, peers=peers.read_peer_settings(file))
+    )
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -1,72 +1,87 @@
-"""The `[peers]` table of an operator's file: whom an instance talks to, and with which key."""
+"""The `[peers]` table of an operator's file: the other proxies of the cluster, their zones, and the key they share."""
 
 import os
 import stat
+from collections.abc import Iterator
 from dataclasses import dataclass
 
 from wheathill.config import Misconfigured, address
 
-LEAST_KEY, MOST_KEY = 16, 4096
+# Bytes of a shared key. The shortest is that of HMAC-SHA256 truncated to 16 bytes, as frames carry it; nobody means
+# a longer one than the longest, which is more likely the wrong file.
+SHORTEST_KEY, LONGEST_KEY = 16, 4096
 
 
 @dataclass(frozen=True)
-class Told:
-    """What an instance is told of its peers. Addresses are "HOST:PORT", `listen` is (host, port); times in ms."""
-
-    name: str
-    cluster: str
-    listen: tuple
-    advertise: str  # where the others reach it
-    seeds: tuple
-    key: bytes
-    roster: tuple  # who is meant to be there; none: `fleet.proxies` says how many, or the zone's `proxies`
-    control: str | None  # the path of the control socket
-    period: float
-    patience: float
-    zone: str | None = None  # its own, where the fleet has some
-    layout: object = None  # a `Layout`, where `zone` is named
+class ZoneSettings:
+    """One zone of the fleet, stated alike to all its proxies.
 
-
-@dataclass(frozen=True)
-class Zone:
-    """`part` of every limit over all, and what it `was` by the layout before this one."""
+    `quota` is the zone's fraction of every limit that holds for the whole fleet; `previous_quota` is its fraction by the
+    layout before this one.
+    """
 
     name: str
     region: str
     proxies: int
-    seeds: tuple
-    part: float
-    was: float
+    seeds: tuple[str, ...]
+    quota: float
+    previous_quota: float
 
 
 @dataclass(frozen=True)
-class Layout:
+class ZoneLayout:
+    """All zones of the fleet, in the order of the operator's file."""
+
     version: int
-    zones: tuple
+    zones: tuple[ZoneSettings, ...]
 
-    def zone(self, name):
+    def zone(self, name: str) -> ZoneSettings:
+        """Return the zone of that name, which must be one of the layout's."""
         return next(zone for zone in self.zones if zone.name == name)
 
 
-def layout_of(peers):
+@dataclass(frozen=True)
+class PeerSettings:
+    """What a proxy needs to take part in its cluster.
+
+    Addresses are "HOST:PORT", but for `listen`, which is (host, port). `advertise_address` is where other members reach
+    this one. Where `expected_members` is empty, `fleet.proxies` or the zone's `proxies` says how many there should be.
+    `zone` and `layout` are None in a fleet without zones.
+    """
+
+    name: str
+    cluster: str
+    listen: tuple[str, int]
+    advertise_address: str
+    seeds: tuple[str, ...]
+    shared_key: bytes
+    expected_members: tuple[str, ...]
+    control_socket_path: str | None
+    probe_interval_ms: float
+    probe_timeout_ms: float
+    zone: str | None = None
+    layout: ZoneLayout | None = None
+
+
+def read_zone_layout(peers):
     """Parts that are not told go by the number of proxies."""
     if peers.zone is None:
         return None
     whole = sum(zone.proxies for zone in peers.zones)
     zones = []
     for zone in peers.zones:
-        part = zone.proxies / whole if zone.part is None else zone.part
+        quota = zone.proxies / whole if zone.part is None else zone.part
         zones.append(
-            Zone(
-                zone.name,
-                zone.region or zone.name,
-                zone.proxies,
-                tuple(zone.seeds),
-                part,
-                part if zone.was is None else zone.was,
+            ZoneSettings(
+                name=zone.name,
+                region=zone.region or zone.name,
+                proxies=zone.proxies,
+                seeds=tuple(zone.seeds),
+                quota=quota,
+                previous_quota=quota if zone.was is None else zone.was,
             )
         )
-    return Layout(peers.layout, tuple(zones))
+    return ZoneLayout(peers.layout, tuple(zones))
 
 
 def zone_contradictions(peers, proxies):
@@ -124,22 +139,22 @@
     yield from zone_contradictions(peers, file.fleet.proxies)
 
 
-def told_of(file):
+def read_peer_settings(file):
     """Raises Misconfigured where the key can't be used."""
     peers = file.peers
-    layout = layout_of(peers)
+    layout = read_zone_layout(peers)
     seeds = peers.seeds or (layout.zone(peers.zone).seeds if layout else ())
-    return Told(
+    return PeerSettings(
         name=peers.name or file.name,
         cluster=peers.cluster,
         listen=address(peers.listen, "peers.listen"),
-        advertise=peers.advertise or peers.listen,
+        advertise_address=peers.advertise or peers.listen,
         seeds=tuple(seeds),
-        key=read_key(peers.key_file),
-        roster=tuple(peers.roster),
-        control=peers.control,
-        period=peers.period_ms,
-        patience=peers.patience_ms,
+        shared_key=read_key(peers.key_file),
+        expected_members=tuple(peers.roster),
+        control_socket_path=peers.control,
+        probe_interval_ms=peers.period_ms,
+        probe_timeout_ms=peers.patience_ms,
         zone=peers.zone,
         layout=layout,
     )
@@ -150,15 +165,15 @@
     try:
         with open(path, "rb") as source:
             state = os.fstat(source.fileno())
-            key = source.read(MOST_KEY + 1).rstrip()
+            key = source.read(LONGEST_KEY + 1).rstrip()
     except OSError as wrong:
         raise Misconfigured(f"peers.key_file: {wrong}") from None
     if state.st_uid != os.geteuid() or stat.S_IMODE(state.st_mode) & 0o077:
         raise Misconfigured(
             f"peers.key_file: {path} must be readable by its owner alone, who starts the proxy"
         )
-    if not LEAST_KEY <= len(key) <= MOST_KEY:
+    if not SHORTEST_KEY <= len(key) <= LONGEST_KEY:
         raise Misconfigured(
-            f"peers.key_file: {path} holds {len(key)} bytes, expected {LEAST_KEY} to {MOST_KEY}"
+            f"peers.key_file: {path} holds {len(key)} bytes, expected {SHORTEST_KEY} to {LONGEST_KEY}"
         )
     return key
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -80,7 +80,7 @@
         if node.listen_fd is None:
             raise Misconfigured(f"peers: {wrong}") from None
         # The process that this one takes over from holds the address until it ends.
-        clock.after(node.peers.period, join, proxy, carrier, clock, log)
+        clock.after(node.peers.probe_interval_ms, join, proxy, carrier, clock, log)
     else:
         clock.soon(proxy.peers.start)
 
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -5,7 +5,7 @@
 import random
 
 from wheathill.config import Limits
-from wheathill.config.peers import Layout, Told, Zone
+from wheathill.config.peers import PeerSettings, ZoneLayout, ZoneSettings
 from wheathill.lab.cast.sessionless import Sessionless
 from wheathill.lab.worlds.host import raise_fault
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
@@ -95,9 +95,11 @@
             part = parts[zone] if parts else count / whole
             seeds = tuple("%s:%d" % self.address(name) for name in self.names[zone][:2])
             found.append(
-                Zone(zone, region, count, seeds, part, was[zone] if was else part)
+                ZoneSettings(
+                    zone, region, count, seeds, part, was[zone] if was else part
+                )
             )
-        return Layout(version, tuple(found))
+        return ZoneLayout(version, tuple(found))
 
     @staticmethod
     def address(name):
@@ -111,17 +113,17 @@
         host = self.hosts[name]
         host.begin()
         seeds = next(each.seeds for each in layout.zones if each.name == zone)
-        told = Told(
+        told = PeerSettings(
             name=name,
             cluster="lab",
             listen=listen,
-            advertise="%s:%d" % listen,
+            advertise_address="%s:%d" % listen,
             seeds=seeds,
-            key=b"the lab's own",
-            roster=(),
-            control=None,
-            period=self.period,
-            patience=0.3 * self.period,
+            shared_key=b"the lab's own",
+            expected_members=(),
+            control_socket_path=None,
+            probe_interval_ms=self.period,
+            probe_timeout_ms=0.3 * self.period,
             zone=zone,
             layout=layout,
         )
--- a/wheathill/lab/scale/honest.py
+++ b/wheathill/lab/scale/honest.py
@@ -27,7 +27,7 @@
 
 
 class Real:
-    """One daemon in a folder of its own. `told`: a `config.peers.Told`, or None for one without peers."""
+    """One daemon in a folder of its own. `told`: a `config.peers.PeerSettings`, or None for one without peers."""
 
     def __init__(self, folder, name, meant, told, key_path):
         self.control = os.path.join(folder, f"{name}.control")
@@ -89,7 +89,7 @@
         with open(
             key_path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)
         ) as out:
-            out.write(layout.told(0).key)
+            out.write(layout.told(0).shared_key)
         try:
             for number in range(members + BASES):
                 reals.append(
--- a/wheathill/lab/scale/layout.py
+++ b/wheathill/lab/scale/layout.py
@@ -7,8 +7,7 @@
 from functools import cache
 
 from wheathill.config import Misconfigured
-from wheathill.config.peers import Layout as Zones
-from wheathill.config.peers import Told, Zone
+from wheathill.config.peers import PeerSettings, ZoneLayout, ZoneSettings
 
 PORT = 19_700
 SEEDS = 3
@@ -81,17 +80,17 @@
         seeds = self.seeds(
             range(zone, self.members, self.zones) if self.zoned else range(self.members)
         )
-        return Told(
+        return PeerSettings(
             name=self.name(number),
             cluster="scale",
             listen=self.where(number),
-            advertise=self.address(number),
+            advertise_address=self.address(number),
             seeds=seeds,
-            key=b"the scale test's own key",
-            roster=(),
-            control=None,
-            period=self.period,
-            patience=self.patience,
+            shared_key=b"the scale test's own key",
+            expected_members=(),
+            control_socket_path=None,
+            probe_interval_ms=self.period,
+            probe_timeout_ms=self.patience,
             **more,
         )
 
@@ -106,7 +105,7 @@
             numbers = range(zone, self.members, self.zones)
             part = len(numbers) / self.members
             found.append(
-                Zone(
+                ZoneSettings(
                     f"z{zone + 1}",
                     f"r{zone % self.regions + 1}",
                     len(numbers),
@@ -115,7 +114,7 @@
                     part,
                 )
             )
-        return Zones(1, tuple(found))
+        return ZoneLayout(1, tuple(found))
 
     def distance(self):
         """(region, region) -> ms one way, the same in every process of a run; within one the region's own."""
--- a/wheathill/lab/scale/operators_file.py
+++ b/wheathill/lab/scale/operators_file.py
@@ -15,7 +15,7 @@
     **more,
 ):
     """The text of a file as an operator writes it. `servers`: [(name, "HOST:PORT", state)]; `meant`: proxies in all;
-    `told`: a `config.peers.Told`, or None for one without peers."""
+    `told`: a `config.peers.PeerSettings`, or None for one without peers."""
     listed = [
         {"name": server, "address": where, "state": state}
         for server, where, state in servers
@@ -40,8 +40,8 @@
                         "proxies": zone.proxies,
                         "seeds": list(zone.seeds),
                         "region": zone.region,
-                        "part": zone.part,
-                        "was": zone.was,
+                        "part": zone.quota,
+                        "was": zone.previous_quota,
                     }
                     for zone in told.layout.zones
                 ],
@@ -55,8 +55,8 @@
             "seeds": list(told.seeds),
             "key_file": key_path,
             "control": control,
-            "period_ms": told.period,
-            "patience_ms": told.patience,
+            "period_ms": told.probe_interval_ms,
+            "patience_ms": told.probe_timeout_ms,
             **zones,
         }
     return "\n".join(toml(values)) + "\n"
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -3,7 +3,7 @@
 
 import random
 
-from wheathill.config.peers import Layout, Told, Zone
+from wheathill.config.peers import PeerSettings, ZoneLayout, ZoneSettings
 from wheathill.lab.worlds.beside import HeldSeat
 from wheathill.lab.worlds.clock import EPOCH, VirtualClock
 from wheathill.lab.worlds.host import raise_fault
@@ -68,10 +68,10 @@
         listen = f"{name}.lab", PEERS_PORT
         layout = None
         if proxies.zoned:
-            layout = Layout(
+            layout = ZoneLayout(
                 1,
                 tuple(
-                    Zone(
+                    ZoneSettings(
                         zone,
                         zone,
                         len(within),
@@ -86,19 +86,19 @@
                 ),
             )
             names = [other for other in names if zone_of[other] == zone_of[name]]
-        return Told(
+        return PeerSettings(
             name=odd and odd.claims or name,
             cluster=odd and odd.cluster or "lab",
             listen=listen,
-            advertise="%s:%d" % listen,
-            key=b"another key" if odd and odd.key else b"the lab's own key",
+            advertise_address="%s:%d" % listen,
+            shared_key=b"another key" if odd and odd.key else b"the lab's own key",
             seeds=tuple(
                 f"{other}.lab:{PEERS_PORT}" for other in names[: proxies.seeds]
             ),
-            roster=tuple(names) if proxies.roster else (),
-            control=None,
-            period=proxies.period_ms,
-            patience=proxies.patience_ms,
+            expected_members=tuple(names) if proxies.roster else (),
+            control_socket_path=None,
+            probe_interval_ms=proxies.period_ms,
+            probe_timeout_ms=proxies.patience_ms,
             zone=zone_of[name] if layout else None,
             layout=layout,
         )
--- a/wheathill/peers/__init__.py
+++ b/wheathill/peers/__init__.py
@@ -3,7 +3,7 @@
 
 
 def instance_of(told):
-    """The class of the instance that a `config.peers.Told` asks for."""
+    """The class of the instance that a `config.peers.PeerSettings` asks for."""
     if told.layout is None:
         from wheathill.peers.instance import Peers
 
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -35,7 +35,7 @@
 
 
 class Peers:
-    """`told`: a `config.peers.Told`. `birth` is a number that no other process of this name has."""
+    """`told`: a `config.peers.PeerSettings`. `birth` is a number that no other process of this name has."""
 
     AGED = 3000.0  # ms; after that what a process had under way has ended or come back
     FRESH = 3000.0  # evidence of servers
@@ -52,30 +52,30 @@
         rng = random.Random(f"{told.name}/{birth}")
         self.shuffle, self.sample, self.choice = rng.shuffle, rng.sample, rng.choice
         now = clock.now()
-        self.seal = Seal(told.cluster, told.key, told.name, birth)
+        self.seal = Seal(told.cluster, told.shared_key, told.name, birth)
         self.links = Links(carrier, clock, log, self.seal, self.heard, told.listen)
         self.membership = Membership(
             self,
             rng,
             told.name,
-            told.advertise,
+            told.advertise_address,
             birth,
-            period=told.period,
-            patience=told.patience,
+            period=told.probe_interval_ms,
+            patience=told.probe_timeout_ms,
             helpers=3,
-            kept=60 * told.period,
-            sync_every=10 * told.period,
+            kept=60 * told.probe_interval_ms,
+            sync_every=10 * told.probe_interval_ms,
             differences=told.layout is not None,
         )
-        others = [seed for seed in told.seeds if seed != told.advertise]
+        others = [seed for seed in told.seeds if seed != told.advertise_address]
         self.facts = Facts(
             now,
             told.name,
             birth,
             meant,
-            told.roster,
+            told.expected_members,
             self.AGED,
-            self.SILENCE * told.period if others else 0.0,
+            self.SILENCE * told.probe_interval_ms if others else 0.0,
         )
         self.witnesses = Witnesses(self.FRESH)
         self.drains, self.starts = Drains(), Starts()
@@ -87,8 +87,8 @@
         self.views = {}  # number of a comparison -> [views by name, when done]
         self.asked = 0
         self.place = None
-        if told.control:
-            folder, name = os.path.split(told.control)
+        if told.control_socket_path:
+            folder, name = os.path.split(told.control_socket_path)
             self.place = carrier.meet(
                 folder or ".",
                 name,
@@ -99,7 +99,7 @@
         now = self.clock.now()
         self.log_event(
             "peers",
-            at=self.told.advertise,
+            at=self.told.advertise_address,
             cluster=self.told.cluster,
             seeds=len(self.told.seeds),
         )
@@ -214,7 +214,7 @@
     # What follows
 
     def tick(self):
-        self.clock.after(self.told.period, self.tick)
+        self.clock.after(self.told.probe_interval_ms, self.tick)
         now = self.clock.now()
         self.look(now)
         if not self.telling:
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -51,7 +51,7 @@
             told.zone,
             f"{told.name} {birth}",
             self.board,
-            told.period,
+            told.probe_interval_ms,
             self.shuffle,
             self.choice,
         )
@@ -64,7 +64,7 @@
         self.asked_at = {}  # address -> when its board was last asked for what differs
         self.asks = 0  # answered since the last tick
         self.answers = {}  # address that was asked -> whether it has answered
-        self.note_at, self.note_wait = 0.0, told.period
+        self.note_at, self.note_wait = 0.0, told.probe_interval_ms
         self.states = None  # of region and fleet, as last logged
 
     # Words
@@ -144,7 +144,7 @@
             if self.asks < self.MOST_ASKS:
                 self.asks += 1
                 for part in self.parts(self.board.within(self.board.differing(sums))):
-                    self.say(where, [HAVE, self.told.advertise, *part])
+                    self.say(where, [HAVE, self.told.advertise_address, *part])
         else:
             where, buckets, records = rest
             self.answers.pop(where, None)
@@ -156,7 +156,7 @@
     def ask_difference(self, now, address):
         """Of one whose board is another. Not while news is on its way, as it is another at each for a moment; but where
         news comes all the time, what was lost of it is asked for all the same."""
-        period = self.told.period
+        period = self.told.probe_interval_ms
         moment = now - self.changed_at < period / 2 and now - self.same_at < period
         if moment or now - self.asked_at.get(address, -period) < period:
             return
@@ -171,14 +171,21 @@
         """Again where no answer comes: the question or the answer may have been lost, and while news comes all the time
         the next one would be asked two periods later."""
         if self.answers.get(address) == since:
-            self.say(address, [DIFFER, self.told.advertise, self.board.sums])
+            self.say(address, [DIFFER, self.told.advertise_address, self.board.sums])
             if tries > 1:
                 self.clock.after(
-                    self.AGAIN * self.told.period, self.ask, address, since, tries - 1
+                    self.AGAIN * self.told.probe_interval_ms,
+                    self.ask,
+                    address,
+                    since,
+                    tries - 1,
                 )
             else:
                 self.clock.after(
-                    self.AGAIN * self.told.period, self.give_up, address, since
+                    self.AGAIN * self.told.probe_interval_ms,
+                    self.give_up,
+                    address,
+                    since,
                 )
 
     def give_up(self, address, since):
@@ -326,7 +333,7 @@
                 self.begin(now, record)
         if any(name == self.told.name for name, _, _ in delegates):
             for address in self.zones.due(now):
-                self.say(address, [BEAT, self.told.advertise, self.summaries()])
+                self.say(address, [BEAT, self.told.advertise_address, self.summaries()])
         else:
             self.zones.listen(now)
         states = (
@@ -351,13 +358,17 @@
         now = self.clock.now()
         noted = self.facts.digest(), self.facts.old
         if noted != self.noted:
-            self.noted, self.note_at, self.note_wait = noted, now, self.told.period
+            self.noted, self.note_at, self.note_wait = (
+                noted,
+                now,
+                self.told.probe_interval_ms,
+            )
         elif self.facts.confirmed == noted[0]:
             return
         if now >= self.note_at:
             self.note_at, self.note_wait = (
                 now + self.note_wait,
-                min(2 * self.note_wait, self.NOTED_AGAIN * self.told.period),
+                min(2 * self.note_wait, self.NOTED_AGAIN * self.told.probe_interval_ms),
             )
             for name, _, address in self.delegates():
                 if name != self.told.name:
@@ -369,7 +380,7 @@
         return self.zones.part() * self.facts.share(now)
 
     def meant_share(self):
-        return self.zones.own.part / self.facts.meant
+        return self.zones.own.quota / self.facts.meant
 
     def right(self, server, unit):
         return (
@@ -412,7 +423,7 @@
                     "name": zone.name,
                     "region": zone.region,
                     "meant": zone.proxies,
-                    "part": round(zone.part, 6),
+                    "part": round(zone.quota, 6),
                     "state": self.zones.state(zone.name, self.state()),
                     "at_work": said(AT_WORK),
                     "reached": said(REACHED),
@@ -436,10 +447,10 @@
 
     def differs(self, now):
         found = super().differs(now)
-        if self.zones.part() < self.zones.own.part:
+        if self.zones.part() < self.zones.own.quota:
             held = self.zones.through(self.told.zone)
             found.append(
-                f"takes {self.zones.part():.3g} for its zone's part, {self.zones.own.part:.3g} by its layout: "
+                f"takes {self.zones.part():.3g} for its zone's part, {self.zones.own.quota:.3g} by its layout: "
                 f"not all zones hold version {self.told.layout.version} (its own: {held})"
             )
         return found
--- a/wheathill/peers/zones.py
+++ b/wheathill/peers/zones.py
@@ -46,7 +46,7 @@
 
 
 class Zones:
-    """`layout`: a `config.peers.Layout`; `own`: the name of this member's zone; `writer`: a name that no other process
+    """`layout`: a `config.peers.ZoneLayout`; `own`: the name of this member's zone; `writer`: a name that no other process
     has; `period`: ms; `shuffle` and `choice`: of a random.Random."""
 
     DELEGATES = 3
@@ -177,10 +177,10 @@
             )
         ):
             return 0.0
-        given = [zone for zone in layout.zones if zone.part < zone.was]
+        given = [zone for zone in layout.zones if zone.quota < zone.previous_quota]
         if all(self.through(zone.name) >= layout.version for zone in given):
-            return own.part
-        return min(own.part, own.was)
+            return own.quota
+        return min(own.quota, own.previous_quota)
 
     def told_layout(self, version):
         """A member of any zone says which version it holds."""
@@ -189,14 +189,14 @@
     def rounded(self, server, whole):
         """How many of the own zone hold a right to dial a cold server, where `whole` dials are the zone's: a part of a dial
         is rounded by hash, so that those of all zones add up to no more than the whole, rounded up."""
-        part = self.own.part
+        part = self.own.quota
         if part <= 0.0:
             return 0
         before = 0.0
         for zone in self.layout.zones:
             if zone is self.own:
                 break
-            before += zone.part
+            before += zone.quota
         shift = int.from_bytes(rank("rights", server), "big") / 2**64
         return int(whole / part * (before + part) + shift) - int(
             whole / part * before + shift
