--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -79,15 +79,18 @@
     ) -> None:
         self.frames: list[tuple[str, str, bytes]] = []
         super().__init__(zones, SEED)
-        settings_class, claims = fleets.Told, claims or {}
-
-        def settings(**fields: Any) -> Any:
-            made = settings_class(**fields)
-            if made.name in claims:
-                made = dataclasses.replace(made, name=claims[made.name])
-            return made if zoned else dataclasses.replace(made, zone=None, layout=None)
-
-        monkeypatch.setattr(fleets, "Told", settings)
+        class_for, claims = fleets.instance_of, claims or {}
+
+        def instance_of(settings: Any) -> Callable[..., Any]:
+            """Stands in for the function of that name: changes the settings of the instance that is made."""
+            changed = dataclasses.replace(
+                settings, name=claims.get(settings.name, settings.name)
+            )
+            if not zoned:
+                changed = dataclasses.replace(changed, zone=None, layout=None)
+            return lambda _settings, *others: class_for(changed)(changed, *others)
+
+        monkeypatch.setattr(fleets, "instance_of", instance_of)
         send_datagram, send_stream = self.ways.pass_on, network.VirtualWire.send
 
         def datagram(one: str, other: str, data: bytes) -> None:
