--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,10 +5,17 @@
 
 import pytest
 
-from wheathill.peers.drains import Drains
+from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.facts import AGREED, ALONE, CUT_OFF, DOUBT, Facts
 from wheathill.peers.frames import Dropped, Seal, Window
-from wheathill.peers.witness import BAD, WELL, Witnesses
+from wheathill.peers.peer_health_reports import (
+    HealthObservation,
+    HealthReport,
+    HealthVerdict,
+    PeerHealthReports,
+    ServerHealth,
+)
+from wheathill.peers.start_registry import MAX_FUTURE_MS, StartRecord, StartRegistry
 
 KEY = b"k" * 32
 
@@ -162,55 +169,76 @@
 
 
 def test_drains_come_back_only_by_something_newer():
-    drains = Drains()
-    assert drains.hear("x", 1, [["g", 1, True, 5.0]]) == ["g"] and drains.drains(
-        "g", 5.0
-    )
-    assert not drains.drains("g", 6.0)  # a later start
-    assert drains.hear("x", 1, [["g", 1, False, 5.0]]) == [] and drains.drains("g", 5.0)
-    drains.list_says("g", True, 5.0)
-    drains.hear(
-        "y", 1, [["g", 1, True, 5.0]]
-    )  # after the own list said so: may be another drain
-    drains.list_says("g", False, 5.0)
-    assert drains.drains("g", 5.0)
-    drains.hear(
-        "y", 2, [["g", 9, False, 5.0]]
-    )  # another process of that name says nothing for it
-    assert drains.drains("g", 5.0)
-    drains.hear("y", 1, [["g", 2, False, 5.0]])
-    assert not drains.drains("g", 5.0)
-    drains.hear("y", 1, [["g", 1, True, 5.0]])  # late
-    assert not drains.drains("g", 5.0) and drains.told() == [["g", 2, False, 5.0]]
-
-
-def test_witnesses():
-    def said(*words):
-        found = Witnesses(3000.0)
-        for source, server, how in words:
-            found.tell(100.0, source, [[server, how, 10.0]])
-        return found
-
-    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(100.0, {}) == (["g"], [])
-    assert said(("x", "g", BAD)).verdicts(100.0, {}) == ([], [])  # one is none
-    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(
-        100.0, {"g": (WELL, 99.0)}
-    ) == ([], [])  # own sight
-    assert said(("x", "g", BAD), ("y", "g", BAD)).verdicts(4000.0, {}) == (
-        [],
-        [],
-    )  # old
-    alone = said(("x", "g", WELL), ("y", "g", WELL))
-    assert alone.verdicts(100.0, {"g": (BAD, 99.0)}) == ([], ["g"])
-    # One behind a bad way calls bad what others are served by: it weighs less, also where nobody contradicts.
-    cut = said(
-        *[("x", f"g{place}", BAD) for place in range(4)],
-        *[("y", f"g{place}", WELL) for place in range(4)],
-        *[("z", f"g{place}", WELL) for place in range(4)],
-        ("x", "h", BAD),
-        ("y", "h", BAD),
+    drains = DrainRegistry()
+
+    def report(source, generation, *fields):
+        return drains.merge(source, generation, [DrainRecord.decode(["g", *fields])])
+
+    assert report("x", 1, 1, True, 5.0) == ["g"] and drains.is_draining("g", 5.0)
+    assert not drains.is_draining("g", 6.0)  # a later start
+    assert report("x", 1, 1, False, 5.0) == [] and drains.is_draining("g", 5.0)
+    drains.record_list_entry("g", True, 5.0)
+    # After the own list said so: it may be of another drain.
+    report("y", 1, 1, True, 5.0)
+    drains.record_list_entry("g", False, 5.0)
+    assert drains.is_draining("g", 5.0)
+    # Another process of that name has no say in it.
+    report("y", 2, 9, False, 5.0)
+    assert drains.is_draining("g", 5.0)
+    report("y", 1, 2, False, 5.0)
+    assert not drains.is_draining("g", 5.0)
+    report("y", 1, 1, True, 5.0)  # late
+    assert not drains.is_draining("g", 5.0)
+    assert [record.encode() for record in drains.own_records()] == [
+        ["g", 2, False, 5.0]
+    ]
+
+
+def test_the_latest_start_counts_in_whatever_order_it_arrives():
+    starts = StartRegistry()
+    assert starts.merge(100.0, [StartRecord.decode(["g", 50.0])]) == ["g"]
+    assert starts.merge(100.0, [StartRecord("g", 40.0), StartRecord("g", 50.0)]) == []
+    assert starts.merge(100.0, [StartRecord("h", 101.0 + MAX_FUTURE_MS)]) == []
+    assert starts.latest_ms("g", None) == 50.0 and starts.latest_ms("g", 60.0) == 60.0
+    assert [record.encode() for record in starts.records()] == [["g", 50.0]]
+
+
+def test_health_reports_of_several_proxies_are_weighed_against_each_other():
+    failing, serving = ServerHealth.FAILING, ServerHealth.SERVING
+
+    def verdict(*reports, now_ms=100.0, own=None):
+        found = PeerHealthReports(3000.0)
+        for source, server, health in reports:
+            found.record(100.0, source, [HealthReport(server, health, 10.0)])
+        own = {} if own is None else {"g": HealthObservation(own, 99.0)}
+        return found.verdict(now_ms, own)
+
+    both_fail = ("x", "g", failing), ("y", "g", failing)
+    assert verdict(*both_fail) == HealthVerdict(("g",), ())
+    assert verdict(("x", "g", failing)) == HealthVerdict()  # one is not enough
+    assert verdict(*both_fail, own=serving) == HealthVerdict()
+    assert verdict(*both_fail, now_ms=4000.0) == HealthVerdict()  # out of date
+    both_serve = ("x", "g", serving), ("y", "g", serving)
+    assert verdict(*both_serve, own=failing) == HealthVerdict((), ("g",))
+    # A reporter behind a bad path calls failing what others are served by: it weighs less, also where nobody
+    # contradicts it.
+    contradicted = verdict(
+        *[("x", f"g{number}", failing) for number in range(4)],
+        *[("y", f"g{number}", serving) for number in range(4)],
+        *[("z", f"g{number}", serving) for number in range(4)],
+        ("x", "h", failing),
+        ("y", "h", failing),
     )
-    assert cut.verdicts(100.0, {}) == ([], [])
+    assert contradicted == HealthVerdict()
+
+
+def test_a_health_report_is_read_as_it_was_written():
+    report = HealthReport("g", ServerHealth.SERVING, 12.5)
+    assert report.encode() == ["g", 1, 12.5]
+    assert HealthReport.decode(report.encode()) == report
+    assert HealthReport.decode(["g", 7, 1.0]) is None  # of a later version
+    with pytest.raises((ValueError, TypeError)):
+        HealthReport.decode(["g", 1])
 
 
 def test_rights_to_dial_a_cold_server_are_whole_and_the_same_everywhere():
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -1,7 +1,7 @@
 """Instances broken on purpose, each in one way that a judge of the fleet must name. `lab/mutant` starts them as
 programs."""
 
-from wheathill.peers.drains import Drains
+from wheathill.peers.drain_registry import DrainRegistry
 from wheathill.peers.facts import Facts
 from wheathill.peers.frames import Seal
 from wheathill.peers.instance import Peers
@@ -69,12 +69,12 @@
 
 
 def keeps_drains_to_itself():
-    Drains.list_says = lambda self, server, draining, started: None
-    Drains.told = lambda self: []
+    DrainRegistry.record_list_entry = lambda self, server, is_draining, started: None
+    DrainRegistry.own_records = lambda self: []
 
 
 def own_list_undoes_drains():
-    Drains.drains = lambda self, server, started: False
+    DrainRegistry.is_draining = lambda self, server, started: False
 
 
 def goes_past_any_other():
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -8,12 +8,19 @@
 import random
 
 from wheathill.peers.control import Control
-from wheathill.peers.drains import Drains, Starts
+from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.facts import ALONE, CUT_OFF, Facts
 from wheathill.peers.frames import Seal
 from wheathill.peers.links import Links
 from wheathill.peers.membership import ALIVE, DEAD, LEFT, STATE, SUSPECT, Membership
-from wheathill.peers.witness import BAD, WELL, Witnesses
+from wheathill.peers.peer_health_reports import (
+    HealthObservation,
+    HealthReport,
+    HealthVerdict,
+    PeerHealthReports,
+    ServerHealth,
+)
+from wheathill.peers.start_registry import StartRecord, StartRegistry
 from wheathill.model import Phase
 
 DRAINS, STARTS, SEEN, ASK_VIEW, VIEW, NOTE = (
@@ -77,13 +84,13 @@
             self.AGED,
             self.SILENCE * told.probe_interval_ms if others else 0.0,
         )
-        self.witnesses = Witnesses(self.FRESH)
-        self.drains, self.starts = Drains(), Starts()
+        self.health_reports = PeerHealthReports(self.FRESH)
+        self.drains, self.starts = DrainRegistry(), StartRegistry()
         self.own = {}  # server name -> (phase, start) as the own list has it
         self.telling = []  # whom to tell next
         self.noted = None  # the digest that all were last told
         self.shared = None  # the share as last told to the decisions
-        self.failing, self.here = [], []
+        self.verdict = HealthVerdict()
         self.views = {}  # number of a comparison -> [views by name, when done]
         self.asked = 0
         self.place = None
@@ -148,7 +155,7 @@
         now = self.clock.now()
         self.facts.member(now, member.name, member.birth, member.state, member.certain)
         if member.state in (DEAD, LEFT):
-            self.witnesses.forget(member.name)
+            self.health_reports.forget_source(member.name)
         by = list(member.accusers) if member.state == SUSPECT else None
         self.log_event(
             "peer",
@@ -180,9 +187,11 @@
         self.meets(now, name, birth, address)
         self.facts.told(name, birth, digest, bool(old), bounded(bears))
         if kind == DRAINS:
-            self.apply(self.drains.hear(name, birth, rest[0]))
+            records = [DrainRecord.decode(fields) for fields in rest[0]]
+            self.apply(self.drains.merge(name, birth, records))
         elif kind == STARTS:
-            self.apply(self.starts.hear(self.clock.to_wall(now), rest[0]))
+            records = [StartRecord.decode(fields) for fields in rest[0]]
+            self.apply(self.starts.merge(self.clock.to_wall(now), records))
         else:
             self.follow(now, name, address, kind, rest)
 
@@ -196,7 +205,10 @@
             pass
         elif kind == SEEN:
             if self.listens(name):
-                self.witnesses.tell(now, name, rest[0])
+                reports = [HealthReport.decode(fields) for fields in rest[0]]
+                self.health_reports.record(
+                    now, name, [report for report in reports if report is not None]
+                )
         elif kind == ASK_VIEW:
             self.say(address, [VIEW, rest[0], self.view()])
         elif kind == VIEW:
@@ -225,12 +237,17 @@
         own = self.sight(now)
         if self.facts.state not in (CUT_OFF, ALONE):
             # The bad first: what is well is known to be so by most.
-            seen = sorted(own.items(), key=lambda item: (item[1][0], item[0]))[
+            seen = sorted(own.items(), key=lambda item: (item[1].health, item[0]))[
                 : self.MOST_SEEN
             ]
             words = [
                 SEEN,
-                [[name, how, round(now - when, 1)] for name, (how, when) in seen],
+                [
+                    HealthReport(
+                        name, last.health, round(now - last.seen_at_ms, 1)
+                    ).encode()
+                    for name, last in seen
+                ],
             ]
             for member in now_told if seen else ():
                 self.say(member.address, words)
@@ -286,48 +303,58 @@
         return self.facts.right(server, self.bears(), unit)
 
     def sight(self, now):
-        """server -> (BAD or WELL, when), the last that this proxy has seen of each itself."""
+        """By server, the last that this proxy has seen of each itself."""
         found = {}
         for name, server in self.proxy.servers.items():
-            seen = [(server.heard, WELL)]
+            seen = [(server.heard, ServerHealth.SERVING)]
             if server.samples:
-                seen.append((server.samples[-1][0], WELL))
+                seen.append((server.samples[-1][0], ServerHealth.SERVING))
             if server.results:
                 seen.append(
-                    (server.results[-1][0], WELL if server.results[-1][1] else BAD)
+                    (server.results[-1][0], ServerHealth(bool(server.results[-1][1])))
                 )
             if server.silent >= 2:
-                seen.append((server.asked, BAD))
+                seen.append((server.asked, ServerHealth.FAILING))
             when, how = max(seen)
             if now - when < self.FRESH:
-                found[name] = how, when
+                found[name] = HealthObservation(how, when)
         return found
 
     def judge_servers(self, now, own):
-        failing, here = (
-            self.witnesses.verdicts(now, own)
+        verdict = (
+            self.health_reports.verdict(now, own)
             if self.facts.state != CUT_OFF
-            else ([], [])
+            else HealthVerdict()
         )
         servers = self.proxy.servers
-        if (failing, here) != (self.failing, self.here):
-            self.failing, self.here = failing, here
-            self.log_event("peers say", fail_for_all=failing, fail_here_alone=here)
-        if failing or here:
+        if verdict != self.verdict:
+            self.verdict = verdict
+            self.log_event(
+                "peers say",
+                fail_for_all=list(verdict.failing_for_all),
+                fail_here_alone=list(verdict.failing_here_alone),
+            )
+        if verdict:
             self.proxy.balancer.on_witnesses(
                 now,
-                [servers[name] for name in failing if name in servers],
-                [servers[name] for name in here if name in servers],
+                [servers[name] for name in verdict.failing_for_all if name in servers],
+                [
+                    servers[name]
+                    for name in verdict.failing_here_alone
+                    if name in servers
+                ],
             )
 
     # Drains and starts
 
     def tell_news(self, address):
         """What one was told and the others may not have been."""
-        if self.drains.mine:
-            self.say(address, [DRAINS, self.drains.told()])
-        if self.starts.latest:
-            self.say(address, [STARTS, list(self.starts.latest.items())])
+        drains = [record.encode() for record in self.drains.own_records()]
+        if drains:
+            self.say(address, [DRAINS, drains])
+        starts = [record.encode() for record in self.starts.records()]
+        if starts:
+            self.say(address, [STARTS, starts])
 
     def on_entry(self, name, phase, started):
         """What holds for an entry of the own list: its phase and start, or what others were told of it since."""
@@ -335,22 +362,24 @@
         if (
             phase is not Phase.GONE
             and started
-            and self.starts.hear(started, [[name, started]])
+            and self.starts.merge(started, [StartRecord(name, started)])
         ):
             self.tell_all([STARTS, [[name, started]]])
         if phase is not Phase.GONE:
-            said = self.drains.list_says(name, phase is Phase.DRAINING, started)
-            if said is not None and (said[2] or said[1] > 1):
-                self.tell_all([DRAINS, [said]])
+            record = self.drains.record_list_entry(
+                name, phase is Phase.DRAINING, started
+            )
+            if record is not None and (record.is_draining or record.count > 1):
+                self.tell_all([DRAINS, [record.encode()]])
         return self.holds(name, phase, started), self.latest(name, started)
 
     def latest(self, name, started):
         """The latest start of a server's process that anyone was told of, where the own list says `started`."""
-        return self.starts.of(name, started)
+        return self.starts.latest_ms(name, started)
 
     def drained(self, name, started):
         """Whether anyone was told that the process which started then drains."""
-        return self.drains.drains(name, started)
+        return self.drains.is_draining(name, started)
 
     def holds(self, name, phase, started):
         drains = phase is Phase.READY and self.drained(name, self.latest(name, started))
@@ -440,16 +469,16 @@
                 + ", ".join(drained)
                 + ": a peer was told that they drain"
             )
-        if self.failing:
+        if self.verdict.failing_for_all:
             found.append(
                 "tries with one session at a time "
-                + ", ".join(self.failing)
+                + ", ".join(self.verdict.failing_for_all)
                 + ": they fail for others"
             )
-        if self.here:
+        if self.verdict.failing_here_alone:
             found.append(
                 "takes for its own way's fault that "
-                + ", ".join(self.here)
+                + ", ".join(self.verdict.failing_here_alone)
                 + " fail here"
             )
         return found
