--- a/tests/drive.py
+++ b/tests/drive.py
@@ -21,7 +21,7 @@
 from collections import Counter
 
 from wheathill.model import Listener, ListKind, Outcome, Phase, Server, Session
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
 USUAL = dict(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -42,7 +42,7 @@
 
 
 def _slot(d, key):
-    from wheathill.policy import slot_of
+    from wheathill.policy.slot_table import slot_of
 
     return slot_of(key, d.balancer.table.size)
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -6,7 +6,7 @@
 import pytest
 
 from wheathill.model import Server
-from wheathill.policy import SlotTable, slot_draws
+from wheathill.policy.slot_table import SlotTable, slot_draws
 
 
 def table(size):
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -9,7 +9,7 @@
 
 from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
 from wheathill.model import Listener, ListKind, Outcome, Phase, Repeat, Server, Session
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 PHASES = {3: Phase.READY, 0: Phase.DRAINING, 2: Phase.GONE}
 LIST_KINDS = {
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -7,7 +7,9 @@
 from functools import partial
 
 from wheathill.model import Outcome
-from wheathill.policy import Balancer, Stage, may_redial, may_refuse
+from wheathill.policy.balancer import Balancer
+from wheathill.policy.retry_rules import may_reject, may_retry
+from wheathill.policy.stage import Stage
 
 
 class Plain(Stage):
@@ -29,7 +31,7 @@
             for server in self.balancer.roster.servers
             if server not in tried
             and self.balancer.roster.may_dial(now, server, False)
-            and may_redial(now, sess, server)
+            and may_retry(now, sess, server)
         ]
         if able:
             sess.server = self.pick(able)
@@ -52,7 +54,7 @@
 
     def give_up(self, sess):
         sess.ended = True
-        if may_refuse(sess):
+        if may_reject(sess):
             self.balancer.actions.refuse(sess, sess.listener.handshake_target)
         else:
             self.balancer.actions.tear_down(sess)
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -9,7 +9,7 @@
 from wheathill.peers.membership import DEAD, Membership
 from wheathill.peers.zoned import ZonedPeers
 from wheathill.peers.zones import Zones
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 
 def counts_only_the_alive():
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -20,7 +20,7 @@
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 SHARDS = 420_000
 SERVERS = 8_000
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -11,7 +11,7 @@
 from wheathill.lab.worlds.outside import Outside, parts_of
 from wheathill.lab.worlds.seat import Seat
 from wheathill.net.proxy import Proxy
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 
 PEERS_PORT = 9700
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -7,7 +7,7 @@
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
 from wheathill.net.server import Dialled, ProbeLink
-from wheathill.policy import may_redial, may_refuse
+from wheathill.policy.retry_rules import may_reject, may_retry
 
 # Of the spare descriptors, in eighths: so far newcomers are taken in, those taken in are dialled for, and servers are
 # asked. The rest is for discovery, the operators' door and files.
@@ -203,7 +203,7 @@
         is known not to have run is refused: failed would say that it may have."""
         sess = client.sess
         refused = (
-            may_refuse(sess)
+            may_reject(sess)
             if sess is not None
             else bool(self.early and client in self.early)
         )
@@ -419,7 +419,7 @@
         # The window of an earlier dial may have ended meanwhile as well.
         may = self.balancer.roster.may_dial(
             now, dial.server, sess.mid_flow
-        ) and may_redial(now, sess, dial.server)
+        ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
         sess.dials[-1].may_have_run = may
         return may
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -13,7 +13,7 @@
 from wheathill.net.carried import Carried
 from wheathill.net.figures import Figures
 from wheathill.net.told import Told
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 
 class Proxy(Carried, Told):
--- /dev/null
+++ b/wheathill/policy/attempts.py
@@ -0,0 +1,48 @@
+"""Makes the attempts of a session, one at a time, and judges how each ended."""
+
+from wheathill.model import Dial, Outcome
+from wheathill.policy.stage import Stage
+
+
+class AttemptRunner(Stage):
+    """Sends one dial at a time, and judges how it ended."""
+
+    def __init__(self, actions, table, levels, health, cold, budget, alive):
+        self.levels, self.budget, self.alive, self.actions = (
+            levels,
+            budget,
+            alive,
+            actions,
+        )
+        self.table, self.health, self.cold = table, health, cold
+
+    def enter(self, now, sess):
+        if not self.budget.allows(now, sess):
+            return self.before.back(now, sess, None)
+        self.budget.dialled(now, sess)
+        sess.dials.append(Dial(sess.server, now))
+        self.cold.dialled(now, sess.server)
+        left = sess.deadline - now
+        # A silent server must not hold a session until its client gives up, and a slow shared
+        # store must not be asked twice: most of the time goes to the first dial, not all of it.
+        # One that has just answered a probe is not silent.
+        alive = self.levels.age(now, sess.server) < self.alive
+        self.actions.dial(
+            sess, sess.server, left if alive or len(sess.dials) > 1 else left * 0.6
+        )
+
+    def accepted(self, now, sess):
+        self.before.accepted(now, sess)
+        sess.accepted = now
+        sess.server.sessions[sess] = None
+        self.table.accepted(now, sess)
+        self.health.dialled(now, sess.server, True)
+
+    def back(self, now, sess, outcome):
+        dial = sess.dials[-1]
+        dial.may_have_run = not outcome.never_ran
+        if outcome is Outcome.NEVER_SENT:
+            self.budget.never_sent(sess)
+        if outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OVERDUE):
+            self.health.dialled(now, dial.server, False)
+        self.before.back(now, sess, outcome)
--- /dev/null
+++ b/wheathill/policy/balancer.py
@@ -0,0 +1,437 @@
+"""All decisions of wheathill.
+
+One `Balancer` decides for one proxy. Whoever carries the sessions calls its `on_*` methods,
+one for each thing that happened, with the time in milliseconds first; it answers by calling the
+`Actions` of `wheathill/model.py`, where its interface (Server, Session, Listener, Outcome) is
+defined. Nothing here reads a clock, a file or a socket, and no name is ever looked at: a
+server's name is only hashed. The mechanism is that of docs/design.md: a slot table after INCAB
+(arXiv paper "In-network Congestion-aware Load Balancing at Transport Layer").
+"""
+
+import math
+from collections import deque
+from itertools import chain
+
+from wheathill.model import LIST_CALL, LIST_LONGEST, Dial, ListKind, Outcome, Phase
+from wheathill.policy.admission import AdmissionControl
+from wheathill.policy.attempts import AttemptRunner
+from wheathill.policy.endpoint_list import EndpointList
+from wheathill.policy.load_estimator import LoadEstimator
+from wheathill.policy.outlier_detection import OutlierDetector
+from wheathill.policy.path_latency import PathLatency
+from wheathill.policy.probing import ProbeScheduler
+from wheathill.policy.retry_budget import RetryBudget
+from wheathill.policy.server_selection import ServerSelector
+from wheathill.policy.slot_table import SlotTable
+from wheathill.policy.slow_start import SlowStartLimiter
+
+
+class Balancer:
+    """One proxy's decisions: wires the parts and hands them what happens."""
+
+    TICK = 1000.0
+    CONNECTION_LIFE = 10_000.0
+    EARLY = 5000.0
+    MOVE_FROM = 0.9
+    SILENCE = 1500.0
+    QUIET = 500.0
+
+    def __init__(
+        self,
+        actions,
+        rng,
+        *,
+        zone,
+        proxies,
+        report_names,
+        may_probe,
+        must_ask,
+        ask_every,
+        drain_grace,
+        sized,
+        start_share,
+        cold_for,
+        cold_multiple,
+        cold_window,
+        most_dials,
+        longest_wait,
+        crossing_price,
+        move_price,
+        passes_through,
+        budget=None,
+        gone_binds=True,
+        nines=0.0,
+        tells_late=False,
+        number=None,
+        slots=4096,
+    ):
+        self.actions, self.passes_through = actions, passes_through
+        self.uniform = rng.uniform
+        self.table = SlotTable(
+            rng.choice,
+            size=slots,
+            least=4,
+            moved_share=0.2,
+            hard_time_out=10_000.0,
+            keys_kept=4096,
+            keys_age=60_000.0,
+            zone=zone,
+            near=self.nearness(crossing_price, move_price),
+            reach=32,
+        )
+        self.levels = LoadEstimator(
+            report_names,
+            proxies,
+            fresh=5 * self.TICK,
+            together=self.TICK,
+            floor=5.0,
+            late=0.5 * self.TICK,
+            full=0.8 - 0.3 * nines,
+            late_for=1.5 * self.TICK,
+            tells_late=tells_late,
+        )
+        self.longest_spread = min(ask_every / 2, LIST_LONGEST)
+        self.roster = EndpointList(
+            actions,
+            must_ask,
+            min(self.longest_spread, proxies * LIST_CALL),
+            drain_grace,
+            sized,
+            rng.uniform,
+            gone_binds,
+        )
+        self.health = OutlierDetector(
+            pause=250.0,
+            stood=0.4 * self.EARLY,
+            memory=self.CONNECTION_LIFE,
+            shared_memory=5000.0,
+        )
+        self.ways = PathLatency(fresh=5 * self.TICK)
+        self.cold = SlowStartLimiter(
+            self.levels,
+            start_share,
+            cold_for,
+            cold_multiple,
+            cold_window,
+            rng.uniform(0.0, proxies) if number is None else number,
+            proxies,
+        )
+        self.budget = RetryBudget(*(budget or (0.0, 0.0, 0.0)))
+        admission = AdmissionControl(
+            actions,
+            rng.uniform,
+            self.health,
+            longest_wait,
+            most_set_ups=256,
+            least_set_ups=1 / 32,
+            pause=250.0,
+            cut_wait=500.0,
+            hold=self.EARLY,
+        )
+        self.probes = ProbeScheduler(
+            actions,
+            may_probe,
+            a_session=3.0,
+            every=0.9 * self.TICK,
+            near_full=self.levels.full / 2,
+        )
+        self.placement = ServerSelector(
+            actions,
+            self.table,
+            self.levels,
+            self.roster,
+            self.health,
+            self.ways,
+            self.cold,
+            self.budget,
+            self.probes,
+            most_dials,
+            most_asked=4,
+            recent=0.4 * self.TICK,
+        )
+        self.dialling = AttemptRunner(
+            actions,
+            self.table,
+            self.levels,
+            self.health,
+            self.cold,
+            self.budget,
+            alive=self.TICK,
+        )
+        self.next_probes = deque()
+        self.first = admission
+        for earlier, later in (
+            (admission, self.placement),
+            (self.placement, self.dialling),
+        ):
+            earlier.next, later.before = later, earlier
+
+    @staticmethod
+    def nearness(crossing_price, move_price):
+        """How much more an own-zone server weighs. Tables that differ by zone cost resets when a
+        connection's packets come to another zone, so it must pay well against moving clients."""
+        return (
+            min(8.0, max(1.0, crossing_price / (2 * move_price))) if move_price else 1.0
+        )
+
+    def on_start(self, now):
+        self.roster.begin(now)
+        self.cold.since = now
+        # Proxies that start together would otherwise probe every server in the same instant.
+        self.actions.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+
+    def on_list(self, now, kind, entries):
+        joined, left = self.roster.update(now, kind, entries)
+        self.table.update(now, joined, dict.fromkeys(left), self.roster.servers)
+        for server in joined:
+            # In unlike order at each proxy, or all would probe the same servers first.
+            server.asked = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
+        for what, servers in (("joined", joined), ("left", left)):
+            if servers:
+                self.actions.log(
+                    f"list: {len(servers)} {what}, {len(self.roster.servers)} ready"
+                )
+
+    def on_hand(self, now, name, out, server):
+        """A server is left out by hand, or put back, also if it is not listed now (`server` None). It drains
+        as by list, and comes back as one that has just started: it may have, before any list tells so."""
+        held = self.roster.out
+        if out:
+            held.setdefault(name, now)
+        elif name in held:
+            self.roster.back[name] = held.pop(name), now
+        if server is not None and (server.phase is Phase.READY) is out:
+            self.on_list(
+                now,
+                ListKind.BY_HAND,
+                [(server, server.listed, server.weight, server.started)],
+            )
+
+    def on_fleet(self, now, share):
+        """This proxy's part of what all may do together, as far as it knows who is there."""
+        self.levels.take_share(share)
+        self.roster.spread = min(self.longest_spread, LIST_CALL / max(share, 1e-6))
+
+    def on_witnesses(self, now, failing, here):
+        """Other proxies' sight: `failing` ones fail for them all and are tried by one session at a time, like
+        those that failed here; of those that fail `here` alone the way is to blame, and nothing shared."""
+        for server in failing:
+            if not self.health.ill(now, server):
+                server.results.extend([(now, False)] * 2)
+        self.health.dials = deque(
+            (dial for dial in self.health.dials if dial[1] not in here),
+            maxlen=self.health.dials.maxlen,
+        )
+
+    def on_session(self, now, sess):
+        # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
+        # connections pay: a proxy that takes over from another knows little of what it is handed.
+        self.budget.took(now)
+        if sess.mid_flow or not (sess.repeat or sess.returning):
+            self.probes.session(self.roster.servers)
+        self.first.enter(now, sess)
+
+    def on_open_session(self, now, sess, server):
+        sess.slot = self.table.slot(sess)
+        sess.server = server
+        sess.dials.append(Dial(server, now))
+        self.dialling.accepted(now, sess)
+
+    def on_carried(self, now, sess, server):
+        """A session that another process of this proxy set up."""
+        sess.slot = self.table.slot(sess)
+        sess.server = server
+        sess.dials.append(Dial(server, sess.accepted))
+        server.sessions[sess] = None
+        self.table.accepted(now, sess)
+
+    def on_accepted(self, now, sess):
+        self.dialling.accepted(now, sess)
+
+    def on_outcome(self, now, sess, outcome, closed):
+        self.forget(sess)
+        if outcome is Outcome.RESET and sess.accepted is not None:
+            self.health.broke(now, sess.server, sess.accepted)
+            if now - sess.accepted < self.EARLY:
+                self.first.failed(now)
+        if closed or sess.ended:
+            self.on_hang_up(now, sess)
+        else:
+            if outcome is Outcome.CONNECT_FAILED:
+                self.second_witness(now, sess.server)
+            self.dialling.back(now, sess, outcome)
+
+    def on_hang_up(self, now, sess):
+        sess.ended = True
+        self.first.under_way.pop(sess, None)
+        self.forget(sess)
+
+    def forget(self, sess):
+        if sess.server is not None and sess in sess.server.sessions:
+            del sess.server.sessions[sess]
+            self.table.ended(sess)
+
+    def on_notice(self, now, sess, load=None, message_ms=None):
+        if load is not None:
+            sess.load = load
+        if (
+            message_ms is not None
+            and message_ms > sess.listener.message_target
+            and sess.server
+        ):
+            # Where the way alone takes so long the server is not to blame.
+            far = self.ways.slow(now, sess.server, sess.listener.message_target)
+            self.levels.told_late(
+                now,
+                sess.server,
+                0.0 if far else message_ms / sess.listener.message_target,
+            )
+
+    def on_probed(self, now, server, outcome, report):
+        sent, server.probed = server.probed, None
+        if outcome is Outcome.COMPLETED:
+            if sent is not None:
+                self.ways.took(now, server, now - sent)
+            server.silent = 0
+            self.levels.sample(now, server, report)
+        elif outcome is not Outcome.FULL:
+            # One that has too many probes to answer is not a silent one.
+            server.silent += 1
+            self.second_witness(now, server)
+        self.placement.answered(
+            now, server, outcome in (Outcome.COMPLETED, Outcome.FULL)
+        )
+
+    def second_witness(self, now, server):
+        if server.doubted:
+            left = {}
+            self.roster.lose(now, server, Phase.GONE, left)
+            self.roster.keep_ready()
+            self.table.update(now, [], left, self.roster.servers)
+            self.actions.log("list: 1 left, it gives no answer either")
+
+    def on_report(self, now, server, report):
+        self.levels.sample(now, server, report)
+
+    def on_unanswered(self, now, sess, waited):
+        """A line got nothing back: its server or the way there is gone without a word. Where two wait and
+        nothing at all came from there meanwhile, the others need not find out one by one."""
+        server = sess.server
+        if waited >= self.SILENCE:
+            self.actions.move(sess)
+        elif now - server.heard >= self.QUIET and server.unheard not in (None, sess):
+            server.silent = 2 if self.probes.allowed else 0
+            self.actions.log(
+                f"move: {len(server.sessions)} connections off a server that says nothing"
+            )
+            self.send_away(list(server.sessions), 1)
+        server.unheard = sess
+
+    def on_heard(self, now, server):
+        server.heard, server.unheard = now, None
+
+    def on_stop(self, now, last):
+        """Asked again and again until the end, so that those accepted meanwhile are sent away as well. Where
+        packets pass through, connections go on without this proxy."""
+        if not self.passes_through:
+            self.send_away(
+                [sess for held in self.table.sessions for sess in held],
+                1 if last else 4,
+            )
+
+    def send_away(self, sessions, parts):
+        """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
+        are set up anew, and at once they would swamp what set-ups depend on."""
+        for sess in sessions[: math.ceil(len(sessions) / parts)]:
+            self.actions.move(sess)
+
+    def on_alarm(self, now, name):
+        if name == "follow":
+            self.roster.ask(now)
+        elif name == "tick":
+            self.actions.alarm("tick", now + self.TICK)
+            self.tick(now)
+        elif name.startswith("wait "):
+            self.placement.out_of_patience(now, int(name[5:]))
+        elif name == "probe" and self.next_probes:
+            server = self.next_probes.popleft()
+            if server.phase is Phase.READY:
+                self.probes.send(now, server)
+
+    def tick(self, now):
+        self.table.close(now)
+        self.levels.believe(now, self.roster.servers)
+        warm = [
+            server for server in self.roster.servers if not self.cold.cold(now, server)
+        ]
+        self.levels.learn(now, warm)
+        levels = self.levels.levels(now, self.roster.servers)
+        shifted = self.table.halve(
+            now,
+            levels,
+            self.CONNECTION_LIFE,
+            lambda server: (
+                not self.health.ill(now, server) and not self.cold.cold(now, server)
+            ),
+        )
+        if shifted:
+            self.actions.log(
+                f"shift: {shifted[1]} slots off a server on level {levels[shifted[0]]}"
+            )
+        self.relieve(now)
+        self.table.serving = {
+            server: None for server in self.table.serving if server.sessions
+        }
+        for server in [
+            server for server in self.table.serving if server.phase is Phase.DRAINING
+        ]:
+            # In three ticks: servers were seen to end 3.2 s after this proxy was told.
+            self.send_away(
+                list(server.sessions), max(1, 3 - int((now - server.told) / self.TICK))
+            )
+        due = self.probes.due(
+            now, self.roster.servers, self.levels.figures(now, self.roster.servers)
+        )
+        self.next_probes = deque(due)
+        for place in range(len(due)):
+            self.actions.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
+
+    def relieve(self, now):
+        """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
+        connections outlive the trouble. They act from the load at which messages miss while other servers
+        have room, and from full capacity in any case: past it nobody there is served, and those
+        who must wait outside cost less. Whole slots go, so that a group is not spread; half the excess
+        at a time, since reports lag behind the moves, but all of it past full capacity."""
+        full = self.levels.full
+        loads = {
+            server: load
+            for server, load in self.levels.figures(now, self.roster.servers).items()
+            if self.levels.of_capacity and not self.health.silent(server)
+        }
+        room = sum(full - load for load in loads.values()) > 0
+        late = [
+            server
+            for server in self.roster.servers
+            if self.levels.late_now(now, server)
+        ]
+        for server in dict.fromkeys(chain(loads, late)):
+            load = loads.get(server, 1.0)
+            if load < (self.MOVE_FROM if room else 1.0) or now < server.move_after:
+                continue
+            excess = 1 - (0.75 if room else 1.0) * full / load
+            # By chance in proportion: rounded up by hundreds of proxies that hold one each, all would go.
+            share = excess if load >= 1.0 else excess / 2
+            count = int(len(server.sessions) * share + self.uniform(0.0, 1.0))
+            for sess in sorted(
+                server.sessions,
+                key=lambda sess: (
+                    self.table.home[sess.slot] is server,
+                    -self.table.lowest[sess.slot],
+                ),
+            )[:count]:
+                self.actions.move(sess)
+            if count:
+                server.move_after = now + 2 * self.TICK
+                self.actions.log(
+                    f"move: {count} connections off a server at {load:.1f} of its capacity"
+                )
--- /dev/null
+++ b/wheathill/policy/load_estimator.py
@@ -0,0 +1,175 @@
+"""Load levels of servers, estimated from probes and from late messages."""
+
+import math
+from collections import deque
+from statistics import fmean, median
+
+
+class LoadEstimator:
+    """From the last few probe answers to doubling levels."""
+
+    def __init__(
+        self, names, proxies, fresh, together, late, full, late_for, floor, tells_late
+    ):
+        self.tells_late, self.together, self.late_for, self.late = (
+            tells_late,
+            together,
+            late_for,
+            late,
+        )
+        self.full, self.names, self.fresh = full, names, fresh
+        # Load over capacity says most; a queue or a count of connections only orders the servers.
+        self.source = next(
+            (name for name in ("x0", "util", "queue") if name in names), None
+        )
+        self.of_capacity = self.source in ("x0", "util")
+        self.share = 1.0 / proxies  # of what all proxies may do together
+        # Until some connections are held: this proxy's part of a few dozen in all.
+        self.bearable = 40.0 * self.share
+        self.found = deque(maxlen=5)  # the last of what it was found to be
+        self.firm = deque(
+            maxlen=5
+        )  # the same, since sessions came slowly for the first time
+        self.held = 0.0  # on a warm server, a tick ago
+        # A proxy that has just started holds nothing on servers that others have loaded: without a floor it
+        # took each of its connections for a whole server and refused nearly all.
+        self.floor = floor
+        self.base = 1.0 if self.source == "queue" else 0.25
+
+    def sample(self, now, server, report):
+        if self.source and report and len(report) == len(self.names):
+            if (
+                figure := report[self.names.index(self.source)]
+            ) is not None and 0 <= figure < math.inf:
+                server.samples.append((now, figure))
+
+    def figure(self, now, server):
+        # Smoothed over two that lie close together: an older one says how it was before the rush.
+        samples = (
+            server.samples
+        )  # two at most: asked for of dozens of servers a session
+        if not samples or samples[-1][0] <= now - self.fresh:
+            return None
+        (earlier, first), (when, last) = samples[0], samples[-1]
+        return (
+            (first + last) / 2 if earlier > when - self.together else last
+        ) * server.doubt
+
+    def figures(self, now, servers):
+        """Of those that have one: with hundreds of proxies each sees few servers at a time."""
+        return {
+            server: found
+            for server in servers
+            if (found := self.figure(now, server)) is not None
+        }
+
+    def learn(self, now, warm):
+        """What a warm server bears at full load, in this proxy's own connections. A proxy among hundreds
+        holds less than one a server: only those on all together, over their mean load, tell it."""
+        fresh = [
+            server
+            for server in warm
+            if self.of_capacity and self.age(now, server) < self.together
+        ]
+        loads = [
+            load / min(1.0, server.doubt)
+            for server, load in self.figures(now, fresh).items()
+        ]
+        held = sum(len(server.sessions) for server in warm) / max(1, len(warm))
+        if held and loads:
+            # Not the last alone: one odd report would count for all.
+            self.found.append(held / max(0.05, fmean(loads)))
+            self.bearable = median(self.found)
+            # Loads are told later than sessions come: after a start, while they come fast, more stands there
+            # than was reported. A first finding of six times the truth pushed all cold servers over.
+            if self.firm or held <= 1.5 * self.held:
+                self.firm.append(self.found[-1])
+        self.held = held
+
+    @property
+    def borne(self):
+        """The same, as far as cold servers may be filled by it."""
+        return median(self.firm) if self.firm else min(self.bearable, 40.0 * self.share)
+
+    def take_share(self, share):
+        """What is found follows a larger share by itself, but a smaller one too late."""
+        less = min(1.0, share / self.share) if self.share else 1.0
+        self.found, self.firm = (
+            deque((each * less for each in kept), 5) for kept in (self.found, self.firm)
+        )
+        self.bearable = self.bearable * less if self.found else 40.0 * share
+        self.share = share
+
+    def expected(self, now, server):
+        """The probed load with what this proxy has dialled since; 0 when nothing is known. Without
+        it all sessions between two probes would crowd onto the server that looked best."""
+        figure = self.figure(now, server) if self.of_capacity else None
+        if figure is None:
+            return 0.0
+        since = server.samples[-1][0] - self.late
+        return figure + sum(when > since for when in server.dialled) / max(
+            self.floor, self.bearable
+        )
+
+    def told_late(self, now, server, times):
+        """Evidence before belief: where messages miss their target a server is near full at least, whatever
+        it reports; so late as `times` the target, and again within 3 s. Each second without such a notice
+        takes a part of the doubt back, more where connections of this proxy stand there to tell."""
+        again = now - server.late < 2 * self.late_for
+        server.late = now
+        figure = self.figure(now, server) if self.of_capacity else None
+        if figure and times and again:
+            server.doubt = min(
+                8.0, server.doubt * max(1.0, 0.95 * min(1.0, times) / figure)
+            )
+
+    def believe(self, now, servers):
+        """Also the other way: one that says it is past its capacity while this proxy's connections there
+        hear nothing late says too much. Where late ones are not told, nothing speaks against it."""
+        for server in servers:
+            if server.doubt > 1.0 and not self.late_now(now, server):
+                server.doubt = max(
+                    1.0, server.doubt * (0.85 if server.sessions else 0.93)
+                )
+            elif (
+                self.tells_late
+                and now - server.late > self.fresh
+                and server.doubt <= 1.0
+            ):
+                first = next(iter(server.sessions), None)
+                over = (self.figure(now, server) or 0.0) >= server.doubt
+                if (
+                    not over
+                    or first
+                    and first.accepted is not None
+                    and now - first.accepted > self.fresh
+                ):
+                    server.doubt = (
+                        max(0.5, server.doubt * 0.9)
+                        if over
+                        else min(1.0, server.doubt * 1.01)
+                    )
+
+    def late_now(self, now, server):
+        """Told, free of any probe, that messages there miss their target: it is full, by how much unknown."""
+        return now - server.late < self.late_for
+
+    def age(self, now, server):
+        return now - server.samples[-1][0] if server.samples else math.inf
+
+    def level(self, figure):
+        return 0 if figure < self.base else 1 + int(math.log2(figure / self.base))
+
+    def levels(self, now, servers):
+        if self.source:
+            known = self.figures(now, servers)
+        else:
+            mean = fmean([len(server.sessions) for server in servers] or [0]) or 1.0
+            known = {server: len(server.sessions) / mean for server in servers}
+        found = {server: self.level(figure) for server, figure in known.items()}
+        if 2 * len(found) < len(servers):
+            # Exception: with most unknown a level says nothing against the others'. Tables of hundreds of
+            # proxies, each shifted by the few figures it happened to see, drift apart, and groups with them.
+            found = {}
+        middle = int(median(found.values())) if found else 0
+        return {server: found.get(server, middle) for server in servers}
