--- /dev/null
+++ b/tests/golden_edges.py
@@ -0,0 +1,103 @@
+"""Adapters of the recordings at the operators' edges: one place for each name of the program that may change."""
+
+import pathlib
+from typing import Any
+
+from wheathill import __main__ as program
+from wheathill.config import Misconfigured, node_of, read_node
+from wheathill.net import bans, log
+from wheathill.net.operators import OperatorsDoor
+from wheathill.peers.control import Control
+
+FIGURES = "figures"  # the event whose line tells the counts
+
+
+class Sink:
+    """Stands in for a connection: keeps what is sent. Has all that the program's machines ask of one."""
+
+    def __init__(self) -> None:
+        self.sent, self.closed = b"", False
+        self.carrier = self
+        self.limits = None
+
+    def send(self, *parts: bytes) -> None:
+        """Keeps bytes."""
+        self.sent += b"".join(parts)
+
+    def part(self) -> None:
+        """Closes after what was sent."""
+        self.closed = True
+
+    close = abort = part
+
+    def drop(self, handles: tuple) -> None:
+        """Has no descriptors."""
+
+
+def call_with_peers(proxy: Any, instance: Any, data: bytes) -> bytes:
+    """Returns the answer of a proxy's HTTP endpoint that also has the path of its peers."""
+    door, wire = OperatorsDoor(proxy), Sink()
+    door.paths["/peers"] = {"GET": (instance.table,)}
+    call = door.call(wire)
+    call.connected()
+    call.received(data)
+    return wire.sent
+
+
+def control_answer(instance: Any, clock: Any, limits: Any, data: bytes) -> Sink:
+    """Feeds the control socket of an instance with one caller's bytes."""
+    wire = Sink()
+    control = Control(wire, instance.answer, limits, clock)
+    control.connected()
+    control.received(data)
+    return wire
+
+
+def counts_for_log(instance: Any) -> dict:
+    """Returns what an instance adds to the figures in the log."""
+    return instance.figures()
+
+
+def maintenance_path(values: dict, folder: str | None) -> str | None:
+    """Returns the path of the file of servers in maintenance, of a platform's configuration."""
+    return bans.path_of(node_of(values, {"state": folder}))
+
+
+def write_maintenance(path: pathlib.Path, out: dict[str, float]) -> None:
+    """Writes the file of servers in maintenance."""
+    bans.write(str(path), out)
+
+
+def read_maintenance(path: pathlib.Path) -> dict[str, float]:
+    """Reads the file of servers in maintenance."""
+    return bans.read(str(path), 1000)
+
+
+def platform_error(values: Any) -> str:
+    """Returns the error of a platform's configuration, or nothing."""
+    try:
+        node_of(values)
+    except Misconfigured as wrong:
+        return str(wrong)
+    return ""
+
+
+def environment_error(environment: dict[str, str]) -> str:
+    """Returns the error of the platform's environment, or nothing."""
+    try:
+        read_node(environment)
+    except Misconfigured as wrong:
+        return str(wrong)
+    return ""
+
+
+def start_program() -> int:
+    """Starts the program in this process, as the platform does; returns its exit code."""
+    return program.main()
+
+
+def log_line(descriptor: int, event: str, fields: dict) -> None:
+    """Writes one line of the log."""
+    writer = log.Log("n0", 10, descriptor)
+    writer(event, **fields)
+    writer.close()
