--- a/tests/drive.py
+++ b/tests/drive.py
@@ -453,7 +453,7 @@
         "test_worlds",
         "test_members",
         "test_store",
-        "test_journal",
+        "test_write_ahead_log",
         "test_operations",
         "test_rare_lists",
         "test_rare_dials",
--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -18,10 +18,19 @@
 import msgspec
 import pytest
 
-from wheathill.lab.cores import copies as lab_copies
-from wheathill.store.journal import Journal
+from wheathill.lab.cores import store_cluster
+from wheathill.store.anti_entropy import (
+    AntiEntropy,
+    AntiEntropyConfig,
+    AntiEntropyTimer,
+)
+from wheathill.store.entries import decode_entry
+from wheathill.store.entry_key import EntryKey, EntryKind
+from wheathill.store.eviction import StoreLimits
+from wheathill.store.messages import decode_message, encode_message
 from wheathill.store.replica import Replica
-from wheathill.store.sync import Sync
+from wheathill.store.snapshot import ReplicaSnapshot
+from wheathill.store.write_ahead_log import WriteAheadLog
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CLUSTER = "golden"
@@ -33,77 +42,93 @@
 # All names of the package that this file touches, beside the imports, stand in this part.
 
 
+LIMITS = StoreLimits(max_entries=225, max_bytes=100_000)
+CONFIG = AntiEntropyConfig(
+    request_interval_ms=500.0, push_delay_ms=5.0, reply_timeout_ms=400.0
+)
+RECORDED_TIMERS = {AntiEntropyTimer.PUSH: "push", AntiEntropyTimer.REQUEST: "ask"}
+
+
 class Node:
     """One member: a replica, its exchange with the others, and its directory."""
 
     def __init__(self, cluster, name, folder):
         self.cluster, self.name = cluster, name
-        self.log = Journal(str(folder), CLUSTER)
-        self.replica = Replica(
-            name, "g1", self.write, most_cells=225, most_bytes=100_000
-        )
-        self.sync = Sync(
+        self.log = WriteAheadLog(str(folder), CLUSTER)
+        self.replica = Replica(name, "g1", self.persist, LIMITS)
+        self.anti_entropy = AntiEntropy(
             self,
             random.Random(f"golden/{name}"),
             self.replica,
-            lambda: list(cluster.reachable),
-            lambda: list(cluster.reachable),
-            every=500.0,
-            gather=5.0,
-            patience=400.0,
+            CONFIG,
+            live_members=lambda: list(cluster.reachable),
+            collection_members=lambda: list(cluster.reachable),
         )
 
-    def write(self, key, cell):
-        self.log.append([["cell", list(key), None if cell is None else cell.words()]])
+    def persist(self, key, entry):
+        encoded = None if entry is None else entry.encode()
+        self.log.append([["cell", list(key), encoded]])
 
-    def send(self, member, words):
-        self.cluster.send(self.name, member, msgspec.msgpack.encode(words))
+    def send(self, member, message):
+        self.cluster.send(self.name, member, encode_message(message))
 
-    def alarm(self, at, what):
-        self.cluster.lines.append(f"{self.name} timer {what} at {at!r}")
-        self.cluster.after(at, lambda: self.sync.on_alarm(self.cluster.now, what))
+    def set_timer(self, at_ms, timer):
+        recorded = RECORDED_TIMERS[timer]
+        self.cluster.lines.append(f"{self.name} timer {recorded} at {at_ms!r}")
+        self.cluster.after(
+            at_ms, lambda: self.anti_entropy.on_timer(self.cluster.now, timer)
+        )
 
     def start(self):
-        self.sync.start(self.cluster.now)
+        self.anti_entropy.start(self.cluster.now)
 
     def receive(self, member, data):
-        self.sync.on_message(self.cluster.now, member, msgspec.msgpack.decode(data))
+        self.anti_entropy.on_message(self.cluster.now, member, decode_message(data))
 
     def change(self, name, *args):
         """One change or question by its general name; its result goes into the transcript."""
         replica, now = self.replica, self.cluster.now
         calls = {
-            "set": replica.set,
-            "delete": replica.delete,
-            "count": replica.add,
-            "forget": replica.forget_counts,
-            "add": replica.include,
-            "remove": replica.exclude,
-            "acquire": lambda key, term: replica.acquire(key, now, term),
-            "holds": lambda key: replica.holds(key, now),
-            "lease": replica.lease,
-            "register": replica.get,
-            "counter": replica.count,
-            "elements": replica.members,
+            "set": replica.set_register,
+            "delete": replica.delete_register,
+            "count": replica.add_to_counter,
+            "forget": replica.delete_counter_parts,
+            "add": replica.add_element,
+            "remove": replica.remove_element,
+            "acquire": lambda key, term: replica.leases.acquire(key, now, term),
+            "holds": lambda key: replica.leases.holds(key, now),
+            "lease": lambda key: replica.leases.current(key).encode()[:2],
+            "register": replica.get_register,
+            "counter": replica.counter_value,
+            "elements": replica.set_elements,
         }
         result = calls[name](*args)
-        self.sync.changed(now)
+        self.anti_entropy.schedule_push(now)
         return result
 
     def digest(self):
         return self.replica.digest()
 
     def image(self):
-        return self.replica.image()
+        return self.replica.snapshot().encode()
 
     def save(self):
         """Writes a snapshot, and the vectors into the log that begins behind it."""
-        self.log.snapshot(self.replica.image())
+        self.log.write_snapshot(self.image())
         self.save_vectors()
 
     def save_vectors(self):
-        replica = self.replica
-        self.log.append([["seen", replica.seen, replica.collected, replica.floor]])
+        tombstones = self.replica.tombstones
+        self.log.append(
+            [
+                [
+                    "seen",
+                    self.replica.version_vector,
+                    tombstones.collected,
+                    tombstones.collected_time,
+                ]
+            ]
+        )
         self.log.sync()
 
     def close(self):
@@ -112,66 +137,80 @@
 
 def read_directory(folder):
     """What is read from a directory, and a replica that is started from it."""
-    log = Journal(str(folder), CLUSTER)
-    image, tail = log.image, log.tail
-    result = {"torn": log.torn, "damage": [list(each) for each in log.damage]}
+    log = WriteAheadLog(str(folder), CLUSTER)
+    image, tail = log.last_snapshot, log.records
+    result = {"torn": log.torn_bytes, "damage": [list(each) for each in log.damage]}
     log.close()
-    replica = Replica("a", "g2", lambda *_: None, most_cells=225, most_bytes=100_000)
+    replica = Replica("a", "g2", lambda *_: None, LIMITS)
     if image is not None:
-        replica.load(image, 7.0)
-    for kind, *fields in tail:
-        if kind == "seen":
-            replica.seen, replica.collected = dict(fields[0]), dict(fields[1])
-            replica.floor = fields[2]
+        replica.load_snapshot(ReplicaSnapshot.decode(image), 7.0)
+    for record_kind, *fields in tail:
+        if record_kind == "seen":
+            replica.load_vectors(*fields)
         else:
-            replica.load_cell(tuple(fields[0]), fields[1], 7.0)
-    replica.own_seen("a/g1")
+            (kind, *rest), encoded = fields
+            entry = None if encoded is None else decode_entry(kind, encoded)
+            replica.load_entry(EntryKey(EntryKind(kind), *rest), entry, 7.0)
+    replica.cover_own_changes("a/g1")
     return {
         **result,
         "snapshot": hashed(image),
         "records": len(tail),
         "all records": hashed(tail),
-        "loaded": hashed(replica.image()),
+        "loaded": hashed(replica.snapshot().encode()),
         "digest": replica.digest(),
     }
 
 
+def recorded_form(record):
+    """A record of a member's disk in the play of random faults, as it was recorded."""
+    if isinstance(record, store_cluster.LoggedEntry):
+        return ["cell", record.key, record.encoded]
+    return ["seen", record.version_vector, record.collected, record.collected_time]
+
+
 def play(seed, monkeypatch):
     """A play of random changes and faults: hashes of all messages, timers and records, and the digest."""
     sent, timers = hashlib.blake2b(digest_size=16), hashlib.blake2b(digest_size=16)
-    send, alarm = lab_copies.Copy.send, lab_copies.Copy.alarm
+    member_type = store_cluster.StoreMember
+    send, set_timer = member_type.send, member_type.set_timer
     count = itertools.count()
 
-    def recorded_send(self, member, words):
+    def recorded_send(self, member, message):
         next(count)
-        data = msgspec.msgpack.encode(words)
+        data = encode_message(message)
         sent.update(f"{self.clock.now()!r} {self.name} {member} ".encode() + data)
-        send(self, member, words)
-
-    def recorded_alarm(self, at, what):
-        timers.update(f"{self.clock.now()!r} {self.name} {at!r} {what}".encode())
-        alarm(self, at, what)
-
-    monkeypatch.setattr(lab_copies.Copy, "send", recorded_send)
-    monkeypatch.setattr(lab_copies.Copy, "alarm", recorded_alarm)
-    equal, digests, copies = lab_copies.converges(
-        seed, most_cells=25 if seed % 4 == 0 else 100_000
-    )
+        send(self, member, message)
+
+    def recorded_set_timer(self, at_ms, timer):
+        recorded = RECORDED_TIMERS[timer]
+        timers.update(f"{self.clock.now()!r} {self.name} {at_ms!r} {recorded}".encode())
+        set_timer(self, at_ms, timer)
+
+    monkeypatch.setattr(member_type, "send", recorded_send)
+    monkeypatch.setattr(member_type, "set_timer", recorded_set_timer)
+    limits = StoreLimits(25, 10_000_000) if seed % 4 == 0 else store_cluster.NO_LIMITS
+    result = store_cluster.run_random_faults(seed, limits=limits)
+    cluster = result.cluster
     disks = [
-        [disk.last, [[*record] for record in disk.records], disk.synced]
-        for disk in copies.disks.values()
+        [
+            disk.last_replica_id,
+            list(map(recorded_form, disk.records)),
+            disk.synced_count,
+        ]
+        for disk in cluster.disks.values()
     ]
-    evicted = sum(copy.replica.evicted for copy in copies.copies.values())
+    replicas = [member.replica for member in cluster.members.values()]
     return {
-        "converged": equal,
+        "converged": result.has_converged,
         "messages": next(count),
-        "message_bytes": copies.bytes,
+        "message_bytes": cluster.sent_bytes,
         "sent": sent.hexdigest(),
         "timers": timers.hexdigest(),
         "records": hashed(disks),
-        "images": hashed([copy.replica.image() for copy in copies.copies.values()]),
-        "evicted": evicted,
-        "digests": sorted(set(digests.values())),
+        "images": hashed([replica.snapshot().encode() for replica in replicas]),
+        "evicted": sum(replica.evicted_count for replica in replicas),
+        "digests": sorted(set(result.digests.values())),
     }
 
 
