--- a/tests/exactness/cores.py
+++ b/tests/exactness/cores.py
@@ -12,9 +12,10 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheathill.lab.cores.copies import converges
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.lab.cores.members import Cluster, measure
+from wheathill.lab.cores.store_cluster import NO_LIMITS, run_random_faults
+from wheathill.store.eviction import StoreLimits
 
 Found = dict[str, Any]
 
@@ -52,12 +53,15 @@
 
 def play_store(seed: int) -> Found:
     """Random changes and faults at five copies, with room and with little."""
+    few = StoreLimits(max_entries=8, max_bytes=NO_LIMITS.max_bytes)
     shown, digests = [], []
-    for first, more in ((seed * 100, {}), (seed * 100 + 50, {"most_cells": 8})):
+    for first, limits in ((seed * 100, NO_LIMITS), (seed * 100 + 50, few)):
         for each in range(first, first + 8):
-            equal, found, copies = converges(each, **more)
-            shown.append([equal, copies.faults.sent, copies.bytes])
-            digests.append([str(digest) for digest in found.values()])
+            ended = run_random_faults(each, limits=limits)
+            cluster = ended.cluster
+            sent = [cluster.faults.sent, cluster.sent_bytes]
+            shown.append([ended.has_converged, *sent])
+            digests.append([str(digest) for digest in ended.digests.values()])
     return {"shown": shown, "digests": digests}
 
 
--- a/tests/exactness/play.py
+++ b/tests/exactness/play.py
@@ -178,8 +178,11 @@
 
 
 def play_one(play: Play) -> Found:
-    """Plays a script or a core."""
-    return play_core(play) if play.name in CORE_NAMES else play_script(play)
+    """Plays a script or a core; one that fails is a finding that is never recorded."""
+    try:
+        return play_core(play) if play.name in CORE_NAMES else play_script(play)
+    except (PlayError, subprocess.TimeoutExpired) as error:
+        return {"failed": str(error)}
 
 
 def all_names() -> list[str]:
@@ -242,13 +245,20 @@
         if "not played" in each:
             print(f"not played: {key}: {each['not played']}")
     print("\n".join(lines) if lines else "all figures are the same")
-    played = sum("not played" not in each for each in found.values())
-    print(f"{played} plays, {len(found) - played} not played, {len(lines)} differences")
+    unplayed = sum("not played" in each for each in found.values())
+    failed = sum("failed" in each for each in found.values())
+    played = len(found) - unplayed - failed
+    ended = f"{played} plays, {unplayed} not played, {failed} failed"
+    print(f"{ended}, {len(lines)} differences")
     return 1 if lines else 0
 
 
 def record(found: dict[str, Found], complete: bool) -> int:
     """Records the found figures; those of plays that were not asked for stay."""
+    failed = [each["failed"] for each in found.values() if "failed" in each]
+    if failed:
+        print("\n".join([*failed, "nothing recorded"]))
+        return 1
     save_recorded(found if complete else {**load_recorded(), **found})
     print(f"{len(found)} plays recorded")
     return 0
--- a/tests/test_exactness.py
+++ b/tests/test_exactness.py
@@ -2,6 +2,7 @@
 
 import copy
 import json
+import subprocess
 
 import pytest
 
@@ -117,3 +118,19 @@
     assert play.digest_events([one]) == play.digest_events([renamed])
     assert play.digest_events([one]) != play.digest_events([later])
     assert play.digest_events([one, later]) != play.digest_events([later, one])
+
+
+def test_a_play_that_fails_is_a_difference_and_never_recorded(
+    tmp_path, monkeypatch, capsys
+):
+    """It is told beside the others' figures, and keeps the record as it was."""
+    ended = subprocess.CompletedProcess([], 3, "", "a traceback")
+    monkeypatch.setattr(play, "run_process", lambda command: ended)
+    names = ["cores/store", "experiments/budget.toml"]
+    found = play.play_all(names, 2, play.SEEDS[:1])
+    assert play.compare(found, complete=False) == 1
+    assert "0 plays, 0 not played, 2 failed" in capsys.readouterr().out
+    monkeypatch.setattr(play, "RECORDED", tmp_path / "recorded.json")
+    assert play.record(found, complete=True) == 1
+    assert "a traceback" in capsys.readouterr().out
+    assert not (tmp_path / "recorded.json").exists()
