--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -6,8 +6,14 @@
 import pytest
 
 from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
-from wheathill.peers.facts import AGREED, ALONE, CUT_OFF, DOUBT, Facts
+from wheathill.peers.cluster_view import (
+    UNANSWERED_PROBES,
+    ClusterView,
+    ClusterViewConfig,
+    ViewState,
+)
 from wheathill.peers.frames import Dropped, Seal, Window
+from wheathill.peers.messages import ViewHeader, ZonedViewHeader
 from wheathill.peers.peer_health_reports import (
     HealthObservation,
     HealthReport,
@@ -80,44 +86,60 @@
     assert other.open(one.close(2, ["again"])) == ("a", 1, ["again"])
 
 
-def settled(facts, now, names):
-    for place, name in enumerate(names):
-        facts.member(now, name, place + 10, "alive", False)
-    for place, name in enumerate(names):
-        facts.told(name, place + 10, facts.digest(), True, 4.0)
-    return facts.look(now, 0)
-
-
-def test_shares_shrink_at_once_and_grow_with_certainty():
-    facts = Facts(0.0, "a", 1, 5, (), aged=3000.0, silence=0.0)
-    assert (
-        facts.state == ALONE and facts.share(0.0) == 1 / 6
-    )  # and one that may have been before
-    assert settled(facts, 100.0, "bcde") == AGREED
-    assert facts.share(4000.0) == 1 / 5
-    facts.member(5000.0, "b", 10, "dead", False)
-    assert facts.look(5000.0, 0) == DOUBT and facts.share(50_000.0) == 1 / 5
-    facts.member(51_000.0, "b", 10, "dead", True)
-    assert facts.share(51_000.0) == 1 / 5 and facts.share(54_000.0) == 1 / 4
-    facts.member(
-        55_000.0, "c", 99, "alive", False
-    )  # c anew: the one before may still count
-    assert facts.share(55_000.0) == 1 / 5
+def cluster_view(name="a", generation=1, expected_proxies=5, **options):
+    config = ClusterViewConfig(name, generation, expected_proxies, **options)
+    return ClusterView(config, 0.0)
+
+
+def report(view, source, generation, digest, is_established, capacity_estimate):
+    header = ViewHeader(digest, is_established, capacity_estimate)
+    view.record_report(source, generation, header)
+
+
+def converge(view, now_ms, names):
+    for number, name in enumerate(names):
+        view.update_member(now_ms, name, number + 10, "alive", False)
+    for number, name in enumerate(names):
+        report(view, name, number + 10, view.digest(), True, 4.0)
+    return view.update_state(now_ms, 0)
+
+
+def test_quotas_shrink_at_once_and_grow_with_certainty():
+    view = cluster_view(ended_process_hold_ms=3000.0)
+    # Alone, and a process that may have run before it.
+    assert view.state == ViewState.STANDALONE and view.quota(0.0) == 1 / 6
+    assert converge(view, 100.0, "bcde") == ViewState.CONVERGED
+    assert view.quota(4000.0) == 1 / 5
+    view.update_member(5000.0, "b", 10, "dead", False)
+    assert view.update_state(5000.0, 0) == ViewState.DIVERGED
+    assert view.quota(50_000.0) == 1 / 5
+    view.update_member(51_000.0, "b", 10, "dead", True)
+    assert view.quota(51_000.0) == 1 / 5 and view.quota(54_000.0) == 1 / 4
+    # c was started anew: its process before may still count.
+    view.update_member(55_000.0, "c", 99, "alive", False)
+    assert view.quota(55_000.0) == 1 / 5
     for name in "fgh":
-        facts.member(60_000.0, name, 7, "alive", False)
-    assert facts.share(60_000.0) == 1 / 7
+        view.update_member(60_000.0, name, 7, "alive", False)
+    assert view.quota(60_000.0) == 1 / 7
+
 
+def test_a_new_process_takes_no_quota_while_others_may_still_answer():
+    view = cluster_view(startup_silence_ms=3000.0)
+    assert view.quota(2999.0) == 0.0 and not view.may_stand_alone(2999.0)
+    assert view.quota(3000.0) == 1 / 5 and view.may_stand_alone(3000.0)
 
-def test_cut_off_where_most_are_out_of_reach():
-    facts = Facts(0.0, "a", 1, 5, (), aged=0.0, silence=0.0)
-    settled(facts, 0.0, "bcde")
-    for name, birth in (("b", 10), ("c", 11)):
-        facts.member(1.0, name, birth, "dead", False)
-    assert facts.look(1.0, 0) == DOUBT
-    facts.member(2.0, "d", 12, "dead", False)
-    assert facts.look(2.0, 0) == CUT_OFF
-    assert Facts(0.0, "a", 1, 5, ("a", "b", "c"), aged=0.0, silence=0.0).fleet(0.0) == 3
-    assert facts.look(3.0, Facts.UNANSWERED) == CUT_OFF
+
+def test_partitioned_where_most_are_out_of_reach():
+    view = cluster_view()
+    converge(view, 0.0, "bcde")
+    for name, generation in (("b", 10), ("c", 11)):
+        view.update_member(1.0, name, generation, "dead", False)
+    assert view.update_state(1.0, 0) == ViewState.DIVERGED
+    view.update_member(2.0, "d", 12, "dead", False)
+    assert view.update_state(2.0, 0) == ViewState.PARTITIONED
+    named = cluster_view(expected_members=("a", "b", "c"))
+    assert named.max_active_proxies(0.0) == 3
+    assert view.update_state(3.0, UNANSWERED_PROBES) == ViewState.PARTITIONED
 
 
 def test_no_split_with_newcomers_on_any_side_sums_past_the_whole():
@@ -138,36 +160,47 @@
             here = side + fresh
             views = {}
             for name in here:
-                facts = views[name] = Facts(
-                    -1e9, name, here.index(name) + 1, 1, (), aged=1.0, silence=0.0
+                view = views[name] = ClusterView(
+                    ClusterViewConfig(
+                        name, here.index(name) + 1, 1, ended_process_hold_ms=1.0
+                    ),
+                    -1e9,
                 )
-                facts.old = name in side
+                view.is_established = name in side
                 for other in old + fresh:
                     if other != name:
-                        facts.member(
+                        view.update_member(
                             0.0,
                             other,
                             (here + old).index(other) + 1,
                             "alive" if other in here else "dead",
                             False,
                         )
-                        facts.there[other].old = other in old
-            told = [name for name in here if chance.random() < 0.8]
-            for name, facts in views.items():
-                for other in told:
+                        view.members[other].is_established = other in old
+            reporting = [name for name in here if chance.random() < 0.8]
+            for name, view in views.items():
+                for other in reporting:
                     if other != name:
-                        facts.told(
-                            other,
-                            here.index(other) + 1,
-                            views[other].digest(),
-                            other in side,
-                            1.0,
-                        )
-                facts.state = DOUBT
-            total += sum(facts.share(0.0) for facts in views.values())
+                        generation = here.index(other) + 1
+                        digest = views[other].digest()
+                        report(view, other, generation, digest, other in side, 1.0)
+                view.state = ViewState.DIVERGED
+            total += sum(view.quota(0.0) for view in views.values())
         assert total <= 1.0 + 1e-9, seed
 
 
+def test_headers_are_read_as_they_were_written():
+    header = ViewHeader("ab", True, 2.345)
+    assert header.encode() == ("ab", True, 2.35)
+    assert ViewHeader.decode(["ab", 1, 2.35]) == ViewHeader("ab", True, 2.35)
+    zoned = ZonedViewHeader("east", ViewHeader("ab", False, 1.0), 3, 77)
+    assert zoned.encode() == ("east", "ab", False, 1.0, 3, 77)
+    assert ZonedViewHeader.decode(list(zoned.encode())) == zoned
+    for fields in (["ab", True], ["ab", True, 1.0, 2]):
+        with pytest.raises((ValueError, TypeError)):
+            ViewHeader.decode(fields)
+
+
 def test_drains_come_back_only_by_something_newer():
     drains = DrainRegistry()
 
@@ -241,51 +274,45 @@
         HealthReport.decode(["g", 1])
 
 
-def test_rights_to_dial_a_cold_server_are_whole_and_the_same_everywhere():
-    names, views = [f"n{place}" for place in range(7)], []
-    for name in names:
-        facts = Facts(0.0, name, names.index(name) + 10, 7, (), aged=0.0, silence=0.0)
-        for place, other in enumerate(names):
+def permits(views, server):
+    return {name: view.permit(server, 2.0, 0.25) for name, view in views.items()}
+
+
+def test_permits_for_a_warming_server_are_whole_and_the_same_everywhere():
+    names = [f"n{number}" for number in range(7)]
+    generations = {name: number + 10 for number, name in enumerate(names)}
+    views = {name: cluster_view(name, generations[name], 7) for name in names}
+    for name, view in views.items():
+        for other in names:
             if other != name:
-                facts.member(0.0, other, place + 10, "alive", False)
-        facts.old = True
-        views.append(facts)
-    for facts in views:
-        for other in views:
-            if other is not facts:
-                facts.told(other.name, other.birth, other.digest(), True, 2.0)
-    for facts in views:
-        facts.look(0.0, 0)
+                view.update_member(0.0, other, generations[other], "alive", False)
+        view.is_established = True
+    for name, view in views.items():
+        for other in names:
+            if other != name:
+                digest = views[other].digest()
+                report(view, other, generations[other], digest, True, 2.0)
+    for view in views.values():
+        view.update_state(0.0, 0)
     for server in ("g1", "g2", "g3"):
-        rights = [
-            facts.right(server, 2.0, 0.25) for facts in views
-        ]  # 14 borne: 3.5 dials a window
-        assert sorted(rights) == [0.0] * 4 + [1.0] * 3
-        # Cut in two, each side names the same.
-        for facts in views[:3]:
+        # Of a capacity of 14 a quarter: 3.5 attempts a window.
+        before = permits(views, server)
+        assert sorted(before.values()) == [0.0] * 4 + [1.0] * 3
+        # Split in two, each side names the same.
+        for name in names[:3]:
             for other in names[3:]:
-                facts.member(1.0, other, names.index(other) + 10, "dead", False)
-        assert [facts.right(server, 2.0, 0.25) for facts in views] == rights
-        # A certain death passes on one right at the most.
-        gone = names[rights.index(1.0)]
-        for facts in views:
-            if facts.name != gone:
-                facts.member(2.0, gone, names.index(gone) + 10, "dead", True)
-        after = [
-            facts.right(server, 2.0, 0.25) for facts in views if facts.name != gone
-        ]
-        assert (
-            sum(after) == 3.0
-            and sum(
-                a > b
-                for a, b in zip(
-                    after, [right for name, right in zip(names, rights) if name != gone]
-                )
-            )
-            == 1
-        )
-        for facts in views:
-            if facts.name != gone:
-                facts.member(3.0, gone, names.index(gone) + 10, "alive", False)
-                facts.there[gone].old = True
-    assert views[0].right("g1", 2.0, 1.0) == 2.0  # enough for all: its own part
+                views[name].update_member(1.0, other, generations[other], "dead", False)
+        assert permits(views, server) == before
+        # A certain death passes on one permit at the most.
+        gone = next(name for name in names if before[name] == 1.0)
+        left = {name: view for name, view in views.items() if name != gone}
+        for view in left.values():
+            view.update_member(2.0, gone, generations[gone], "dead", True)
+        after = permits(left, server)
+        assert sum(after.values()) == 3.0
+        assert sum(after[name] > before[name] for name in left) == 1
+        for view in left.values():
+            view.update_member(3.0, gone, generations[gone], "alive", False)
+            view.members[gone].is_established = True
+    # Enough for all: its own part.
+    assert views["n0"].permit("g1", 2.0, 1.0) == 2.0
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -4,7 +4,7 @@
 
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
-from wheathill.peers.facts import AGREED, CUT_OFF
+from wheathill.peers.cluster_view import ViewState
 
 ZONES = {"a1": ("a", 5), "a2": ("a", 4), "b1": ("b", 5), "c1": ("c", 4)}
 PARTS = {"a1": 5 / 18, "a2": 4 / 18, "b1": 5 / 18, "c1": 4 / 18}
@@ -164,8 +164,10 @@
     region = [*fleet.names["a1"], *fleet.names["a2"]]
     fleet.cut(region)
     fleet.run(30)
-    assert fleet.peers[wrong].state() == CUT_OFF
-    assert {fleet.peers[name].state() for name in fleet.names["a2"]} == {AGREED}
+    assert fleet.peers[wrong].state() == ViewState.PARTITIONED
+    assert {fleet.peers[name].state() for name in fleet.names["a2"]} == {
+        ViewState.CONVERGED
+    }
     fleet.cut(region, False)
     assert (
         fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -10,7 +10,7 @@
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers.board import Board
-from wheathill.peers.facts import AGREED, CUT_OFF, DOUBT
+from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.frames import Seal
 from wheathill.peers.membership import ALIVE, COMPARE, STATE, WANT, Membership
 from wheathill.peers.zoned import DIFFER, HAVE, ZonedPeers
@@ -18,7 +18,7 @@
 
 WALL = 1_800_000_000_000.0
 KEY = b"k" * 32
-SUMMARY = [AGREED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
+SUMMARY = [ViewState.CONVERGED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
 
 
 def board(zones=("e", "w")):
@@ -221,7 +221,9 @@
     written = []
     for second in range(600):
         for each, at_work in ((one, 3), (other, 4)):
-            if each.write(second * 1000.0, [AGREED, at_work, *SUMMARY[2:]]):
+            if each.write(
+                second * 1000.0, [ViewState.CONVERGED, at_work, *SUMMARY[2:]]
+            ):
                 written.append(second)
     assert len(written) < 40 and sum(second >= 300 for second in written) < 12
     assert one.write(601_000.0, held.summary("e")[4]) is None  # nothing new
@@ -232,17 +234,21 @@
     assert one.out_of_reach(14_000.0) == [] and len(one.due(1000.0)) == 2
     one.spoke(10_000.0, "w")
     assert one.out_of_reach(16_000.0) == ["v"]
-    one.write(16_000.0, [AGREED, 3, 3, "ab", ["v"], 1, []])
+    one.write(16_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v"], 1, []])
     assert (
-        one.state("w", AGREED) == DOUBT and one.region_state(AGREED) == AGREED
+        one.state("w", ViewState.CONVERGED) == ViewState.DIVERGED
+        and one.region_state(ViewState.CONVERGED) == ViewState.CONVERGED
     )  # nothing told of it yet
     next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.board)
     next_one.listen(16_500.0)
     assert next_one.out_of_reach(17_000.0) == ["v"]
     next_one.spoke(17_500.0, "v")
     assert next_one.out_of_reach(18_000.0) == []
-    one.write(30_000.0, [AGREED, 3, 3, "ab", ["v", "w"], 1, []])
-    assert one.region_state(AGREED) == CUT_OFF and one.fleet_state(AGREED) == DOUBT
+    one.write(30_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v", "w"], 1, []])
+    assert (
+        one.region_state(ViewState.CONVERGED) == ViewState.PARTITIONED
+        and one.fleet_state(ViewState.CONVERGED) == ViewState.DIVERGED
+    )
 
 
 # Limits
@@ -274,7 +280,7 @@
 
 
 def through(held, zone, version):
-    value = [AGREED, 4, 4, "ab", [], version, []]
+    value = [ViewState.CONVERGED, 4, 4, "ab", [], version, []]
     held.write_summary(zone, "x", value)
 
 
@@ -474,9 +480,11 @@
     before = {name: peers.shared for name, peers in fleet.peers.items()}
     fleet.cut(region)
     fleet.run(30)
-    assert {state[1] for state in fleet.states(region)} == {CUT_OFF}
-    assert {state[0] for state in fleet.states()} == {AGREED}
-    assert {state[1:] for state in fleet.states(rest)} == {(AGREED, DOUBT)}
+    assert {state[1] for state in fleet.states(region)} == {ViewState.PARTITIONED}
+    assert {state[0] for state in fleet.states()} == {ViewState.CONVERGED}
+    assert {state[1:] for state in fleet.states(rest)} == {
+        (ViewState.CONVERGED, ViewState.DIVERGED)
+    }
     assert {name: peers.shared for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -2,7 +2,7 @@
 programs."""
 
 from wheathill.peers.drain_registry import DrainRegistry
-from wheathill.peers.facts import Facts
+from wheathill.peers.cluster_view import ClusterView
 from wheathill.peers.frames import Seal
 from wheathill.peers.instance import Peers
 from wheathill.peers.links import Knock
@@ -14,12 +14,12 @@
 
 def counts_only_the_alive():
     """A share of those that are seen alive, as if the others did nothing."""
-    Facts.fleet = lambda self, now: 1 + len(self.reached())
+    ClusterView.max_active_proxies = lambda self, now: 1 + len(self.reachable_names())
 
 
 def forgets_who_is_cut_off():
-    told = Facts.member
-    Facts.member = lambda self, now, name, birth, state, certain: told(
+    told = ClusterView.update_member
+    ClusterView.update_member = lambda self, now, name, birth, state, certain: told(
         self, now, name, birth, state, certain or state == DEAD
     )
 
@@ -127,7 +127,7 @@
 def goes_by_the_file():
     """No mutant, but for comparison: the file's number decides, whoever is there."""
     Balancer.on_fleet = lambda self, now, share: None
-    Facts.right = lambda self, server, bears, unit: unit * bears
+    ClusterView.permit = lambda self, server, bears, unit: unit * bears
 
 
 def speaks_another_version():
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -146,11 +146,11 @@
     peers.told = replace(peers.told, seeds=())
     peers.membership.joined = True
     peers.membership.sync_wait = peers.membership.sync_every
-    peers.facts.old = True
-    peers.facts.ended.clear()
-    digest = peers.facts.digest()
-    for known in peers.facts.there.values():
-        known.old, known.digest = True, digest
+    peers.cluster_view.is_established = True
+    peers.cluster_view.ended_at_ms.clear()
+    digest = peers.cluster_view.digest()
+    for known in peers.cluster_view.members.values():
+        known.is_established, known.digest = True, digest
 
 
 class Hollow:
@@ -361,12 +361,12 @@
         """How many of this process's members know as many as there are, by zones where they know zones, and agree."""
         found = Counter()
         for hollow in self.running():
-            facts = hollow.peers.facts
+            view = hollow.peers.cluster_view
             found["members"] += 1
-            found["agreed"] += facts.state == "agreed"
-            found["cut off"] += facts.state == "cut off"
+            found["agreed"] += view.state == "agreed"
+            found["cut off"] += view.state == "cut off"
             found["know all"] += (
-                len(facts.there) + 1 == names[self.layout.zone(hollow.number)]
+                len(view.members) + 1 == names[self.layout.zone(hollow.number)]
             )
         return found
 
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -9,10 +9,11 @@
 
 from wheathill.peers.control import Control
 from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
-from wheathill.peers.facts import ALONE, CUT_OFF, Facts
+from wheathill.peers.cluster_view import ClusterView, ClusterViewConfig, ViewState
 from wheathill.peers.frames import Seal
 from wheathill.peers.links import Links
 from wheathill.peers.membership import ALIVE, DEAD, LEFT, STATE, SUSPECT, Membership
+from wheathill.peers.messages import ViewHeader
 from wheathill.peers.peer_health_reports import (
     HealthObservation,
     HealthReport,
@@ -33,10 +34,6 @@
 )
 
 
-def bounded(bears):
-    return min(1e6, max(0.0, float(bears)))
-
-
 def told(share):
     return f"{share:.3f}" if share >= 0.01 else f"{share:.2g}"
 
@@ -75,14 +72,18 @@
             differences=told.layout is not None,
         )
         others = [seed for seed in told.seeds if seed != told.advertise_address]
-        self.facts = Facts(
+        silence_ms = self.SILENCE * told.probe_interval_ms if others else 0.0
+        self.expected_proxies = meant
+        self.cluster_view = ClusterView(
+            ClusterViewConfig(
+                name=told.name,
+                generation=birth,
+                expected_proxies=meant,
+                expected_members=tuple(told.expected_members),
+                ended_process_hold_ms=self.AGED,
+                startup_silence_ms=silence_ms,
+            ),
             now,
-            told.name,
-            birth,
-            meant,
-            told.expected_members,
-            self.AGED,
-            self.SILENCE * told.probe_interval_ms if others else 0.0,
         )
         self.health_reports = PeerHealthReports(self.FRESH)
         self.drains, self.starts = DrainRegistry(), StartRegistry()
@@ -127,11 +128,12 @@
         self.say(address, words, bulk=words[0] == STATE)
 
     def say(self, address, words, bulk=False):
-        self.links.send(address, [*self.beliefs(), words], bulk)
+        self.links.send(address, [*self.header().encode(), words], bulk)
 
-    def beliefs(self):
+    def header(self):
         """What each message says of this one's view."""
-        return self.facts.digest(), self.facts.old, round(self.bears(), 2)
+        view = self.cluster_view
+        return ViewHeader(view.digest(), view.is_established, self.bears())
 
     def bears(self):
         return self.proxy.balancer.levels.borne
@@ -153,7 +155,9 @@
 
     def changed(self, member, old):
         now = self.clock.now()
-        self.facts.member(now, member.name, member.birth, member.state, member.certain)
+        self.cluster_view.update_member(
+            now, member.name, member.birth, member.state, member.certain
+        )
         if member.state in (DEAD, LEFT):
             self.health_reports.forget_source(member.name)
         by = list(member.accusers) if member.state == SUSPECT else None
@@ -183,9 +187,10 @@
             self.links.drop("nonsense", address or name)
 
     def take(self, now, name, birth, address, words):
-        digest, old, bears, (kind, *rest) = words
+        *header, (kind, *rest) = words
+        header = ViewHeader.decode(header)
         self.meets(now, name, birth, address)
-        self.facts.told(name, birth, digest, bool(old), bounded(bears))
+        self.cluster_view.record_report(name, birth, header)
         if kind == DRAINS:
             records = [DrainRecord.decode(fields) for fields in rest[0]]
             self.apply(self.drains.merge(name, birth, records))
@@ -220,7 +225,9 @@
         """Evidence counts where this instance is not cut off, and from members that are there."""
         member = self.membership.members.get(name)
         return (
-            self.facts.state != CUT_OFF and member is not None and member.state == ALIVE
+            self.cluster_view.state != ViewState.PARTITIONED
+            and member is not None
+            and member.state == ALIVE
         )
 
     # What follows
@@ -235,7 +242,10 @@
         self.note()
         now_told, self.telling = self.telling[: self.TELLS], self.telling[self.TELLS :]
         own = self.sight(now)
-        if self.facts.state not in (CUT_OFF, ALONE):
+        if self.cluster_view.state not in (
+            ViewState.PARTITIONED,
+            ViewState.STANDALONE,
+        ):
             # The bad first: what is well is known to be so by most.
             seen = sorted(own.items(), key=lambda item: (item[1].health, item[0]))[
                 : self.MOST_SEEN
@@ -266,7 +276,7 @@
     def note(self):
         """Every message tells the digest of this view; one that has changed is told at once, so that all know soon
         that they agree."""
-        noted = self.facts.digest(), self.facts.old
+        noted = self.cluster_view.digest(), self.cluster_view.is_established
         if noted != self.noted:
             self.noted = noted
             self.tell_all([NOTE])
@@ -277,17 +287,18 @@
                 self.say(member.address, words)
 
     def look(self, now):
-        self.facts.apart = self.membership.alone
-        before, since = self.facts.state, self.facts.since
-        state = self.facts.look(now, self.membership.unanswered)
+        view = self.cluster_view
+        view.is_isolated = self.membership.alone
+        before, since = view.state, view.state_since_ms
+        state = view.update_state(now, self.membership.unanswered)
         if state != before:
             self.log_event(
                 "peers are",
-                state=state,
-                was=before,
+                state=state.value,
+                was=before.value,
                 after=round(now - since),
-                reached=len(self.facts.reached()),
-                fleet=self.facts.fleet(now),
+                reached=len(self.cluster_view.reachable_names()),
+                fleet=self.cluster_view.max_active_proxies(now),
             )
         share = self.share(now)
         if share != self.shared:
@@ -296,11 +307,11 @@
 
     def share(self, now):
         """This proxy's part of what all may do together, between 0 and 1."""
-        return self.facts.share(now)
+        return self.cluster_view.quota(now)
 
     def right(self, server, unit):
-        """Dials in a window that this proxy may send a cold server (`Facts.right`)."""
-        return self.facts.right(server, self.bears(), unit)
+        """Dials in a window that this proxy may send a cold server (`ClusterView.permit`)."""
+        return self.cluster_view.permit(server, self.bears(), unit)
 
     def sight(self, now):
         """By server, the last that this proxy has seen of each itself."""
@@ -323,7 +334,7 @@
     def judge_servers(self, now, own):
         verdict = (
             self.health_reports.verdict(now, own)
-            if self.facts.state != CUT_OFF
+            if self.cluster_view.state != ViewState.PARTITIONED
             else HealthVerdict()
         )
         servers = self.proxy.servers
@@ -409,10 +420,10 @@
 
     def table(self):
         now = self.clock.now()
-        facts, membership = self.facts, self.membership
+        view, membership = self.cluster_view, self.membership
         members = []
         for name in sorted(membership.members):
-            member, known = membership.members[name], facts.there.get(name)
+            member, known = membership.members[name], view.members.get(name)
             members.append(
                 {
                     "name": name,
@@ -427,18 +438,18 @@
                     else [],
                     "surely_gone": member.certain or member.state == LEFT,
                     "agrees": known is not None
-                    and known.digest == facts.digest()
+                    and known.digest == view.digest()
                     or member is membership.me,
                 }
             )
         return {
             "name": self.told.name,
             "cluster": self.told.cluster,
-            "state": facts.state,
-            "since_s": round((now - facts.since) / 1000, 1),
+            "state": view.state.value,
+            "since_s": round((now - view.state_since_ms) / 1000, 1),
             "digest": membership.digest(),
             "alone": membership.alone,
-            "fleet": facts.fleet(now),
+            "fleet": view.max_active_proxies(now),
             "share": round(self.share(now), 6),
             "members": members,
             "differs": self.differs(now),
@@ -447,14 +458,14 @@
 
     def differs(self, now):
         """What this proxy does because of its peers, and would not do without."""
-        facts = self.facts
-        if facts.state == CUT_OFF:
+        view = self.cluster_view
+        if view.state == ViewState.PARTITIONED:
             found = [
                 "is cut off: serves with what it has, tells and takes no evidence of servers"
             ]
         else:
             found = []
-        if facts.fleet(now) != facts.meant:
+        if view.max_active_proxies(now) != self.expected_proxies:
             found.append(
                 f"takes {told(self.share(now))} of what all may do, {told(self.meant_share())} by its file"
             )
@@ -484,14 +495,14 @@
         return found
 
     def meant_share(self):
-        return 1 / self.facts.meant
+        return 1 / self.expected_proxies
 
     def figures(self):
         now = self.clock.now()
         return {
-            "state": self.facts.state,
-            "reached": len(self.facts.reached()),
-            "fleet": self.facts.fleet(now),
+            "state": self.cluster_view.state.value,
+            "reached": len(self.cluster_view.reachable_names()),
+            "fleet": self.cluster_view.max_active_proxies(now),
             "share": round(self.share(now), 6),
             **self.links.figures(),
         }
--- a/wheathill/peers/show.py
+++ b/wheathill/peers/show.py
@@ -6,7 +6,7 @@
 import click
 
 from wheathill.config import Misconfigured, checked, operator
-from wheathill.peers.facts import AGREED
+from wheathill.peers.cluster_view import ViewState
 
 WAIT = 5.0  # s
 
@@ -142,4 +142,8 @@
         return 2 if "wrong" in found else 0
     found = ask(control, {"compare": True} if compare else {})
     click.echo(json.dumps(found, indent=2) if as_json else "\n".join(lines(found)))
-    return 0 if found["state"] == AGREED and not found.get("views_differ") else 1
+    return (
+        0
+        if found["state"] == ViewState.CONVERGED and not found.get("views_differ")
+        else 1
+    )
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -8,8 +8,9 @@
 
 from wheathill.model import Phase
 from wheathill.peers.board import SERVER, Board
-from wheathill.peers.facts import AGREED, ALONE
-from wheathill.peers.instance import NOTE, Peers, bounded
+from wheathill.peers.cluster_view import ViewState
+from wheathill.peers.instance import NOTE, Peers
+from wheathill.peers.messages import ZonedViewHeader
 from wheathill.peers.zones import (
     AT_WORK,
     DELEGATES,
@@ -42,7 +43,7 @@
         super().__init__(told, proxy, carrier, clock, log, birth, meant)
         self.seal.VERSION = self.VERSION
         # Who starts out of everyone's reach can't know that others took over the part of the process before it.
-        self.facts.least = meant
+        self.cluster_view.minimum_proxies = meant
         self.wall = lambda: clock.to_wall(clock.now())
         self.board = Board([zone.name for zone in told.layout.zones], check)
         self.zones = Zones(
@@ -69,21 +70,21 @@
 
     # Words
 
-    def beliefs(self):
-        return (
+    def header(self):
+        return ZonedViewHeader(
             self.told.zone,
-            self.facts.digest(),
-            self.facts.old,
-            round(self.bears(), 2),
+            super().header(),
             self.told.layout.version,
             self.board.digest,
         )
 
     def take(self, now, name, birth, address, words):
-        zone, digest, old, bears, layout, board, (kind, *rest) = words
+        *header, (kind, *rest) = words
+        header = ZonedViewHeader.decode(header)
+        zone, layout = header.zone, header.layout_version
         if zone == self.told.zone:
             self.meets(now, name, birth, address)
-            self.facts.told(name, birth, digest, bool(old), bounded(bears), int(layout))
+            self.cluster_view.record_report(name, birth, header.view, int(layout))
         elif zone in self.zones.others:
             self.zones.spoke(now, zone)
         else:
@@ -95,7 +96,7 @@
             self.follow(now, name, address, kind, rest)
         else:
             raise ValueError(f"{kind!r} is not said between zones")
-        if board == self.board.digest:
+        if header.table_digest == self.board.digest:
             self.same_at = now
             self.answers.clear()
         elif address is not None:
@@ -294,26 +295,27 @@
     def state(self):
         """Of the own zone; one of a single member is agreed with itself."""
         return (
-            AGREED
-            if self.facts.state == ALONE and self.zones.own.proxies <= 1
-            else self.facts.state
+            ViewState.CONVERGED
+            if self.cluster_view.state == ViewState.STANDALONE
+            and self.zones.own.proxies <= 1
+            else self.cluster_view.state
         )
 
     def summary(self, now, delegates):
-        facts = self.facts
+        view = self.cluster_view
         layouts = [
             self.told.layout.version,
-            *(known.layout for known in facts.there.values()),
+            *(known.layout_version for known in view.members.values()),
         ]
         return [
-            self.state(),
-            facts.fleet(now),
-            1 + len(facts.reached()),
-            facts.digest() if facts.all_told() else "",
+            self.state().value,
+            view.max_active_proxies(now),
+            1 + len(view.reachable_names()),
+            view.digest() if view.have_all_reported_same() else "",
             sorted(self.zones.out_of_reach(now)),
             max(
                 self.zones.through(self.told.zone),
-                0 if facts.unseen() else min(layouts),
+                0 if view.unseen_count() else min(layouts),
             ),
             [[name, address] for name, _, address in delegates],
         ]
@@ -325,7 +327,8 @@
         super().tick()
         delegates = self.delegates()
         alone = (
-            self.facts.state == ALONE and now < self.facts.speaks
+            self.cluster_view.state == ViewState.STANDALONE
+            and not self.cluster_view.may_stand_alone(now)
         )  # others may be on the way
         if delegates and delegates[0][0] == self.told.name and not alone:
             record = self.zones.write(now, self.summary(now, delegates))
@@ -344,26 +347,28 @@
             self.states = states
             self.log_event(
                 "zones are",
-                region=states[0],
-                fleet=states[1],
+                region=states[0].value,
+                fleet=states[1].value,
                 out_of_reach=self.zones.unreached(),
             )
 
     def zones_say(self):
         """What the own zone's summary confirms."""
-        self.facts.confirmed = self.zones.said(self.told.zone, DIGEST) or None
+        self.cluster_view.confirmed_digest = (
+            self.zones.said(self.told.zone, DIGEST) or None
+        )
 
     def note(self):
         """A view that has changed is told to the delegates, and again until the summary says that all have it."""
         now = self.clock.now()
-        noted = self.facts.digest(), self.facts.old
+        noted = self.cluster_view.digest(), self.cluster_view.is_established
         if noted != self.noted:
             self.noted, self.note_at, self.note_wait = (
                 noted,
                 now,
                 self.told.probe_interval_ms,
             )
-        elif self.facts.confirmed == noted[0]:
+        elif self.cluster_view.confirmed_digest == noted[0]:
             return
         if now >= self.note_at:
             self.note_at, self.note_wait = (
@@ -377,14 +382,14 @@
     # Limits
 
     def share(self, now):
-        return self.zones.part() * self.facts.share(now)
+        return self.zones.part() * self.cluster_view.quota(now)
 
     def meant_share(self):
-        return self.zones.own.quota / self.facts.meant
+        return self.zones.own.quota / self.expected_proxies
 
     def right(self, server, unit):
         return (
-            self.facts.right(server, self.bears(), unit, self.zones.rounded)
+            self.cluster_view.permit(server, self.bears(), unit, self.zones.rounded)
             if self.zones.part()
             else 0.0
         )
@@ -424,7 +429,7 @@
                     "region": zone.region,
                     "meant": zone.proxies,
                     "part": round(zone.quota, 6),
-                    "state": self.zones.state(zone.name, self.state()),
+                    "state": self.zones.state(zone.name, self.state()).value,
                     "at_work": said(AT_WORK),
                     "reached": said(REACHED),
                     "layout": said(LAYOUT),
@@ -438,9 +443,11 @@
             "region": self.zones.own.region,
             "layout": self.told.layout.version,
             "part": round(self.zones.part(), 6),
-            "fleet_at_work": self.zones.at_work(self.facts.fleet(now)),
-            "region_state": self.zones.region_state(self.state()),
-            "fleet_state": self.zones.fleet_state(self.state()),
+            "fleet_at_work": self.zones.at_work(
+                self.cluster_view.max_active_proxies(now)
+            ),
+            "region_state": self.zones.region_state(self.state()).value,
+            "fleet_state": self.zones.fleet_state(self.state()).value,
             "zones": rows,
             "board": len(self.board.records),
         }
--- a/wheathill/peers/zones.py
+++ b/wheathill/peers/zones.py
@@ -12,9 +12,9 @@
 import hashlib
 
 from wheathill.peers.board import version
-from wheathill.peers.facts import AGREED, ALONE, CUT_OFF, DOUBT
+from wheathill.peers.cluster_view import ViewState
 
-STATES = AGREED, DOUBT, CUT_OFF, ALONE
+STATES = tuple(ViewState)
 STATE, AT_WORK, REACHED, DIGEST, OUT_OF_REACH, LAYOUT, DELEGATES = range(
     7
 )  # of a summary
@@ -208,7 +208,9 @@
         """Of one zone as far as it is known here; `mine`: of the own one."""
         if zone == self.own.name:
             return mine
-        return DOUBT if zone in self.unreached() else self.said(zone, STATE, DOUBT)
+        if zone in self.unreached():
+            return ViewState.DIVERGED
+        return ViewState(self.said(zone, STATE, ViewState.DIVERGED))
 
     def unreached(self):
         """Zones out of reach, as the own delegates say; none where they have said nothing yet."""
@@ -221,7 +223,7 @@
         near = [zone for zone in self.others.values() if zone.region == self.own.region]
         out = self.unreached()
         if others and all(zone.name in out for zone in others):
-            return CUT_OFF
+            return ViewState.PARTITIONED
         return self.together([mine, *(self.state(zone.name, mine) for zone in near)])
 
     def fleet_state(self, mine):
@@ -231,7 +233,9 @@
 
     @staticmethod
     def together(states):
-        return AGREED if all(state == AGREED for state in states) else DOUBT
+        if all(state == ViewState.CONVERGED for state in states):
+            return ViewState.CONVERGED
+        return ViewState.DIVERGED
 
     def at_work(self, mine):
         """How many may be at work in all: as last said, or as the layout says where nothing was."""
