--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -14,7 +14,9 @@
 from turns import Turns
 from wheathill import daemon
 from wheathill.config import node_of
-from wheathill.handover.state import read_session, told_session
+from wheathill.handover.restore import build_session
+from wheathill.handover.session_codec import decode_session, encode_session
+from wheathill.handover.snapshot import collect_session
 from wheathill.lab.scale import table as slots
 from wheathill.lab.scale import walks
 from wheathill.model import Listener, Session
@@ -156,11 +158,20 @@
     def taken_over(self):
         client, server = self.up()
         ((sess, machine),) = self.proxy.clients.items()
-        told = told_session(machine, machine.dial)
+        fields = encode_session(collect_session(machine))
         handles = self.proxy.hand_over(sess, machine)
         del sess, machine
-        line, sess, more = read_session(told, self.proxy.listeners)
-        self.proxy.carry(line, sess, handles, **more)
+        record = decode_session(fields)
+        sess = build_session(record, self.proxy.listeners)
+        self.proxy.carry(
+            record.open_line,
+            sess,
+            handles,
+            came=record.requested_at_ms,
+            asked=record.unanswered_since_ms,
+            server=record.server_name,
+            rest=record.partial_line,
+        )
         del sess
         client.say("still here")
         self.turns.hears(server)
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -19,7 +19,7 @@
 import pytest
 
 from wheathill.config import node_of
-from wheathill.handover.upgrade import Upgrade
+from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.net.proxy import Proxy
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
@@ -175,7 +175,9 @@
         self.proxy.door = types.SimpleNamespace(
             hold=lambda on: None, close=lambda: None, waiting=False
         )
-        Upgrade(self.proxy, self.transport, self.proxy.clock, self.note).begin()
+        UpgradeCoordinator(
+            self.proxy, self.transport, self.proxy.clock, self.note
+        ).begin()
         self.receiver = self.transport.last_connection if beside else None
 
     def note(self, event, **values):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -16,9 +16,12 @@
 from drive import Rig, kept
 from test_net import LIMITS, Hand
 from wheathill.config import node_of
-from wheathill.handover import talk
-from wheathill.handover.state import VERSION, Told, tell
-from wheathill.handover.talk import Giver
+from wheathill.handover import sender as sender_module
+from wheathill.handover.messages import VERSION
+from wheathill.handover.sender import HandoverSender
+from wheathill.handover.snapshot import collect_snapshot
+from wheathill.handover.state_codec import encode_snapshot
+from wheathill.handover.state_receiver import StateReceiver
 from wheathill.model import ListKind, Session
 from wheathill.net import bans
 from wheathill.net.admin import Call, No
@@ -261,21 +264,18 @@
     table.sessions[slot][sess] = None
     table.redirect(70_000.0, slot, old.servers["a"])
     table.place(70_000.0, "moved", slot)
-    parts = [orjson.loads(orjson.dumps(part, default=tuple)) for part in tell(old)]
+    parts = state_messages(old)
 
     def took(proxy, parts):
-        told = Told(proxy.limits)
-        for part in parts:
-            told.take(*next(iter(part.items())))
-        told.apply(proxy)
-        return [orjson.loads(orjson.dumps(part, default=tuple)) for part in tell(proxy)]
+        apply_state(proxy, parts)
+        return state_messages(proxy)
 
     assert took(new, parts) == parts
     assert (
         not new.balancer.roster.may_dial(70_000.0, new.servers["d"], False)
         and new.seen == 7
     )
-    before = list(tell(third))
+    before = encoded_state(third)
     for at, part in enumerate(
         parts
     ):  # what is twisted, or lacks a part, changes nothing
@@ -293,7 +293,7 @@
         for wrong in (lacking, parts[:at] + [twisted] + parts[at + 1 :]):
             with pytest.raises(ValueError):
                 took(third, wrong)
-            assert list(tell(third)) == before
+            assert encoded_state(third) == before
 
 
 def large(servers=(), **limits):
@@ -325,26 +325,37 @@
     }
 
 
-def told_parts(proxy):
-    return [orjson.loads(orjson.dumps(part, default=tuple)) for part in tell(proxy)]
+def encoded_state(proxy):
+    return list(
+        encode_snapshot(
+            collect_snapshot(proxy), proxy.now(), proxy.limits.list_line / 2
+        )
+    )
+
+
+def state_messages(proxy):
+    """What a process sends of its state, as the other one reads it."""
+    return [
+        orjson.loads(orjson.dumps(part, default=tuple)) for part in encoded_state(proxy)
+    ]
 
 
-def taken(proxy, parts):
-    told = Told(proxy.limits)
+def apply_state(proxy, parts):
+    receiver = StateReceiver(proxy.limits)
     for part in parts:
-        told.take(*next(iter(part.items())))
-    told.apply(proxy)
+        receiver.add(*next(iter(part.items())))
+    receiver.apply(proxy)
 
 
 def test_a_table_of_another_size_is_filled_anew():
     """The build before had fewer slots: its servers and all else are taken, and its slots are not."""
     old, new = large("abc"), large()
-    parts = told_parts(old)
+    parts = state_messages(old)
     (table,) = (part["table"] for part in parts if "table" in part)
     for name in ("home", "current", "new"):
         table[name] = table[name][:512]
     table["new"][3], table["opened"] = 0, [[3, 70_000.0]]
-    taken(new, parts)
+    apply_state(new, parts)
     mine, theirs = new.balancer.table, old.balancer.table
     assert [server.name for server in mine.current] == [
         server.name for server in theirs.current
@@ -352,14 +363,14 @@
     assert mine.size == 4096 and not any(mine.new) and not mine.opened
     table["new"] = table["new"][:-1]
     with pytest.raises(ValueError):
-        taken(large(), parts)
+        apply_state(large(), parts)
 
 
 def test_the_ids_of_all_sessions_that_fit_go_over():
     """As many as the descriptors of one process allow, open ones and as many that are over."""
     old, new = (large(sockets=100_200) for _ in range(2))
     old.ids.update({f"id {number}": None for number in range(100_000)})
-    taken(new, told_parts(old))
+    apply_state(new, state_messages(old))
     assert list(new.ids) == list(old.ids)
 
 
@@ -369,13 +380,13 @@
     old, new = (large(names if place == 0 else (), memory_mb=32) for place in range(2))
     for server in old.servers.values():
         server.dialled.extend(70_000.0 + place / 7 for place in range(128))
-    parts = told_parts(old)
+    parts = state_messages(old)
     assert max(len(orjson.dumps(part)) for part in parts) < old.limits.list_line
     assert (
         sum(len(orjson.dumps(part)) for part in parts if "servers" in part)
         > 2 * old.limits.list_line
     )
-    taken(new, parts)
+    apply_state(new, parts)
     assert (
         list(new.servers) == names
         and new.servers[names[-1]].dialled == old.servers[names[-1]].dialled
@@ -391,10 +402,10 @@
         ("servers", limits.list_line // 40),
         ("moved", limits.ids + limits.names),
     ):
-        told = Told(limits)
-        told.take(name, ["x"] * most)
+        receiver = StateReceiver(limits)
+        receiver.add(name, ["x"] * most)
         with pytest.raises(ValueError):
-            told.take(name, ["x"])
+            receiver.add(name, ["x"])
 
 
 def test_a_release_of_all_servers_leaves_their_names_known():
@@ -423,7 +434,7 @@
             yield found
 
 
-def test_what_goes_over_next_is_found_without_a_walk_over_all():
+def test_what_goes_over_next_is_found_without_a_walk_over_all(monkeypatch):
     """All sessions go over, a few at a time: with a walk over all each time the old process stood still."""
     proxy = large(sockets=2000)
     proxy.clients = Counted(
@@ -431,18 +442,17 @@
     )
     proxy.hand_over = lambda sess, client: [sess, -sess]
     sent = []
-    giver = Giver(Hand("wire", []), proxy, None)
-    giver.wire.carrier = types.SimpleNamespace(sockets=0)
-    giver.say = lambda handles=(), **told: sent.append((handles, told))
-    giver.held = proxy.limits.own_sockets
-    state, talk.told_session = talk.told_session, lambda client, dial: {}
-    try:
-        for client in proxy.clients.values():
-            client.dial = None
-        giver.carry()
-    finally:
-        talk.told_session = state
-    ((handles, told),) = sent
+    sender = HandoverSender(Hand("wire", []), proxy, None)
+    sender.wire.carrier = types.SimpleNamespace(sockets=0)
+    sender.send_message = lambda message, handles=(): sent.append(
+        (handles, message.encode())
+    )
+    monkeypatch.setattr(sender_module, "collect_session", lambda client: None)
+    monkeypatch.setattr(sender_module, "encode_session", lambda record: {})
+    sender.send_sessions()
+    (held, batch) = sent
+    assert held == ((), {"held": proxy.limits.own_sockets})
+    handles, told = batch
     assert (
         len(told["sessions"]) == proxy.limits.carried
         and len(handles) == 2 * proxy.limits.carried
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -50,9 +50,9 @@
         inherited=node.listen_fd is not None,
     )
     if node.listen_fd is not None and node.state:
-        from wheathill.handover.upgrade import Upgrade
+        from wheathill.handover.coordinator import UpgradeCoordinator
 
-        Upgrade(proxy, carrier, clock, log).begin()
+        UpgradeCoordinator(proxy, carrier, clock, log).begin()
     else:
         proxy.start()
     # A list of thousands is held once, by the proxy.
--- /dev/null
+++ b/wheathill/handover/restore.py
@@ -0,0 +1,225 @@
+"""A proxy that has just been made, filled from another process's records.
+
+All that is to be set is built and checked beside what stands, then set: a state that
+cannot be used changes nothing.
+"""
+
+from collections.abc import Mapping, Sequence
+from dataclasses import dataclass
+
+from wheathill.handover.errors import HandoverError
+from wheathill.handover.records import (
+    DecisionsRecord,
+    HandoverSnapshot,
+    KeyRouteRecord,
+    ServerRecord,
+    SessionRecord,
+    SlotTableRecord,
+)
+from wheathill.model import Listener, Phase, Server, Session
+from wheathill.net.proxy import Proxy
+
+KeyRoutes = dict[str, tuple[Server, float]]  # key -> (server, since when)
+Attempts = list[tuple[float, Server, bool]]  # (when, where, whether it went well)
+
+
+@dataclass(slots=True)
+class _SlotTables:
+    preferred: list[Server | None]
+    current: list[Server | None]
+    new: list[Server | None]
+    transition_started_ms: dict[int, float]
+
+
+@dataclass(slots=True)
+class RestoredState:
+    """What a proxy is filled with: records with their servers in place of indexes."""
+
+    servers: dict[str, Server]
+    addresses: dict[Server, tuple[str, int]]
+    ready_servers: dict[Server, None]  # in order of name
+    slots: _SlotTables
+    moved_keys: KeyRoutes
+    exception_keys: KeyRoutes
+    attempts: Attempts
+    session_ids: list[str]
+    server_names: list[str]
+    decisions: DecisionsRecord
+
+    @classmethod
+    def build(cls, snapshot: HandoverSnapshot) -> "RestoredState":
+        """Build the servers and resolve all references to them.
+
+        Raises:
+            HandoverError: if parts of the state contradict each other.
+            IndexError: if a reference leads to no server.
+        """
+        servers = [build_server(record) for record in snapshot.servers]
+        by_name = {server.name: server for server in servers}
+        if len(by_name) < len(servers):
+            raise HandoverError("a server stands there twice")
+        addresses = {
+            server: record.address
+            for server, record in zip(servers, snapshot.servers, strict=True)
+            if record.address is not None
+        }
+        slots = _resolve_slots(snapshot.slots, servers)
+        moved_keys = _resolve_key_routes(snapshot.moved_keys, servers)
+        exception_keys = _resolve_key_routes(snapshot.exception_keys, servers)
+        ready_servers = {
+            server: None
+            for server in sorted(servers, key=lambda server: server.name)
+            if server.phase is Phase.READY
+        }
+        _check_ready_servers(ready_servers, slots, addresses)
+        return cls(
+            servers=by_name,
+            addresses=addresses,
+            ready_servers=ready_servers,
+            slots=slots,
+            moved_keys=moved_keys,
+            exception_keys=exception_keys,
+            attempts=[
+                (attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
+                for attempt in snapshot.decisions.attempts
+            ],
+            session_ids=snapshot.session_ids,
+            server_names=snapshot.server_names,
+            decisions=snapshot.decisions,
+        )
+
+    def apply(self, proxy: Proxy) -> None:
+        """Fill a proxy that has just been made; nothing here fails."""
+        proxy.servers.update(self.servers)
+        proxy.addresses.update(self.addresses)
+        proxy.ids.update(dict.fromkeys(self.session_ids))
+        proxy.names.update(dict.fromkeys(self.server_names))
+        self._apply_endpoint_list(proxy)
+        self._apply_slots(proxy)
+        self._apply_estimates(proxy)
+        # Versions count at one address.
+        if self.decisions.discovery_address == list(proxy.node.discovery or ()):
+            proxy.seen = self.decisions.list_version
+
+    def _apply_endpoint_list(self, proxy: Proxy) -> None:
+        endpoint_list = proxy.balancer.roster
+        endpoint_list.servers.update(self.ready_servers)
+        endpoint_list.out.update(self.decisions.maintenance_since_ms)
+        endpoint_list.back.update(self.decisions.maintenance_ended_ms)
+
+    def _apply_slots(self, proxy: Proxy) -> None:
+        table = proxy.balancer.table
+        routes = {"moved": self.moved_keys, "exceptions": self.exception_keys}
+        slots, transitions = {}, {}
+        if len(self.slots.current) == table.size:
+            slots = {"current": self.slots.current, "new": self.slots.new}
+            transitions = self.slots.transition_started_ms
+        # Of a build with fewer or more slots: filled anew, as by a list.
+        table.stand(list(self.ready_servers), slots, transitions, routes)
+
+    def _apply_estimates(self, proxy: Proxy) -> None:
+        balancer, decisions = proxy.balancer, self.decisions
+        balancer.levels.bearable = decisions.capacity_estimate
+        # What comes over comes fast, and was reported long ago.
+        balancer.levels.held = decisions.capacity_estimate
+        balancer.probes.earned = decisions.probe_credit
+        admission = balancer.first
+        admission.window = decisions.set_up_window
+        admission.cut_at = decisions.window_cut_at_ms
+        admission.next_at = decisions.next_set_up_at_ms
+        balancer.health.dials.extend(self.attempts)
+        balancer.budget.spent.extend(
+            (retry.at_ms, retry.utility) for retry in decisions.retries
+        )
+
+
+def build_server(record: ServerRecord) -> Server:
+    """Return the server of a record."""
+    server = Server(
+        record.name,
+        zone=record.zone,
+        cell=record.cell,
+        weight=record.weight,
+        started=record.started_at_ms,
+        phase=record.phase,
+        listed=record.listed_phase,
+    )
+    server.silent = record.unanswered_probes
+    server.doubted = record.is_leaving_unconfirmed
+    server.samples.extend(record.load_samples)
+    server.results.extend(record.results)
+    server.dialled.extend(record.attempt_times_ms)
+    server.told = record.left_at_ms
+    server.late = record.missed_target_at_ms
+    server.heard = record.last_received_at_ms
+    server.shift_after = record.next_shift_at_ms
+    server.move_after = record.next_migration_at_ms
+    server.asked = record.last_probe_at_ms
+    return server
+
+
+def build_session(record: SessionRecord, listeners: Mapping[str, Listener]) -> Session:
+    """Return the session of a record.
+
+    A listener that the settings no longer name keeps its name until its sessions end.
+    """
+    session = Session(
+        listener=listeners.get(record.listener_name) or Listener(record.listener_name),
+        key=record.key,
+        deadline=record.accepted_at_ms,
+        tenant=record.tenant,
+        group=record.group,
+        load=record.load,
+        mid_flow=record.is_mid_flow,
+        returning=record.is_returning,
+        repeat=record.is_repeat,
+    )
+    session.accepted = record.accepted_at_ms
+    return session
+
+
+def _resolve_slots(record: SlotTableRecord, servers: Sequence[Server]) -> _SlotTables:
+    tables = _SlotTables(
+        preferred=_resolve_indexes(record.preferred, servers),
+        current=_resolve_indexes(record.current, servers),
+        new=_resolve_indexes(record.new, servers),
+        transition_started_ms=record.transition_started_ms,
+    )
+    size = len(tables.preferred)
+    if len(tables.current) != size or len(tables.new) != size:
+        raise HandoverError("tables of unlike sizes")
+    if any(
+        slot >= size or tables.new[slot] is None
+        for slot in record.transition_started_ms
+    ):
+        raise HandoverError("a slot is said to move nowhere")
+    return tables
+
+
+def _resolve_indexes(
+    indexes: Sequence[int | None], servers: Sequence[Server]
+) -> list[Server | None]:
+    return [None if index is None else servers[index] for index in indexes]
+
+
+def _resolve_key_routes(
+    records: Sequence[KeyRouteRecord], servers: Sequence[Server]
+) -> KeyRoutes:
+    return {
+        record.key: (servers[record.server_index], record.since_ms)
+        for record in records
+    }
+
+
+def _check_ready_servers(
+    ready_servers: Mapping[Server, None],
+    slots: _SlotTables,
+    addresses: Mapping[Server, tuple[str, int]],
+) -> None:
+    """A slot that leads to a server that leaves would break the rule on drains."""
+    led_to = {*slots.preferred, *slots.current, *slots.new} - {None}
+    if led_to <= ready_servers.keys() <= addresses.keys():
+        return
+    raise HandoverError(
+        "a slot leads to a server that is not ready, or one that is has no address"
+    )
--- /dev/null
+++ b/wheathill/handover/snapshot.py
@@ -0,0 +1,135 @@
+"""Records made of a running proxy: the one place where its state is read."""
+
+from collections.abc import Mapping
+
+from wheathill.handover.records import (
+    AttemptRecord,
+    DecisionsRecord,
+    HandoverSnapshot,
+    KeyRouteRecord,
+    RetryRecord,
+    ServerRecord,
+    SessionRecord,
+    SlotTableRecord,
+)
+from wheathill.model import Server
+from wheathill.net.client import Client
+from wheathill.net.proxy import Proxy
+from wheathill.policy.balancer import Balancer
+from wheathill.policy.slot_table import SlotTable
+
+ServerIndexes = Mapping[Server, int]  # of each server's record
+
+
+def collect_snapshot(proxy: Proxy) -> HandoverSnapshot:
+    """Return the proxy's whole state but its sessions."""
+    balancer = proxy.balancer
+    servers = list(proxy.servers.values())
+    indexes = {server: index for index, server in enumerate(servers)}
+    return HandoverSnapshot(
+        servers=[
+            collect_server(server, proxy.addresses.get(server)) for server in servers
+        ],
+        slots=collect_slot_table(balancer.table, indexes),
+        moved_keys=_collect_key_routes(balancer.table.moved, indexes),
+        exception_keys=_collect_key_routes(balancer.table.exceptions, indexes),
+        session_ids=list(proxy.ids),
+        server_names=list(proxy.names),
+        decisions=collect_decisions(
+            balancer, indexes, proxy.seen, proxy.node.discovery
+        ),
+    )
+
+
+def collect_server(server: Server, address: tuple[str, int] | None) -> ServerRecord:
+    """Return the record of one server."""
+    return ServerRecord(
+        name=server.name,
+        address=address,
+        zone=server.zone,
+        cell=server.cell,
+        phase=server.phase,
+        listed_phase=server.listed,
+        unanswered_probes=server.silent,
+        is_leaving_unconfirmed=server.doubted,
+        load_samples=list(server.samples),
+        results=list(server.results),
+        attempt_times_ms=list(server.dialled),
+        started_at_ms=server.started,
+        left_at_ms=server.told,
+        missed_target_at_ms=server.late,
+        last_received_at_ms=server.heard,
+        next_shift_at_ms=server.shift_after,
+        next_migration_at_ms=server.move_after,
+        last_probe_at_ms=server.asked,
+        weight=server.weight,
+    )
+
+
+def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
+    """Return the record of the slot table."""
+    return SlotTableRecord(
+        preferred=[indexes.get(server) for server in table.home],
+        current=[indexes.get(server) for server in table.current],
+        new=[indexes.get(server) for server in table.new],
+        transition_started_ms=dict(table.opened),
+    )
+
+
+def _collect_key_routes(
+    routes: Mapping[str, tuple[Server, float]], indexes: ServerIndexes
+) -> list[KeyRouteRecord]:
+    """Return the routes whose servers are still known."""
+    return [
+        KeyRouteRecord(key, indexes[server], since)
+        for key, (server, since) in routes.items()
+        if server in indexes
+    ]
+
+
+def collect_decisions(
+    balancer: Balancer,
+    indexes: ServerIndexes,
+    list_version: int,
+    discovery_address: tuple[str, int] | None,
+) -> DecisionsRecord:
+    """Return the record of what belongs to no single server or slot."""
+    admission = balancer.first
+    return DecisionsRecord(
+        list_version=list_version,
+        discovery_address=discovery_address,
+        maintenance_since_ms=dict(balancer.roster.out),
+        maintenance_ended_ms=dict(balancer.roster.back),
+        capacity_estimate=balancer.levels.bearable,
+        probe_credit=balancer.probes.earned,
+        set_up_window=admission.window,
+        window_cut_at_ms=admission.cut_at,
+        next_set_up_at_ms=admission.next_at,
+        retries=[RetryRecord(when, utility) for when, utility in balancer.budget.spent],
+        attempts=[
+            AttemptRecord(when, indexes[server], well)
+            for when, server, well in balancer.health.dials
+            if server in indexes
+        ],
+    )
+
+
+def collect_session(client: Client) -> SessionRecord:
+    """Return the record of a client's session, which must be up and quiet."""
+    session, attempt = client.sess, client.dial
+    return SessionRecord(
+        open_line=client.head.line,
+        listener_name=session.listener.name,
+        key=session.key,
+        tenant=session.tenant,
+        group=session.group,
+        load=session.load,
+        is_mid_flow=session.mid_flow,
+        is_returning=session.returning,
+        is_repeat=session.repeat,
+        accepted_at_ms=session.accepted,
+        requested_at_ms=client.came,
+        unanswered_since_ms=client.asked,
+        server_name=attempt.server.name,
+        partial_line=attempt.rest,
+    )
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 
 from wheathill.config import Limits, node_of
-from wheathill.handover.upgrade import Upgrade
+from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.lab.worlds.network import Door, VirtualCarrier, VirtualHost
 from wheathill.lab.worlds.seat import Seat
 from wheathill.net.driver import Guarded
@@ -184,7 +184,7 @@
         )
         self.proxy.door = carrier.open_door(self.proxy.client, self.proxy.room)
         self.open_to_operators(carrier)
-        Upgrade(self.proxy, carrier, self.host.clock, self.log).begin()
+        UpgradeCoordinator(self.proxy, carrier, self.host.clock, self.log).begin()
 
     def upgrade(self, longest):
         """A second process beside; at its yes the first is told to stop, and killed when it had its time."""
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -63,7 +63,7 @@
         self.log_event("out by hand" if out else "put back", server=name, out=len(held))
         self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
-            self.upgrade.hand(name, out, told)
+            self.upgrade.forward_maintenance(name, out, told)
         return bool(path)
 
     def read_bans(self):
