--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -37,7 +37,7 @@
 def call_with_peers(proxy: Any, instance: Any, data: bytes) -> bytes:
     """Returns the answer of a proxy's HTTP endpoint that also has the path of its peers."""
     door, wire = OperatorsDoor(proxy), Sink()
-    door.paths["/peers"] = {"GET": (instance.table,)}
+    door.paths["/peers"] = {"GET": (instance.status.table,)}
     call = door.call(wire)
     call.connected()
     call.received(data)
@@ -47,7 +47,7 @@
 def control_answer(instance: Any, clock: Any, limits: Any, data: bytes) -> Sink:
     """Feeds the control socket of an instance with one caller's bytes."""
     wire = Sink()
-    control = Control(wire, instance.answer, limits, clock)
+    control = Control(wire, instance.handle_operator_request, limits, clock)
     control.connected()
     control.received(data)
     return wire
@@ -55,7 +55,7 @@
 
 def counts_for_log(instance: Any) -> dict:
     """Returns what an instance adds to the figures in the log."""
-    return instance.figures()
+    return instance.status.metrics()
 
 
 def maintenance_path(values: dict, folder: str | None) -> str | None:
--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -58,7 +58,7 @@
 def compare_views(fleet: "RecordedFleet", name: str) -> list:
     """Asks a member, as an operator, to compare its view with the others'; the answer comes into the list."""
     answers: list = []
-    fleet.peers[name].answer({"compare": True}, answers.append)
+    fleet.peers[name].handle_operator_request({"compare": True}, answers.append)
     return answers
 
 
@@ -79,18 +79,18 @@
     ) -> None:
         self.frames: list[tuple[str, str, bytes]] = []
         super().__init__(zones, SEED)
-        class_for, claims = fleets.instance_of, claims or {}
+        create, claims = fleets.create_peer_service, claims or {}
 
-        def instance_of(settings: Any) -> Callable[..., Any]:
+        def create_peer_service(settings: Any, *others: Any) -> Any:
             """Stands in for the function of that name: changes the settings of the instance that is made."""
             changed = dataclasses.replace(
                 settings, name=claims.get(settings.name, settings.name)
             )
             if not zoned:
                 changed = dataclasses.replace(changed, zone=None, layout=None)
-            return lambda _settings, *others: class_for(changed)(changed, *others)
+            return create(changed, *others)
 
-        monkeypatch.setattr(fleets, "instance_of", instance_of)
+        monkeypatch.setattr(fleets, "create_peer_service", create_peer_service)
         send_datagram, send_stream = self.ways.pass_on, network.VirtualWire.send
 
         def datagram(one: str, other: str, data: bytes) -> None:
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -405,15 +405,15 @@
     fleet = small(4)
     fleet.run(8)
     one, asked = fleet.peers["a1-1"], []
-    say = one.say
+    send_words = one.send_words
 
-    def lossy(address, words, bulk=False):
+    def lossy(address, words, is_bulk=False):
         if words[0] == DIFFER:
             asked.append(fleet.clock.now())
         if words[0] != DIFFER or len(asked) > 1:
-            say(address, words, bulk)
+            send_words(address, words, is_bulk)
 
-    one.say = lossy
+    one.send_words = lossy
     fleet.cut(["a1-1"])
     fleet.change("missed", "b1-0")
     fleet.run(1)
@@ -477,7 +477,7 @@
     fleet.run(5)
     region = fleet.of_region("a")
     rest = [name for name in fleet.peers if name not in region]
-    before = {name: peers.shared for name, peers in fleet.peers.items()}
+    before = {name: peers.quota_in_force for name, peers in fleet.peers.items()}
     fleet.cut(region)
     fleet.run(30)
     assert {state[1] for state in fleet.states(region)} == {ViewState.PARTITIONED}
@@ -485,7 +485,7 @@
     assert {state[1:] for state in fleet.states(rest)} == {
         (ViewState.CONVERGED, ViewState.DIVERGED)
     }
-    assert {name: peers.shared for name, peers in fleet.peers.items()} == before
+    assert {name: peers.quota_in_force for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
     assert len(fleet.in_force("in", inside, region)) == len(
@@ -495,7 +495,7 @@
         rest
     ) - 1 and not fleet.in_force("out", outside, region)
     assert all(
-        peers.listens(other)
+        peers.accepts_evidence_from(other)
         for other in region[:4]
         for peers in [fleet.peers[region[4]]]
     )
@@ -622,7 +622,7 @@
     )
     for name, peers in fleet.peers.items():
         assert abs(peers.zones.part() - parts[fleet.zone_of[name]]) < 1e-9
-    assert abs(sum(peers.shared for peers in fleet.peers.values()) - 1.0) < 1e-9
+    assert abs(sum(peers.quota_in_force for peers in fleet.peers.values()) - 1.0) < 1e-9
 
 
 # Frames and files
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -38,7 +38,7 @@
 
         door = OperatorsDoor(proxy)
         if proxy.peers:
-            door.paths["/peers"] = {"GET": (proxy.peers.table,)}
+            door.paths["/peers"] = {"GET": (proxy.peers.status.table,)}
         listen(carrier, "admin_addr", door.call, node.admin, door.room)
         log("operators' door", at=":".join(map(str, node.admin)))
     proxy.door = listen(
@@ -63,16 +63,13 @@
 def join(proxy, carrier, clock, log):
     """No two processes of one name may be taken for one another, whatever seed their file gives them: the number
     that tells them apart is the system's."""
-    from wheathill.peers import instance_of
+    from wheathill.peers import PeerEnvironment, create_peer_service
 
     node = proxy.node
     try:
-        proxy.peers = instance_of(node.peers)(
+        proxy.peers = create_peer_service(
             node.peers,
-            proxy,
-            carrier,
-            clock,
-            log,
+            PeerEnvironment(proxy, carrier, clock, log),
             int.from_bytes(os.urandom(6), "big") | 1,
             node.balancer["proxies"],
         )
--- a/wheathill/lab/cast/sessionless.py
+++ b/wheathill/lab/cast/sessionless.py
@@ -1,4 +1,4 @@
-"""What a `Peers` asks of a proxy and its decisions, and tells them, where there are no sessions."""
+"""What a `PeerService` asks of a proxy and its decisions, and tells them, where there are no sessions."""
 
 
 class Sessionless:
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -11,7 +11,7 @@
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
 from wheathill.lab.worlds.virtual import PEERS_PORT, VirtualWorld
 from wheathill.model import Phase, Server
-from wheathill.peers import instance_of
+from wheathill.peers import PeerEnvironment, create_peer_service
 
 LIMITS = Limits(sockets=1000, connect=100.0, longest_dial=1000.0, idle=1000.0)
 NETWORK = {"same": 1.0, "cross": 5.0, "client": 1.0, "jitter": 0.2, "hop": 0.0}
@@ -29,10 +29,11 @@
     def list(self, peers, name, draining, started):
         """Its own list says so."""
         server = self.servers.setdefault(name, Server(name))
-        phase, server.started = peers.on_entry(
+        entry = peers.record_list_entry(
             name, Phase.DRAINING if draining else Phase.READY, started
         )
-        server.listed = phase
+        server.started = entry.process_start_ms
+        server.listed = entry.phase
 
     def told_by_peers(self, server, phase, born):
         if server.listed is not phase:
@@ -134,12 +135,11 @@
         log = lambda event, **fields: self.lines.append(
             (self.clock.now(), name, event, fields)
         )
-        peers = self.peers[name] = instance_of(told)(
+        peers = self.peers[name] = create_peer_service(
             told,
-            proxy,
-            VirtualCarrier(host, LIMITS, raise_fault),
-            host.clock,
-            log,
+            PeerEnvironment(
+                proxy, VirtualCarrier(host, LIMITS, raise_fault), host.clock, log
+            ),
             birth,
             len(self.zone_of),
         )
@@ -222,7 +222,7 @@
             self.look()
 
     def look(self):
-        total = sum(peers.shared or 0.0 for peers in self.peers.values())
+        total = sum(peers.quota_in_force or 0.0 for peers in self.peers.values())
         self.largest = max(self.largest, total)
         if total > 1.0 + 1e-9:
             self.over.append((self.clock.now(), total))
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -4,7 +4,7 @@
 from wheathill.peers.drain_registry import DrainRegistry
 from wheathill.peers.cluster_view import ClusterView
 from wheathill.peers.frames import Seal
-from wheathill.peers.instance import Peers
+from wheathill.peers.peer_service import PeerService
 from wheathill.peers.links import Knock
 from wheathill.peers.membership import DEAD, Membership
 from wheathill.peers.zoned import ZonedPeers
@@ -40,9 +40,9 @@
 
 
 def keeps_its_birth():
-    begin = Peers.__init__
-    Peers.__init__ = lambda self, told, proxy, carrier, clock, log, birth, meant: begin(
-        self, told, proxy, carrier, clock, log, sum(told.name.encode()), meant
+    begin = PeerService.__init__
+    PeerService.__init__ = lambda self, settings, environment, birth, expected: begin(
+        self, settings, environment, sum(settings.name.encode()), expected
     )
 
 
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow proxies: everything of a proxy's control part and no sessions, many in one process.
 
 `python -m wheathill.lab.scale.hollow` reads orders from its standard input, a line of JSON each, and answers each with
-a line. Under a `Peers` stands what it asks of a proxy; its links, seal, membership, facts, drains and witnesses are the
+a line. Under a `PeerService` stands what it asks of a proxy; its links, seal, membership, facts, drains and witnesses are the
 ones that a proxy runs, over real loopback sockets. Times are in the fleet's ms, which a rate of time stretches.
 """
 
@@ -112,7 +112,7 @@
 def acquaint(peers, layout, number, numbers, full):
     """The instance of member `number`, not yet started, knows all of `numbers`; `full`: as `Hollow.start`."""
     log, now = peers.log_event, peers.clock.now()
-    peers.look = peers.log_event = lambda *_, **__: None
+    peers.update_view = peers.log_event = lambda *_, **__: None
     others = [
         other
         for other in numbers
@@ -133,7 +133,7 @@
                 ]
             ],
         )
-    del peers.look
+    del peers.update_view
     peers.links.peers = Acquainted(layout)
     if full:
         for other in others:
@@ -143,7 +143,7 @@
     peers.log_event = log
     peers.membership.rumours.told.clear()
     # It asks nobody: at a start of all, answers of whole states would still be on their way when it is measured.
-    peers.told = replace(peers.told, seeds=())
+    peers.settings = replace(peers.settings, seeds=())
     peers.membership.joined = True
     peers.membership.sync_wait = peers.membership.sync_every
     peers.cluster_view.is_established = True
@@ -168,7 +168,7 @@
     def start(self, wait=0.0, together=None, full=False):
         """`wait`: ms until it says anything; `together`: numbers of all members where it is to know them from the start,
         else None; `full`: also all that its links would hold of them after a while."""
-        from wheathill.peers import instance_of
+        from wheathill.peers import PeerEnvironment, create_peer_service
 
         crew, layout = self.crew, self.crew.layout
         told = layout.told(self.number)
@@ -181,17 +181,16 @@
             if crew.shape
             else crew.carrier
         )
-        peers = self.peers = instance_of(told)(
+        peers = self.peers = create_peer_service(
             told,
-            StandIn(self, crew.servers),
-            self.carrier,
-            self.clock,
-            self.log,
+            PeerEnvironment(
+                StandIn(self, crew.servers), self.carrier, self.clock, self.log
+            ),
             layout.birth(self.number, self.starts),
             layout.members,
         )
         for change in range(layout.changes):
-            peers.on_entry(f"change-{change}", Phase.READY, 0.0)
+            peers.record_list_entry(f"change-{change}", Phase.READY, 0.0)
         if together:
             self.know(together, full)
         self.clock.after(wait, peers.start)
@@ -290,7 +289,7 @@
         self.empty = resident_mb()
         if numbers:
             # A process without members stands for a proxy without peers, and has none of this.
-            import wheathill.peers.instance  # noqa: F401
+            import wheathill.peers.peer_service  # noqa: F401
 
             self.members = {number: Hollow(self, number) for number in numbers}
 
@@ -326,7 +325,7 @@
     def do_change(self, number, change):
         """The member's own list says that a server drains."""
         hollow = self.members[number]
-        phase, born = hollow.peers.on_entry(f"change-{change}", Phase.DRAINING, 0.0)
+        hollow.peers.record_list_entry(f"change-{change}", Phase.DRAINING, 0.0)
         hollow.told_of(f"change-{change}", Phase.DRAINING, 0.0)
         return self.clock.now()
 
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -8,6 +8,8 @@
 import os
 import random
 import signal
+from dataclasses import replace
+from functools import partial
 
 import wheathill.peers
 from wheathill import daemon
@@ -33,9 +35,8 @@
 
     def serve(self):
         daemon.Clock = lambda loop: StretchedClock(loop, self.crew.clock.rate)
-        instance_of = wheathill.peers.instance_of
-        wheathill.peers.instance_of = lambda told: (
-            lambda *given: self.join(instance_of(told), *given)
+        wheathill.peers.create_peer_service = partial(
+            self.join, wheathill.peers.create_peer_service
         )
         node = daemon.allow_sockets(operator.read(self.crew.path))
         self.crew.log_line = Log(
@@ -50,8 +51,8 @@
             )
         )
 
-    def join(self, kind, told, proxy, carrier, clock, log, _birth, meant):
-        layout, crew = self.crew.layout, self.crew
+    def join(self, create, told, environment, _birth, meant):
+        layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
         takes, told_by_peers = proxy.balancer.on_fleet, proxy.told_by_peers
 
         def on_fleet(now, share):
@@ -63,12 +64,12 @@
             told_by_peers(server, phase, born)
 
         proxy.balancer.on_fleet, proxy.told_by_peers = on_fleet, told_of
-        self.peers = kind(
+        if crew.shape:
+            carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
+            environment = replace(environment, carrier=carrier)
+        self.peers = create(
             told,
-            proxy,
-            ShapedCarrier(carrier, crew.shape, self.number) if crew.shape else carrier,
-            clock,
-            log,
+            environment,
             layout.birth(self.number, self.starts),
             meant,
         )
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -60,7 +60,7 @@
 
     def join(self, node, carrier):
         """As `daemon.join`, but that the number of its birth comes from the seed."""
-        from wheathill.peers import instance_of
+        from wheathill.peers import PeerEnvironment, create_peer_service
 
         birth = (
             random.Random(
@@ -68,12 +68,9 @@
             ).getrandbits(48)
             | 1
         )
-        self.proxy.peers = instance_of(self.told)(
+        self.proxy.peers = create_peer_service(
             self.told,
-            self.proxy,
-            carrier,
-            self.host.clock,
-            self.log,
+            PeerEnvironment(self.proxy, carrier, self.host.clock, self.log),
             birth,
             node.balancer["proxies"],
         )
@@ -88,7 +85,7 @@
     def ask(self):
         """What it believes; one that stands still says nothing."""
         if self.running and not self.paused and self.proxy.peers:
-            self.world.believes(self, self.proxy.peers.table())
+            self.world.believes(self, self.proxy.peers.status.table())
 
     def kill(self):
         self.host.kill()
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -202,7 +202,7 @@
                 if server.doubt != 1.0
             },
             "further_withheld": self.balancer.budget.withheld,
-            **({"peers": self.peers.figures()} if self.peers else {}),
+            **({"peers": self.peers.status.metrics()} if self.peers else {}),
         }
 
     def left_out(self, now):
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -282,7 +282,8 @@
         if where is None and phase is not Phase.GONE:
             raise ValueError("no address")
         if self.peers:
-            phase, born = self.peers.on_entry(name, phase, born)
+            listed = self.peers.record_list_entry(name, phase, born)
+            phase, born = listed.phase, listed.process_start_ms
         started = self.clock.from_wall(born) if born else None
         left, since = self.names.get(name) or (None, None)
         if (
--- /dev/null
+++ b/wheathill/peers/environment.py
@@ -0,0 +1,62 @@
+"""What a peer service runs in: the proxy that it serves, its clock, sockets and log."""
+
+from collections.abc import Callable, Mapping
+from dataclasses import dataclass
+from typing import Any, Protocol
+
+from wheathill.model import Phase, Server
+
+
+class Clock(Protocol):
+    """Monotonic milliseconds, and timers."""
+
+    def now(self) -> float:
+        """Return the present time."""
+
+    def to_wall(self, when: float) -> float:
+        """Return a monotonic time as Unix time."""
+
+    def at(self, when: float, call: Callable[..., object], *args: object) -> object:
+        """Call at a time."""
+
+    def after(self, wait: float, call: Callable[..., object], *args: object) -> object:
+        """Call after so many milliseconds."""
+
+
+class Closeable(Protocol):
+    """An open socket of whatever kind."""
+
+    def close(self) -> None:
+        """Close it."""
+
+
+class ServedProxy(Protocol):
+    """The proxy that the service informs, and whose servers it has seen.
+
+    Attributes:
+        servers: by name.
+        balancer: decides where sessions go.
+    """
+
+    servers: Mapping[str, Server]
+    balancer: Any
+
+    def told_by_peers(self, server: Server, phase: Phase, born: float) -> None:
+        """Take in a drain, its end or a new start that the own list doesn't say."""
+
+
+@dataclass(frozen=True, slots=True)
+class PeerEnvironment:
+    """Everything around a peer service but its settings.
+
+    Attributes:
+        proxy: the one that it serves.
+        carrier: opens sockets.
+        clock: gives the time and sets timers.
+        log_event: writes an event, with keyword fields, to the log.
+    """
+
+    proxy: ServedProxy
+    carrier: Any
+    clock: Clock
+    log_event: Callable[..., None]
--- /dev/null
+++ b/wheathill/peers/fleet_limits.py
@@ -0,0 +1,43 @@
+"""This proxy's part of what all proxies of the fleet may do together."""
+
+from collections.abc import Callable
+
+from wheathill.peers.cluster_view import ClusterView
+
+
+class FleetLimits:
+    """Quota and permits of one proxy in a fleet without zones.
+
+    `expected_proxies`: how many the configuration names. `capacity_estimate()`: what a
+    warm server bears of this proxy's connections, as it finds.
+    """
+
+    def __init__(
+        self,
+        view: ClusterView,
+        expected_proxies: int,
+        capacity_estimate: Callable[[], float],
+    ) -> None:
+        self._view = view
+        self._expected_proxies = expected_proxies
+        self._capacity_estimate = capacity_estimate
+
+    def quota(self, now_ms: float) -> float:
+        """Return this proxy's part of a limit over all, between 0 and 1."""
+        return self._view.quota(now_ms)
+
+    def expected_quota(self) -> float:
+        """Return the quota that the configuration alone would give."""
+        return 1 / self._expected_proxies
+
+    def is_fleet_as_expected(self, now_ms: float) -> bool:
+        """Tell whether as many proxies may be active as the configuration names."""
+        return self._view.max_active_proxies(now_ms) == self._expected_proxies
+
+    def permit(self, server: str, attempts_per_capacity: float) -> float:
+        """Return how many attempts a window may go to a warming server.
+
+        See `ClusterView.permit`.
+        """
+        capacity = self._capacity_estimate()
+        return self._view.permit(server, capacity, attempts_per_capacity)
--- /dev/null
+++ b/wheathill/peers/peer_service.py
@@ -0,0 +1,431 @@
+"""One proxy among the others of its cluster: membership, and what follows from it.
+
+The proxy asks one thing (what others know of a server that its list names) and is given
+three: its quota of what all may do together, servers that fail for all, and servers
+that fail for it alone. No session waits for any of it.
+"""
+
+import os
+import random
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any
+
+from wheathill.config.peers import PeerSettings
+from wheathill.model import Phase
+from wheathill.peers.cluster_view import ClusterView, ViewState
+from wheathill.peers.control import Control
+from wheathill.peers.derived_config import cluster_view_config
+from wheathill.peers.environment import Closeable, PeerEnvironment
+from wheathill.peers.fleet_limits import FleetLimits
+from wheathill.peers.frames import Seal
+from wheathill.peers.health_exchange import EvidenceLimits, HealthExchange
+from wheathill.peers.links import Links
+from wheathill.peers.member_rotation import MemberRotation
+from wheathill.peers.membership import (
+    ALIVE,
+    DEAD,
+    LEFT,
+    STATE,
+    SUSPECT,
+    Member,
+    Membership,
+)
+from wheathill.peers.messages import (
+    DigestNote,
+    DrainUpdate,
+    HealthEvidence,
+    Message,
+    Sender,
+    StartUpdate,
+    ViewHeader,
+    ViewReply,
+    ViewRequest,
+    ZonedViewHeader,
+    decode_message,
+)
+from wheathill.peers.peer_health_reports import HealthObservation
+from wheathill.peers.server_updates import (
+    DirectServerUpdates,
+    ServerEntry,
+    ServerUpdates,
+)
+from wheathill.peers.status import StatusReporter, StatusSources
+from wheathill.peers.view_comparison import ViewComparison
+
+# Members that are notified at once that this view has changed; more of them learn it
+# with what is sent anyway.
+MAX_NOTIFIED = 64
+# Members that are asked to probe one that doesn't answer.
+INDIRECT_CHECKS = 3
+# Probe intervals that members which have surely gone are remembered.
+GONE_MEMBER_INTERVALS = 60
+# Probe intervals between two exchanges of whole views.
+SYNC_INTERVALS = 10
+
+
+class PeerService:
+    """A proxy's part in a cluster without zones; with zones see `zoned`.
+
+    `generation` is a number that no other process of this name has.
+    `expected_proxies`: how many the configuration names, this one included. Raises
+    OSError where a socket can't be opened.
+
+    Attributes:
+        quota_in_force: the quota that the balancer was last given, None before.
+    """
+
+    EVIDENCE_LIMITS = EvidenceLimits(recipients=8, servers=64)
+
+    def __init__(
+        self,
+        settings: PeerSettings,
+        environment: PeerEnvironment,
+        generation: int,
+        expected_proxies: int,
+    ) -> None:
+        self.settings = settings
+        self.proxy, self.clock = environment.proxy, environment.clock
+        self.log_event = environment.log_event
+        self.random = random.Random(f"{settings.name}/{generation}")
+        self._open_transport(environment, generation)
+        self.membership = self._create_membership(generation)
+        self.cluster_view = self._create_view(generation, expected_proxies)
+        evidence = self.EVIDENCE_LIMITS
+        self.health = HealthExchange(self.proxy, self.log_event, evidence.servers)
+        self._rotation = MemberRotation(self.random, evidence.recipients)
+        self.limits = self._create_limits(expected_proxies)
+        self.server_updates = self._create_server_updates()
+        self.status = self._create_status()
+        self.comparison = ViewComparison(
+            self.membership, self.clock, self.send_message, self.status.table
+        )
+        self.quota_in_force: float | None = None
+        # What the others were last notified of: the digest, and whether established.
+        self._announced_view: tuple[str, bool] | None = None
+        self._control_socket = self._open_control_socket(environment)
+
+    # Parts; those that differ where there are zones are created by a method each.
+
+    def _open_transport(self, environment: PeerEnvironment, generation: int) -> None:
+        settings = self.settings
+        self.seal = Seal(
+            settings.cluster, settings.shared_key, settings.name, generation
+        )
+        self.links = Links(
+            environment.carrier,
+            self.clock,
+            self.log_event,
+            self.seal,
+            self.on_message,
+            settings.listen,
+        )
+
+    def _create_membership(self, generation: int) -> Membership:
+        settings = self.settings
+        return Membership(
+            self,
+            self.random,
+            settings.name,
+            settings.advertise_address,
+            generation,
+            period=settings.probe_interval_ms,
+            patience=settings.probe_timeout_ms,
+            helpers=INDIRECT_CHECKS,
+            kept=GONE_MEMBER_INTERVALS * settings.probe_interval_ms,
+            sync_every=SYNC_INTERVALS * settings.probe_interval_ms,
+            differences=settings.layout is not None,
+        )
+
+    def _create_view(self, generation: int, expected_proxies: int) -> ClusterView:
+        config = cluster_view_config(self.settings, generation, expected_proxies)
+        return ClusterView(config, self.clock.now())
+
+    def _create_limits(self, expected_proxies: int) -> FleetLimits:
+        return FleetLimits(self.cluster_view, expected_proxies, self.capacity_estimate)
+
+    def _create_server_updates(self) -> ServerUpdates:
+        return DirectServerUpdates(
+            self.proxy, self.clock, self.send_message, self.send_to_all
+        )
+
+    def _status_sources(self) -> StatusSources:
+        return StatusSources(
+            settings=self.settings,
+            clock=self.clock,
+            membership=self.membership,
+            view=self.cluster_view,
+            limits=self.limits,
+            server_updates=self.server_updates,
+            health=self.health,
+            links=self.links,
+        )
+
+    def _create_status(self) -> StatusReporter:
+        return StatusReporter(self._status_sources())
+
+    def _open_control_socket(self, environment: PeerEnvironment) -> Closeable | None:
+        if not self.settings.control_socket_path:
+            return None
+        folder, name = os.path.split(self.settings.control_socket_path)
+        carrier = environment.carrier
+        return carrier.meet(
+            folder or ".",
+            name,
+            lambda connection: Control(
+                connection, self.handle_operator_request, carrier.limits, self.clock
+            ),
+        )
+
+    # Start and end
+
+    def start(self) -> None:
+        """Join the cluster, and limit the balancer by what follows from it."""
+        self.log_event(
+            "peers",
+            at=self.settings.advertise_address,
+            cluster=self.settings.cluster,
+            seeds=len(self.settings.seeds),
+        )
+        self.proxy.balancer.cold.rights = self.limits.permit
+        self.membership.start(self.clock.now(), self.settings.seeds)
+        self.tick()
+
+    def leave(self) -> None:
+        """Leave the cluster in order, so that the others need not find out."""
+        self.membership.leave(self.clock.now())
+        self.links.close()
+        if self._control_socket:
+            self._control_socket.close()
+
+    def tick(self) -> None:
+        """Do what is done once each probe interval."""
+        self.clock.after(self.settings.probe_interval_ms, self.tick)
+        now_ms = self.clock.now()
+        self.update_view(now_ms)
+        recipients = self._rotation.next_members(self.other_members)
+        self.announce_view()
+        observations = self.health.observe(now_ms)
+        is_partitioned = self.cluster_view.state == ViewState.PARTITIONED
+        if not is_partitioned and self.cluster_view.state != ViewState.STANDALONE:
+            self._send_evidence(now_ms, recipients, observations)
+        if recipients:
+            # What was sent to all at once may have been lost.
+            self.server_updates.send_all(recipients[0].address)
+        self.health.apply_verdict(now_ms, observations, is_partitioned)
+
+    def _send_evidence(
+        self,
+        now_ms: float,
+        recipients: list[Member],
+        observations: Mapping[str, HealthObservation],
+    ) -> None:
+        evidence = self.health.evidence(now_ms, observations)
+        if evidence is not None:
+            for member in recipients:
+                self.send_message(member.address, evidence)
+
+    # What the proxy asks for
+
+    def record_list_entry(
+        self, server: str, phase: Phase, process_start_ms: float
+    ) -> ServerEntry:
+        """Take in an entry of the proxy's own list of servers.
+
+        Returns what holds for the server: the entry, or what others know since.
+        """
+        return self.server_updates.record_list_entry(server, phase, process_start_ms)
+
+    def forget_server(self, server: str) -> None:
+        """Drop the own list's entry of a server that has left."""
+        self.server_updates.forget_server(server)
+
+    def capacity_estimate(self) -> float:
+        """Return what a warm server bears of this proxy's connections, as it finds."""
+        return self.proxy.balancer.levels.borne
+
+    # Sending
+
+    def header(self) -> ViewHeader | ZonedViewHeader:
+        """Return what each message says of this proxy's view."""
+        view = self.cluster_view
+        return ViewHeader(view.digest(), view.is_established, self.capacity_estimate())
+
+    def send_words(
+        self, address: str, words: Sequence[Any], is_bulk: bool = False
+    ) -> None:
+        """Send a message that is encoded already; one in bulk goes by stream."""
+        self.links.send(address, [*self.header().encode(), words], is_bulk)
+
+    def send_message(self, address: str, message: Message) -> None:
+        """Send a message to one member."""
+        self.send_words(address, message.encode())
+
+    def send_to_all(self, message: Message) -> None:
+        """Send a message to all members that can be reached, up to a bound."""
+        for member in self.membership.alive()[:MAX_NOTIFIED]:
+            if member is not self.membership.me:
+                self.send_message(member.address, message)
+
+    def announce_view(self) -> None:
+        """Notify the others of a view that has changed.
+
+        Every message states the digest of the view; a change is sent at once, so that
+        all know soon that they agree.
+        """
+        current = self.cluster_view.digest(), self.cluster_view.is_established
+        if current != self._announced_view:
+            self._announced_view = current
+            self.send_to_all(DigestNote())
+
+    def other_members(self) -> list[Member]:
+        """Return the other members that count as present, suspects among them."""
+        me = self.membership.me
+        return [member for member in self.membership.alive() if member is not me]
+
+    # Receiving
+
+    def on_message(
+        self, name: str, generation: int, address: str | None, words: Sequence[Any]
+    ) -> None:
+        """Take in a message that the transport has authenticated."""
+        try:
+            self.receive(self.clock.now(), Sender(name, generation, address), words)
+        except (ValueError, TypeError, KeyError, IndexError, AttributeError):
+            # Of the cluster's key, and yet not of the protocol: only that message.
+            self.links.drop("nonsense", address or name)
+
+    def receive(self, now_ms: float, sender: Sender, words: Sequence[Any]) -> None:
+        """Read a message with its header, and act on it."""
+        *header_fields, message = words
+        header = ViewHeader.decode(header_fields)
+        self.record_contact(now_ms, sender)
+        self.cluster_view.record_report(sender.name, sender.generation, header)
+        self.handle_message(now_ms, sender, message)
+
+    def record_contact(self, now_ms: float, sender: Sender) -> None:
+        """Note that a process has spoken from an address; a stream doesn't tell it."""
+        if sender.address is not None:
+            self.membership.contact(
+                now_ms, sender.name, sender.generation, sender.address
+            )
+
+    def handle_message(
+        self, now_ms: float, sender: Sender, words: Sequence[Any]
+    ) -> None:
+        """Act on a message, without its header."""
+        message = decode_message(words)
+        if message is None:
+            self.membership.on_message(now_ms, sender.address, words)
+        elif isinstance(message, DrainUpdate | StartUpdate):
+            self.server_updates.handle(now_ms, sender, message)
+        elif isinstance(message, HealthEvidence):
+            if self.accepts_evidence_from(sender.name):
+                self.health.record(now_ms, sender.name, message)
+        elif isinstance(message, ViewRequest):
+            self._reply_with_view(sender, message)
+        elif isinstance(message, ViewReply):
+            self.comparison.record_reply(sender.name, message)
+
+    def _reply_with_view(self, sender: Sender, request: ViewRequest) -> None:
+        if sender.address is None:
+            raise ValueError("a request on a stream names no address to reply to")
+        self.send_message(sender.address, self.comparison.reply(request))
+
+    def accepts_evidence_from(self, name: str) -> bool:
+        """Tell whether a member's evidence counts.
+
+        It does where this proxy is not partitioned off and the member is alive.
+        """
+        member = self.membership.members.get(name)
+        return (
+            self.cluster_view.state != ViewState.PARTITIONED
+            and member is not None
+            and member.state == ALIVE
+        )
+
+    # What membership calls for
+
+    def send(self, address: str, words: Sequence[Any]) -> None:
+        """Send a message of membership."""
+        self.send_words(address, words, is_bulk=words[0] == STATE)
+
+    def knock(self, name: str, birth: int, address: str, wait: float, why: str) -> None:
+        """Check by connections whether a process listens at a member's address."""
+        self.links.knock(
+            address,
+            wait,
+            lambda how: self.membership.on_knock(
+                self.clock.now(), name, birth, how, why
+            ),
+        )
+
+    def alarm(self, at: float, what: object) -> None:
+        """Set a timer."""
+        self.clock.at(at, self._on_timer, what)
+
+    def _on_timer(self, what: object) -> None:
+        self.membership.on_alarm(self.clock.now(), what)
+
+    def changed(self, member: Member, old: str | None) -> None:
+        """Act on a member's change of state; `old` is None for one that is new."""
+        now_ms = self.clock.now()
+        self.cluster_view.update_member(
+            now_ms, member.name, member.birth, member.state, member.certain
+        )
+        if member.state in (DEAD, LEFT):
+            self.health.forget_source(member.name)
+        accusers = list(member.accusers) if member.state == SUSPECT else None
+        self.log_event(
+            "peer",
+            peer=member.name,
+            state=member.state,
+            was=old,
+            address=member.address,
+            by=accusers,
+            surely=member.certain if member.state == DEAD else None,
+        )
+        if old is None and member.state == ALIVE:
+            self.server_updates.send_all(member.address)
+        self.update_view(now_ms)
+
+    def log(self, text: str) -> None:
+        """Write a line of membership to the log."""
+        self.log_event("peers", what=text)
+
+    def update_view(self, now_ms: float) -> None:
+        """Work out the state of the view anew, and with it the quota."""
+        view = self.cluster_view
+        view.is_isolated = self.membership.alone
+        state_before, since_ms = view.state, view.state_since_ms
+        state = view.update_state(now_ms, self.membership.unanswered)
+        if state != state_before:
+            self.log_event(
+                "peers are",
+                state=state.value,
+                was=state_before.value,
+                after=round(now_ms - since_ms),
+                reached=len(view.reachable_names()),
+                fleet=view.max_active_proxies(now_ms),
+            )
+        quota = self.limits.quota(now_ms)
+        if quota != self.quota_in_force:
+            self.quota_in_force = quota
+            self.proxy.balancer.on_fleet(now_ms, quota)
+
+    # Operators
+
+    def handle_operator_request(
+        self, request: dict[str, Any], on_done: Callable[[dict[str, Any]], None]
+    ) -> None:
+        """Answer a request of the control socket by calling `on_done`, now or later."""
+        if "compare" in request:
+            self.comparison.begin(on_done)
+        elif "remove" in request:
+            on_done(self._remove_member(request["remove"]))
+        else:
+            on_done(self.status.table())
+
+    def _remove_member(self, name: object) -> dict[str, Any]:
+        if self.membership.remove(self.clock.now(), str(name)):
+            return {"removed": name}
+        return {"wrong": f"no other member {name!r}"}
--- /dev/null
+++ b/wheathill/peers/status.py
@@ -0,0 +1,126 @@
+"""What a proxy tells operators of its peers: the status table and the log's metrics."""
+
+from dataclasses import dataclass
+from typing import Any
+
+from wheathill.config.peers import PeerSettings
+from wheathill.peers.cluster_view import ClusterView, ViewState
+from wheathill.peers.environment import Clock
+from wheathill.peers.fleet_limits import FleetLimits
+from wheathill.peers.health_exchange import HealthExchange
+from wheathill.peers.links import Links
+from wheathill.peers.membership import LEFT, SUSPECT, Member, Membership
+from wheathill.peers.server_updates import ServerUpdates
+
+# Quotas under this are shown by two digits, those above by three decimal places.
+SMALL_QUOTA = 0.01
+
+
+@dataclass(frozen=True, slots=True)
+class StatusSources:
+    """The parts of a peer service that its status is read from."""
+
+    settings: PeerSettings
+    clock: Clock
+    membership: Membership
+    view: ClusterView
+    limits: FleetLimits
+    server_updates: ServerUpdates
+    health: HealthExchange
+    links: Links
+
+
+class StatusReporter:
+    """Reads the status of a peer service from its parts."""
+
+    def __init__(self, sources: StatusSources) -> None:
+        self._sources = sources
+
+    def table(self) -> dict[str, Any]:
+        """Return all that operators are shown; the keys are part of the interface."""
+        sources, now_ms = self._sources, self._sources.clock.now()
+        view, membership = sources.view, sources.membership
+        return {
+            "name": sources.settings.name,
+            "cluster": sources.settings.cluster,
+            "state": view.state.value,
+            "since_s": _seconds(now_ms - view.state_since_ms),
+            "digest": membership.digest(),
+            "alone": membership.alone,
+            "fleet": view.max_active_proxies(now_ms),
+            "share": round(sources.limits.quota(now_ms), 6),
+            "members": [
+                self._member_row(now_ms, membership.members[name])
+                for name in sorted(membership.members)
+            ],
+            "differs": self.deviations(now_ms),
+            "links": sources.links.figures(),
+        }
+
+    def metrics(self) -> dict[str, Any]:
+        """Return what the log states regularly."""
+        sources, now_ms = self._sources, self._sources.clock.now()
+        return {
+            "state": sources.view.state.value,
+            "reached": len(sources.view.reachable_names()),
+            "fleet": sources.view.max_active_proxies(now_ms),
+            "share": round(sources.limits.quota(now_ms), 6),
+            **sources.links.figures(),
+        }
+
+    def deviations(self, now_ms: float) -> list[str]:
+        """Return what this proxy does because of its peers, and would not without."""
+        sources = self._sources
+        found = []
+        if sources.view.state == ViewState.PARTITIONED:
+            found.append(
+                "is cut off: serves with what it has, tells and takes no evidence of "
+                "servers"
+            )
+        if not sources.limits.is_fleet_as_expected(now_ms):
+            quota = _format_quota(sources.limits.quota(now_ms))
+            expected = _format_quota(sources.limits.expected_quota())
+            found.append(f"takes {quota} of what all may do, {expected} by its file")
+        drained = sources.server_updates.drained_by_peers()
+        if drained:
+            found.append(
+                f"sends nothing new to {', '.join(drained)}: "
+                "a peer was told that they drain"
+            )
+        verdict = sources.health.verdict
+        if verdict.failing_for_all:
+            names = ", ".join(verdict.failing_for_all)
+            found.append(
+                f"tries with one session at a time {names}: they fail for others"
+            )
+        if verdict.failing_here_alone:
+            names = ", ".join(verdict.failing_here_alone)
+            found.append(f"takes for its own way's fault that {names} fail here")
+        return found
+
+    def _member_row(self, now_ms: float, member: Member) -> dict[str, Any]:
+        is_self = member is self._sources.membership.me
+        accusers = list(member.accusers) if member.state == SUSPECT else []
+        return {
+            "name": member.name,
+            "address": member.address,
+            "state": member.state,
+            "since_s": _seconds(now_ms - member.since),
+            "heard_s": None if is_self else _seconds(now_ms - member.heard),
+            "accused_by": accusers,
+            "surely_gone": member.certain or member.state == LEFT,
+            "agrees": is_self or self._has_same_view(member.name),
+        }
+
+    def _has_same_view(self, name: str) -> bool:
+        view = self._sources.view
+        known = view.members.get(name)
+        return known is not None and known.digest == view.digest()
+
+
+def _seconds(milliseconds: float) -> float:
+    return round(milliseconds / 1000, 1)
+
+
+def _format_quota(quota: float) -> str:
+    return f"{quota:.3f}" if quota >= SMALL_QUOTA else f"{quota:.2g}"
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -1,6 +1,6 @@
 """One instance of a fleet of zones: whole views within its zone, and of the others what their delegates say.
 
-As `instance.Peers` but for what would grow with the fleet: drains and starts go over the board, agreement is told by the
+As `peer_service.PeerService` but for what would grow with the fleet: drains and starts go over the board, agreement is told by the
 zone's first delegate, a limit's share is a share of the zone's part. docs/design/zones.md.
 """
 
@@ -9,8 +9,12 @@
 from wheathill.model import Phase
 from wheathill.peers.board import SERVER, Board
 from wheathill.peers.cluster_view import ViewState
-from wheathill.peers.instance import NOTE, Peers
-from wheathill.peers.messages import ZonedViewHeader
+from wheathill.peers.fleet_limits import FleetLimits
+from wheathill.peers.health_exchange import EvidenceLimits
+from wheathill.peers.messages import DigestNote, ZonedViewHeader
+from wheathill.peers.peer_service import PeerService
+from wheathill.peers.server_updates import ServerUpdates
+from wheathill.peers.status import StatusReporter
 from wheathill.peers.zones import (
     AT_WORK,
     DELEGATES,
@@ -25,8 +29,8 @@
 NEWS, DIFFER, HAVE, BEAT, BEATEN = "news", "differ", "have", "beat", "beaten"
 
 
-class ZonedPeers(Peers):
-    TELLS, MOST_SEEN = 4, 12  # evidence: instances a period, servers each
+class ZonedPeers(PeerService):
+    EVIDENCE_LIMITS = EvidenceLimits(recipients=4, servers=12)
     PUSHED = 3  # members that news is passed on to
     BATCH = 20.0  # ms that news is gathered
     CHUNK = 1150  # bytes of records in a datagram
@@ -38,69 +42,96 @@
     )  # periods until an answer would be there; how often the same one is asked
     NOTED_AGAIN = 32.0  # periods at the most between two tellings of one view
 
-    def __init__(self, told, proxy, carrier, clock, log, birth, meant):
-        meant = max(1, told.layout.zone(told.zone).proxies)
-        super().__init__(told, proxy, carrier, clock, log, birth, meant)
+    def __init__(self, settings, environment, generation, expected_proxies):
+        expected = max(1, settings.layout.zone(settings.zone).proxies)
+        super().__init__(settings, environment, generation, expected)
         self.seal.VERSION = self.VERSION
         # Who starts out of everyone's reach can't know that others took over the part of the process before it.
-        self.cluster_view.minimum_proxies = meant
-        self.wall = lambda: clock.to_wall(clock.now())
-        self.board = Board([zone.name for zone in told.layout.zones], check)
-        self.zones = Zones(
-            clock.now(),
-            told.layout,
-            told.zone,
-            f"{told.name} {birth}",
-            self.board,
-            told.probe_interval_ms,
-            self.shuffle,
-            self.choice,
-        )
+        self.cluster_view.minimum_proxies = expected
         self.news = {}  # key -> record that waits to be passed on
         self.abroad = {}  # those of them that were first heard within the zone
         self.begun = False  # whether some of them begin here
         self.changed_at = self.same_at = (
-            clock.now()
+            self.clock.now()
         )  # when the board last changed; was last the same as another's
         self.asked_at = {}  # address -> when its board was last asked for what differs
         self.asks = 0  # answered since the last tick
         self.answers = {}  # address that was asked -> whether it has answered
-        self.note_at, self.note_wait = 0.0, told.probe_interval_ms
+        self.note_at, self.note_wait = 0.0, settings.probe_interval_ms
         self.states = None  # of region and fleet, as last logged
 
+    # Parts
+
+    def _create_view(self, generation, expected_proxies):
+        settings = self.settings
+        self.board = Board([zone.name for zone in settings.layout.zones], check)
+        self.zones = Zones(
+            self.clock.now(),
+            settings.layout,
+            settings.zone,
+            f"{settings.name} {generation}",
+            self.board,
+            settings.probe_interval_ms,
+            self.random.shuffle,
+            self.random.choice,
+        )
+        return super()._create_view(generation, expected_proxies)
+
+    def _create_limits(self, expected_proxies):
+        return ZonedLimits(
+            self.cluster_view, expected_proxies, self.capacity_estimate, self.zones
+        )
+
+    def _create_server_updates(self):
+        return ReplicatedServerUpdates(
+            self.proxy,
+            self.board,
+            self.wall,
+            lambda record: self.begin(self.clock.now(), record),
+        )
+
+    def _create_status(self):
+        return ZonedStatus(self._status_sources(), self.zones, self.board, self.state)
+
+    def wall(self):
+        return self.clock.to_wall(self.clock.now())
+
     # Words
 
     def header(self):
         return ZonedViewHeader(
-            self.told.zone,
+            self.settings.zone,
             super().header(),
-            self.told.layout.version,
+            self.settings.layout.version,
             self.board.digest,
         )
 
-    def take(self, now, name, birth, address, words):
-        *header, (kind, *rest) = words
+    def receive(self, now, sender, words):
+        *header, message = words
         header = ZonedViewHeader.decode(header)
+        kind, *rest = message
         zone, layout = header.zone, header.layout_version
-        if zone == self.told.zone:
-            self.meets(now, name, birth, address)
-            self.cluster_view.record_report(name, birth, header.view, int(layout))
+        if zone == self.settings.zone:
+            self.record_contact(now, sender)
+            self.cluster_view.record_report(
+                sender.name, sender.generation, header.view, int(layout)
+            )
         elif zone in self.zones.others:
             self.zones.spoke(now, zone)
         else:
             raise ValueError(f"no zone of the layout: {zone}")
         self.zones.told_layout(int(layout))
         if kind in (NEWS, DIFFER, HAVE, BEAT, BEATEN):
-            self.on_board(now, zone, address, kind, rest)
-        elif zone == self.told.zone:
-            self.follow(now, name, address, kind, rest)
+            self.on_board(now, zone, sender.address, kind, rest)
+        elif zone == self.settings.zone:
+            self.handle_message(now, sender, message)
         else:
             raise ValueError(f"{kind!r} is not said between zones")
         if header.table_digest == self.board.digest:
             self.same_at = now
             self.answers.clear()
-        elif address is not None:
-            self.ask_difference(now, address)
+        elif sender.address is not None:
+            self.ask_difference(now, sender.address)
 
     # What membership calls for
 
@@ -137,7 +168,7 @@
             self.learn(now, rest[0], zone)
         elif kind == BEAT:
             self.learn(now, rest[1], zone)
-            self.say(rest[0], [BEATEN, self.summaries()])
+            self.send_words(rest[0], [BEATEN, self.summaries()])
         elif kind == BEATEN:
             self.learn(now, rest[0], zone)
         elif kind == DIFFER:
@@ -145,19 +176,21 @@
             if self.asks < self.MOST_ASKS:
                 self.asks += 1
                 for part in self.parts(self.board.within(self.board.differing(sums))):
-                    self.say(where, [HAVE, self.told.advertise_address, *part])
+                    self.send_words(
+                        where, [HAVE, self.settings.advertise_address, *part]
+                    )
         else:
             where, buckets, records = rest
             self.answers.pop(where, None)
             ahead = self.board.ahead(buckets, records)
             self.learn(now, records, zone)
             for part in self.chunks(ahead):
-                self.say(where, [NEWS, part])
+                self.send_words(where, [NEWS, part])
 
     def ask_difference(self, now, address):
         """Of one whose board is another. Not while news is on its way, as it is another at each for a moment; but where
         news comes all the time, what was lost of it is asked for all the same."""
-        period = self.told.probe_interval_ms
+        period = self.settings.probe_interval_ms
         moment = now - self.changed_at < period / 2 and now - self.same_at < period
         if moment or now - self.asked_at.get(address, -period) < period:
             return
@@ -172,10 +205,12 @@
         """Again where no answer comes: the question or the answer may have been lost, and while news comes all the time
         the next one would be asked two periods later."""
         if self.answers.get(address) == since:
-            self.say(address, [DIFFER, self.told.advertise_address, self.board.sums])
+            self.send_words(
+                address, [DIFFER, self.settings.advertise_address, self.board.sums]
+            )
             if tries > 1:
                 self.clock.after(
-                    self.AGAIN * self.told.probe_interval_ms,
+                    self.AGAIN * self.settings.probe_interval_ms,
                     self.ask,
                     address,
                     since,
@@ -183,7 +218,7 @@
                 )
             else:
                 self.clock.after(
-                    self.AGAIN * self.told.probe_interval_ms,
+                    self.AGAIN * self.settings.probe_interval_ms,
                     self.give_up,
                     address,
                     since,
@@ -224,8 +259,8 @@
     def learn(self, now, records, zone):
         news = self.board.merge(self.wall(), records)
         if news:
-            self.pass_on(now, news, abroad=zone == self.told.zone)
-            self.apply(
+            self.pass_on(now, news, abroad=zone == self.settings.zone)
+            self.server_updates.apply(
                 [
                     record[0][len(SERVER) :]
                     for record in news
@@ -254,8 +289,8 @@
         abroad, self.abroad = list(self.abroad.values()), {}
         begun, self.begun = self.begun, False
         delegates = {name: None for name, _, _ in self.delegates()}
-        members = self.reached()
-        chosen = self.sample(members, min(len(members), self.PUSHED))
+        members = self.other_members()
+        chosen = self.random.sample(members, min(len(members), self.PUSHED))
         if begun:
             chosen += [
                 member
@@ -263,7 +298,7 @@
                 if member.name in delegates and member not in chosen
             ]
         self.tell_each([member.address for member in chosen], news)
-        if self.told.name in delegates:
+        if self.settings.name in delegates:
             now = self.clock.now()
             self.tell_each(
                 [self.zones.address(now, zone) for zone in self.zones.others], abroad
@@ -272,7 +307,7 @@
     def tell_each(self, addresses, records):
         for part in self.chunks(records):
             for address in addresses:
-                self.say(address, [NEWS, part])
+                self.send_words(address, [NEWS, part])
 
     # Delegates
 
@@ -289,7 +324,7 @@
 
     def summaries(self):
         """The record of the own zone's summary, if there is one."""
-        record = self.board.summary(self.told.zone)
+        record = self.board.summary(self.settings.zone)
         return [] if record is None else [record]
 
     def state(self):
@@ -304,7 +339,7 @@
     def summary(self, now, delegates):
         view = self.cluster_view
         layouts = [
-            self.told.layout.version,
+            self.settings.layout.version,
             *(known.layout_version for known in view.members.values()),
         ]
         return [
@@ -314,7 +349,7 @@
             view.digest() if view.have_all_reported_same() else "",
             sorted(self.zones.out_of_reach(now)),
             max(
-                self.zones.through(self.told.zone),
+                self.zones.through(self.settings.zone),
                 0 if view.unseen_count() else min(layouts),
             ),
             [[name, address] for name, _, address in delegates],
@@ -330,13 +365,15 @@
             self.cluster_view.state == ViewState.STANDALONE
             and not self.cluster_view.may_stand_alone(now)
         )  # others may be on the way
-        if delegates and delegates[0][0] == self.told.name and not alone:
+        if delegates and delegates[0][0] == self.settings.name and not alone:
             record = self.zones.write(now, self.summary(now, delegates))
             if record is not None:
                 self.begin(now, record)
-        if any(name == self.told.name for name, _, _ in delegates):
+        if any(name == self.settings.name for name, _, _ in delegates):
             for address in self.zones.due(now):
-                self.say(address, [BEAT, self.told.advertise_address, self.summaries()])
+                self.send_words(
+                    address, [BEAT, self.settings.advertise_address, self.summaries()]
+                )
         else:
             self.zones.listen(now)
         states = (
@@ -355,109 +392,131 @@
     def zones_say(self):
         """What the own zone's summary confirms."""
         self.cluster_view.confirmed_digest = (
-            self.zones.said(self.told.zone, DIGEST) or None
+            self.zones.said(self.settings.zone, DIGEST) or None
         )
 
-    def note(self):
+    def announce_view(self):
         """A view that has changed is told to the delegates, and again until the summary says that all have it."""
         now = self.clock.now()
         noted = self.cluster_view.digest(), self.cluster_view.is_established
-        if noted != self.noted:
-            self.noted, self.note_at, self.note_wait = (
+        if noted != self._announced_view:
+            self._announced_view, self.note_at, self.note_wait = (
                 noted,
                 now,
-                self.told.probe_interval_ms,
+                self.settings.probe_interval_ms,
             )
         elif self.cluster_view.confirmed_digest == noted[0]:
             return
         if now >= self.note_at:
             self.note_at, self.note_wait = (
                 now + self.note_wait,
-                min(2 * self.note_wait, self.NOTED_AGAIN * self.told.probe_interval_ms),
+                min(
+                    2 * self.note_wait,
+                    self.NOTED_AGAIN * self.settings.probe_interval_ms,
+                ),
             )
             for name, _, address in self.delegates():
-                if name != self.told.name:
-                    self.say(address, [NOTE])
+                if name != self.settings.name:
+                    self.send_message(address, DigestNote())
 
-    # Limits
 
-    def share(self, now):
-        return self.zones.part() * self.cluster_view.quota(now)
+class ZonedLimits(FleetLimits):
+    """Of the own zone's part of each limit."""
 
-    def meant_share(self):
-        return self.zones.own.quota / self.expected_proxies
+    def __init__(self, view, expected_proxies, capacity_estimate, zones):
+        super().__init__(view, expected_proxies, capacity_estimate)
+        self.zones = zones
+
+    def quota(self, now):
+        return self.zones.part() * super().quota(now)
+
+    def expected_quota(self):
+        return self.zones.own.quota / self._expected_proxies
+
+    def permit(self, server, unit):
+        if not self.zones.part():
+            return 0.0
+        capacity = self._capacity_estimate()
+        return self._view.permit(server, capacity, unit, self.zones.rounded)
 
-    def right(self, server, unit):
-        return (
-            self.cluster_view.permit(server, self.bears(), unit, self.zones.rounded)
-            if self.zones.part()
-            else 0.0
-        )
 
-    # Drains and starts
+class ReplicatedServerUpdates(ServerUpdates):
+    """Drains and starts by the board. `wall()`: Unix ms; `begin(record)` passes on what begins here."""
 
-    def tell_news(self, address):
+    def __init__(self, proxy, board, wall, begin):
+        super().__init__(proxy)
+        self.board, self.wall, self.begin = board, wall, begin
+
+    def handle(self, now, sender, update):
+        raise ValueError("drains and starts go over the board")
+
+    def send_all(self, address):
         pass  # the board is compared with each message
 
-    def on_entry(self, name, phase, started):
-        self.own[name] = phase, started
-        if phase is not Phase.GONE:
-            record = self.board.list_says(
-                self.wall(), name, phase is Phase.DRAINING, started
-            )
-            if record is not None:
-                self.begin(self.clock.now(), record)
-        return self.holds(name, phase, started), self.latest(name, started)
+    def _share_entry(self, server, entry):
+        record = self.board.list_says(
+            self.wall(),
+            server,
+            entry.phase is Phase.DRAINING,
+            entry.process_start_ms,
+        )
+        if record is not None:
+            self.begin(record)
+
+    def _latest_start_ms(self, server, listed_start_ms):
+        return self.board.start(server, listed_start_ms)
+
+    def _is_draining(self, server, process_start_ms):
+        return self.board.drains(server, process_start_ms)
 
-    def latest(self, name, started):
-        return self.board.start(name, started)
 
-    def drained(self, name, started):
-        return self.board.drains(name, started)
+class ZonedStatus(StatusReporter):
+    """With the zones. `state()`: of the own one."""
 
-    # Operators
+    def __init__(self, sources, zones, board, state):
+        super().__init__(sources)
+        self.zones, self.board, self.state = zones, board, state
 
     def table(self):
-        now = self.clock.now()
-        found = super().table()
-        rows = []
-        for zone in self.told.layout.zones:
-            said = partial(self.zones.said, zone.name)
-            rows.append(
-                {
-                    "name": zone.name,
-                    "region": zone.region,
-                    "meant": zone.proxies,
-                    "part": round(zone.quota, 6),
-                    "state": self.zones.state(zone.name, self.state()).value,
-                    "at_work": said(AT_WORK),
-                    "reached": said(REACHED),
-                    "layout": said(LAYOUT),
-                    "out_of_reach": said(OUT_OF_REACH, []),
-                    "delegates": [name for name, _ in said(DELEGATES, [])],
-                }
-            )
+        sources, zones, mine = self._sources, self.zones, self.state()
+        now = sources.clock.now()
+        layout = sources.settings.layout
+        fleet = sources.view.max_active_proxies(now)
         return {
-            **found,
-            "zone": self.told.zone,
-            "region": self.zones.own.region,
-            "layout": self.told.layout.version,
-            "part": round(self.zones.part(), 6),
-            "fleet_at_work": self.zones.at_work(
-                self.cluster_view.max_active_proxies(now)
-            ),
-            "region_state": self.zones.region_state(self.state()).value,
-            "fleet_state": self.zones.fleet_state(self.state()).value,
-            "zones": rows,
+            **super().table(),
+            "zone": zones.own.name,
+            "region": zones.own.region,
+            "layout": layout.version,
+            "part": round(zones.part(), 6),
+            "fleet_at_work": zones.at_work(fleet),
+            "region_state": zones.region_state(mine).value,
+            "fleet_state": zones.fleet_state(mine).value,
+            "zones": [self._zone_row(zone) for zone in layout.zones],
             "board": len(self.board.records),
         }
 
-    def differs(self, now):
-        found = super().differs(now)
-        if self.zones.part() < self.zones.own.quota:
-            held = self.zones.through(self.told.zone)
+    def _zone_row(self, zone):
+        said = partial(self.zones.said, zone.name)
+        return {
+            "name": zone.name,
+            "region": zone.region,
+            "meant": zone.proxies,
+            "part": round(zone.quota, 6),
+            "state": self.zones.state(zone.name, self.state()).value,
+            "at_work": said(AT_WORK),
+            "reached": said(REACHED),
+            "layout": said(LAYOUT),
+            "out_of_reach": said(OUT_OF_REACH, []),
+            "delegates": [name for name, _ in said(DELEGATES, [])],
+        }
+
+    def deviations(self, now):
+        found = super().deviations(now)
+        zones = self.zones
+        if zones.part() < zones.own.quota:
+            held = zones.through(zones.own.name)
             found.append(
-                f"takes {self.zones.part():.3g} for its zone's part, {self.zones.own.quota:.3g} by its layout: "
-                f"not all zones hold version {self.told.layout.version} (its own: {held})"
+                f"takes {zones.part():.3g} for its zone's part, {zones.own.quota:.3g} by its layout: "
+                f"not all zones hold version {zones.layout.version} (its own: {held})"
             )
         return found
