--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -34,7 +34,8 @@
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CLUSTER = "golden"
-PLAY_SEEDS = (1, 4, 20, 244, 2012)
+# The last four take over full states, with removals and rewrites of all kinds of entries.
+PLAY_SEEDS = (1, 4, 20, 244, 2012, 170, 2661, 3014, 3123)
 FULL_MESSAGE_BYTES = 260  # longer ones are recorded by length and hash
 BULK_ENTRIES = 205  # more than one message of a reply holds
 
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -191,6 +191,33 @@
     assert len(set(cluster.digests().values())) == 1
 
 
+def test_a_change_removed_before_its_push_leaves_no_whole_range():
+    a, b = make_replica("a"), make_replica("b")
+    a.set_register("k", 1)
+    a.delete_register("k")
+    a.tombstones.collect(["a"])
+    a.set_register("other", 2)
+    delta = a.exchange.take_delta()
+    assert (delta.first_sequence, delta.last_sequence, len(delta.rows)) == (0, 0, 1)
+    b.exchange.apply_push(a.replica_id, delta, 0.0)
+    assert b.get_register("other") == 2
+    assert a.replica_id not in b.version_vector
+    a.set_register("third", 3)
+    delta = a.exchange.take_delta()
+    assert (delta.first_sequence, delta.last_sequence, len(delta.rows)) == (4, 4, 1)
+
+
+def test_entries_before_a_malformed_one_are_merged():
+    a, b = make_replica("a"), make_replica("b")
+    a.set_register("k", 1)
+    delta = a.exchange.take_delta()
+    delta.rows.append(["odd", "q", "", []])
+    with pytest.raises(ValueError):
+        b.exchange.apply_push(a.replica_id, delta, 0.0)
+    assert b.get_register("k") == 1
+    assert a.replica_id not in b.version_vector
+
+
 @pytest.mark.parametrize(
     "kind, encoded",
     [
