--- a/wheathill/handover/state_receiver.py
+++ b/wheathill/handover/state_receiver.py
@@ -29,8 +29,8 @@
             HandoverError: if there is no such section, or more of it than may be.
         """
         if section in LIST_SECTIONS:
-            entries = self._sections.get(section, []) + require_type(value, list)
-            self._sections[section] = entries
+            entries = self._sections.setdefault(section, [])
+            entries += require_type(value, list)
             if len(entries) > self._max_entries(section):
                 raise HandoverError(f"more than {self._max_entries(section)} {section}")
         elif section in OBJECT_SECTIONS:
