--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -10,12 +10,15 @@
     StoreCluster,
     run_random_faults,
 )
+from wheathill.store.delta_buffer import Delta
 from wheathill.store.entries import decode_entry
-from wheathill.store.entry_key import EntryKind
+from wheathill.store.entry_key import EntryKey, EntryKind
 from wheathill.store.errors import MalformedEntryError, MalformedMessageError
 from wheathill.store.eviction import StoreLimits
+from wheathill.store.exchange import ReplyHeader
 from wheathill.store.messages import decode_message
 from wheathill.store.replica import Replica
+from wheathill.store.version_vector import VersionVector
 
 SMALL_LIMITS = StoreLimits(max_entries=25, max_bytes=10_000_000)
 
@@ -218,6 +221,31 @@
     assert a.replica_id not in b.version_vector
 
 
+@pytest.mark.parametrize(
+    "own, taken",
+    [
+        (
+            [5, {"x": 1, "y": 3}, {}, {"x": 1, "y": 3}],
+            [5, {"y": 3}, {}, {"y": 3, "z": 2}],
+        ),
+        ([5, {"x": 1}, {}, {"x": 1}], [5, {}, {}, {"z": 2}]),
+    ],
+)
+def test_an_add_that_the_sender_of_a_full_state_let_go_of_is_removed(own, taken):
+    a = make_replica("a")
+    a.exchange.apply_push("x", Delta(0, 0, [["set", "s", "e", own]]), 0.0)
+    header = ReplyHeader(
+        is_full_state=True,
+        version_vector=VersionVector(x=1, z=2),
+        collected=VersionVector(z=2),
+        collected_time=4,
+    )
+    theirs = [4, {}, {}, {"z": 2}]
+    assert a.exchange.apply_reply(header, [["set", "s", "e", theirs]], 0.0)
+    entry = a.table[EntryKey(EntryKind.SET, "s", "e")]
+    assert entry.encode() == taken
+
+
 @pytest.mark.parametrize(
     "kind, encoded",
     [
