--- a/Makefile
+++ b/Makefile
@@ -1,18 +1,25 @@
-# Two commands for a newcomer: `make run` plays a first incident on real sockets, `make test` passes the tests.
-# Both set up what they need from nothing, in .venv-lab.
+# `make run` plays a first incident on real sockets, `make test` runs all tests, `make test-quick` those of them that take
+# less than a minute together, `make lint` checks format, lint rules and types.
+# Each sets up what it needs from nothing, in .venv-lab.
 
 PYTHON ?= python3
 VENV := .venv-lab
 JOBS ?= 4
 READY := $(VENV)/.ready
 
-.PHONY: run test same same-quick same-simulator
+.PHONY: run test test-quick lint same same-quick same-simulator
 
 run: $(READY)
 	$(VENV)/bin/python -m wheathill lab run experiments/first.toml --world sockets --report found
 
 test: $(READY)
-	$(VENV)/bin/python -m pytest
+	PYTHON=$(VENV)/bin/python tests/run.sh
+
+test-quick: $(READY)
+	$(VENV)/bin/python -m pytest -n 4 -m "not processes and not slow"
+
+lint: $(READY)
+	PYTHON=$(VENV)/bin/python .ci/lint.sh
 
 # Whether the build behaves as the recorded one did, to the digit (tests/exactness/play.py).
 same: $(READY)
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -154,6 +154,7 @@
 }
 
 
+@pytest.mark.slow
 @pytest.mark.parametrize("case", CASES)
 @pytest.mark.parametrize(
     "count, seeds", [(2, 12), (4, 12), (8, 12), (20, 12), (30, 12), (200, 2)]
@@ -164,6 +165,7 @@
     assert sum(sent for _, sent in found) >= seeds  # nor does it stay empty
 
 
+@pytest.mark.slow
 @pytest.mark.parametrize("count", [2, 4, 8])
 def test_few_processes_use_what_they_may(count):
     """A dial more of each is within what chance has: nothing is kept back for that."""
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -24,6 +24,8 @@
 from wheathill.lab.scripts.run import play as virtual
 from wheathill.lab.scripts.run import play as processes
 
+pytestmark = pytest.mark.processes
+
 SCRIPTS = sorted(path.stem for path in pathlib.Path("experiments/peers").glob("*.toml"))
 IN_MEMORY = [name for name in SCRIPTS if name not in ("starved", "strangers")]
 # Seeds that once did not hold, beside the first two.
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -28,6 +28,8 @@
 from wheathill.net.operators import OperatorsDoor
 from wheathill.net.server import Dialled, ProbeLink
 
+pytestmark = pytest.mark.processes
+
 TIMES = 2
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -218,6 +218,7 @@
     )
 
 
+@pytest.mark.processes
 def test_same_seed_same_bytes():
     def fingerprint(hash_seed, seed):
         code = (
@@ -252,6 +253,7 @@
     )
 
 
+@pytest.mark.slow
 def test_herd_on_a_slow_store_is_answered_at_once():
     result = play(
         scripts.read("experiments/herd-on-a-slow-store.toml", [("store.at_once", 2)])
@@ -325,6 +327,7 @@
     assert max(worst.values()) <= 3
 
 
+@pytest.mark.slow
 def test_without_its_part_a_script_shows_it(monkeypatch):
     """The judge names a proxy that forgets its operators' calls; sessions that don't go over are cut."""
 
@@ -354,6 +357,7 @@
     assert cut(22_000.0) > 50
 
 
+@pytest.mark.slow
 @pytest.mark.parametrize("name", EXPERIMENTS)
 def test_experiments_break_no_rule(name):
     script = scripts.read(f"experiments/{name}")
@@ -426,6 +430,7 @@
     assert fault in str(wrong.value).splitlines()
 
 
+@pytest.mark.processes
 def test_a_faulty_key_ends_the_command_with_2(tmp_path):
     script = tmp_path / "rough.toml"
     script.write_text(
@@ -461,6 +466,7 @@
     return play(script, seed)
 
 
+@pytest.mark.slow
 def test_registered_weights_are_off_and_the_gateways_are_not():
     def registered(seed, changes=()):
         scene = unreported(seed, changes).scene
@@ -481,6 +487,7 @@
     assert set(registered(1, exact).values()) == {1.0}
 
 
+@pytest.mark.slow
 def test_nothing_is_probed_or_reported_and_no_line_tells_a_load():
     result = unreported()
     assert (
@@ -501,6 +508,7 @@
     )
 
 
+@pytest.mark.slow
 def test_the_front_deals_by_shares():
     got = Counter(
         fields["proxy"]
@@ -525,6 +533,7 @@
     assert 2.7 < drawn[3.0] / drawn[1.0] < 3.3
 
 
+@pytest.mark.slow
 def test_messages_in_time_are_counted_against_their_listeners_target():
     counts = unreported().figures
     strict = unreported(
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -733,11 +733,13 @@
 }
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("name", SCENARIOS)
 def test_trace(name):
     assert kept(name, list(SCENARIOS[name]()))
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize(
     "told, key",
     [
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -81,6 +81,7 @@
     assert str(wrong.value).splitlines() == faults
 
 
+@pytest.mark.processes
 def test_daemon_serves_and_reloads(tmp_path):
     server = socket.create_server(("127.0.0.1", 0))
     server.settimeout(8.0)
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -11,6 +11,8 @@
 
 from drive import Rig, kept, listener
 
+pytestmark = pytest.mark.processes
+
 
 def serves_a_session():
     with Rig() as rig:
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -12,6 +12,8 @@
 from drive import Rig, kept, listener
 from turns import Turns, blocked, read_slowly
 
+pytestmark = pytest.mark.processes
+
 
 def leave(client, how):
     if how == "by RST":
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -9,6 +9,8 @@
 from drive import Peer, kept, listener
 from turns import Turns
 
+pytestmark = pytest.mark.processes
+
 HEAD = "HTTP/1.1 200 OK\r\n"
 
 
--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -8,6 +8,8 @@
 from drive import Rig, kept
 from turns import Turns, blocked, read_slowly
 
+pytestmark = pytest.mark.processes
+
 
 def stop_behind_unread_lines():
     """The end of this process follows the bytes, within the time in which it may be killed."""
--- a/tests/test_scale_data.py
+++ b/tests/test_scale_data.py
@@ -50,6 +50,7 @@
         time.sleep(0.05)
 
 
+@pytest.mark.processes
 def test_figures_of_the_data_path_in_small(tmp_path):
     path = tmp_path / "figures.json"
     process = subprocess.Popen(
@@ -128,6 +129,7 @@
     )
 
 
+@pytest.mark.processes
 def test_clients_of_a_proxy_that_ends_come_to_another():
     from wheathill.lab.scale import data
 
@@ -144,6 +146,7 @@
     )
 
 
+@pytest.mark.processes
 def test_sessions_that_end_in_all_ways_pass():
     from wheathill.lab.scale import data
 
@@ -161,6 +164,7 @@
     assert found["up"] > 50
 
 
+@pytest.mark.processes
 def test_a_rising_rate_ends_where_it_is_not_kept_up(monkeypatch):
     """The limit is set where the first step is past it: no answer comes in no time."""
     from wheathill.lab.scale import data
@@ -176,6 +180,7 @@
     )
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize("end", (signal.SIGKILL, signal.SIGINT))
 def test_nothing_is_left_of_a_tool_that_was_ended(end):
     process = subprocess.Popen(
@@ -205,6 +210,7 @@
         process.wait()
 
 
+@pytest.mark.processes
 def test_more_connections_than_descriptors_are_turned_down():
     found = subprocess.run(
         tool("data", "--sizes", str(rig.most_connections() + 1)),
@@ -215,6 +221,7 @@
     assert found.returncode == 2 and "--sizes" in found.stderr
 
 
+@pytest.mark.processes
 def test_figures_by_servers(tmp_path):
     path = tmp_path / "figures.json"
     done = subprocess.run(
@@ -267,6 +274,7 @@
     assert abs(off["predicted"] - 4.0) < 1e-9 and abs(off["error"] + 0.5) < 1e-9
 
 
+@pytest.mark.processes
 def test_figures_with_many_open(tmp_path):
     path = tmp_path / "figures.json"
     done = subprocess.run(
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -88,6 +88,7 @@
     return done.returncode, json.loads(path.read_text()), done.stderr
 
 
+@pytest.mark.processes
 def test_a_run_tells_all_that_is_wanted(run):
     _, found, said = run
     assert all(key in found for key in WANTED), said
@@ -97,6 +98,7 @@
     assert found["restarts"] == 3 and found["deaths"] == 1 and found["running"] == 59
 
 
+@pytest.mark.processes
 def test_shares_never_sum_past_the_whole_and_nothing_is_told_otherwise(run):
     _, found, _ = run
     assert 0.5 < found["largest_sum_of_shares"] <= 1.0 + fleet.ROUNDING
@@ -105,6 +107,7 @@
     ]
 
 
+@pytest.mark.processes
 def test_faults_had_effect_and_are_counted(run):
     _, found, _ = run
     shaped = found["shaped"]
@@ -113,6 +116,7 @@
     assert 0.003 < shaped["datagrams lost"] / passed < 0.03
 
 
+@pytest.mark.processes
 def test_a_change_reaches_those_that_can_be_reached(run):
     _, found, _ = run
     assert found["change_in_force_s"]["p50"] < fleet.WITHIN
@@ -121,6 +125,7 @@
     )
 
 
+@pytest.mark.processes
 def test_the_exit_code_says_whether_all_held(run):
     code, found, said = run
     assert code == (1 if found["breaches"] else 0)
@@ -163,6 +168,7 @@
     return done.returncode, json.loads(done.stdout), done.stderr
 
 
+@pytest.mark.processes
 def test_real_proxies_are_members_like_the_others(mixed):
     code, found, said = mixed
     assert code == 0 and found["breaches"] == [], said
@@ -186,6 +192,7 @@
     )
 
 
+@pytest.mark.processes
 def test_real_proxies_follow_drains_that_others_were_told_and_keep_their_sessions(
     mixed,
 ):
@@ -247,6 +254,7 @@
     return done.returncode, json.loads(done.stdout), done.stderr
 
 
+@pytest.mark.processes
 def test_a_release_in_tenths_restarts_each_once(released):
     code, found, said = released
     assert code == 0 and found["breaches"] == [], said
@@ -278,6 +286,7 @@
     )
 
 
+@pytest.mark.processes
 def test_a_rack_is_known_to_be_dead_and_a_way_cut_in_one_direction_stops_news_in_that_alone(
     released,
 ):
@@ -322,6 +331,7 @@
     assert real_numbers(40, 4, 8)[0] == 12 and real_numbers(6, 3, 5) == [1, 2, 3, 4, 5]
 
 
+@pytest.mark.processes
 def test_all_known_from_the_start_and_a_stretched_time(tmp_path):
     """Views that are given are the ones that would be found; three seconds of the machine are two of the fleet's."""
     start = time.monotonic()
@@ -348,6 +358,7 @@
     assert 1.0 < found["messages_per_s"]["mean"] < 12.0 and found["rate_of_time"] == 1.5
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize(
     "real, processes", [(0, 4), (3, 8)]
 )  # one without members; one of stand-ins
@@ -396,6 +407,7 @@
         time.sleep(0.02)
 
 
+@pytest.mark.processes
 @pytest.mark.parametrize(
     "more, said",
     [
@@ -419,6 +431,7 @@
     assert done.returncode == 2 and said in done.stderr
 
 
+@pytest.mark.processes
 def test_hollow_proxies_say_what_real_ones_say():
     """In a few seconds; that they cost the same within 15% is measured by `lab scale honest`."""
     # Long enough for each to exchange whole states once: in 6 s some did and some did not, 52% apart once.
@@ -591,6 +604,7 @@
     machine.wire = two.one.connect(machine, two.layout.where(1), two.layout.host(0))
 
 
+@pytest.mark.processes
 def test_a_connection_is_up_after_there_and_back_and_refused_as_late():
     async def test(two):
         start, (one, other, far) = two.loop.time(), two.ends
@@ -618,6 +632,7 @@
     between(test)
 
 
+@pytest.mark.processes
 def test_across_a_cut_an_attempt_gets_no_answer_and_no_refusal_until_it_is_over():
     async def test(two):
         one, post = two.ends[0], two.one.datagrams(two.ends[1], two.layout.where(0))
@@ -644,6 +659,7 @@
     between(test)
 
 
+@pytest.mark.processes
 def test_across_a_way_cut_in_one_direction_only_datagrams_arrive_the_other_way():
     async def test(two):
         here = two.one.datagrams(two.ends[1], two.layout.where(0))
@@ -668,6 +684,7 @@
     between(test)
 
 
+@pytest.mark.processes
 def test_a_stream_across_a_cut_holds_what_is_on_it_and_keeps_its_order():
     async def test(two):
         one, far = two.ends[0], two.ends[1]
@@ -695,6 +712,7 @@
     between(test)
 
 
+@pytest.mark.processes
 def test_losses_take_their_share_and_delay_streams():
     async def test(two):
         post = two.one.datagrams(two.ends[1], two.layout.where(0))
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -21,6 +21,7 @@
     ).stdout
 
 
+@pytest.mark.processes
 def test_same_seed_same_bytes():
     assert drawn(1, 5) == drawn(2, 5) == sites.text(5).encode() != drawn(1, 6)
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,6 +21,8 @@
 from wheathill.model import ListKind
 from wheathill.net.carried import NEWCOMERS
 
+pytestmark = pytest.mark.processes
+
 TOLD = 6000.0  # a change that discovery has and can be reached for counts as told so many ms later
 
 
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -2,6 +2,7 @@
 
 from types import SimpleNamespace
 
+import pytest
 from drive import Drive
 from turns import Turns
 from wheathill.model import Listener, Session
@@ -46,6 +47,7 @@
     return sessions
 
 
+@pytest.mark.processes
 def test_a_newcomer_costs_two_looks_at_ids_however_many_are_open():
     with Turns(limits={"ids": 10}) as turns:
         proxy = turns.proxy
@@ -70,6 +72,7 @@
         proxy.clients = {}
 
 
+@pytest.mark.processes
 def test_a_sweep_looks_at_none_but_who_waits_for_an_answer():
     with Turns() as turns:
         proxy = turns.proxy
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -262,6 +262,7 @@
         raise_fault("fault")
 
 
+@pytest.mark.processes
 def test_datagrams_on_sockets():
     """The same faults over UDP: what is cut does not arrive, the rest does."""
     loop = asyncio.new_event_loop()
@@ -319,6 +320,7 @@
     assert rang[0] == 0.0 and rang[1] >= 9.9
 
 
+@pytest.mark.processes
 def test_sockets_world():
     """One script with a bit of everything, on real sockets and processes, within the rules."""
     text = (
