--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -3,12 +3,34 @@
 import heapq
 import itertools
 import random
+from dataclasses import replace
 
 import pytest
-
 from drive import kept
+
 from wheathill.lab.cores.members import Cluster, measure
-from wheathill.peers.membership import ALIVE, DEAD, SUSPECT, Member, Membership, Rumours
+from wheathill.peers.membership import (
+    FallbackProbe,
+    Member,
+    Membership,
+    MembershipConfig,
+    MemberState,
+    MemberUpdate,
+    ProbeResult,
+    decode_message,
+)
+from wheathill.peers.membership.gossip_queue import GossipQueue
+
+CONFIG = MembershipConfig(
+    name="a",
+    address="h:1",
+    generation=1,
+    probe_interval_ms=1000.0,
+    probe_timeout_ms=300.0,
+    indirect_checks=3,
+    retention_ms=60_000.0,
+    sync_interval_ms=10_000.0,
+)
 
 
 def states(cluster, name, of=None):
@@ -58,7 +80,7 @@
     cluster.run(25)
     yield states(cluster, "i002", of="i004")
     yield f"its own view: {states(cluster, 'i004', of='i002')}"
-    yield f"it takes itself for slow: {cluster.instances['i002'].membership.health > 0}"
+    yield f"it takes itself for slow: {cluster.instances['i002'].membership.local_health > 0}"
     cluster.faults.mend()
     cluster.run(30)
     yield f"mended: {states(cluster, 'i002')}, agreed {cluster.agreed()}"
@@ -79,7 +101,7 @@
 def leaves():
     cluster = Cluster(5)
     cluster.run(10)
-    cluster.instances["i004"].membership.leave(cluster.clock.now())
+    cluster.instances["i004"].membership.leave()
     cluster.dead["i004"] = cluster.clock.now()
     cluster.run(8)
     yield states(cluster, "i004")
@@ -91,13 +113,13 @@
     cluster = Cluster(5, claims={"i004": "i002"})
     cluster.run(12)
     claimant = cluster.instances["i004"].membership
-    yield f"claimant alone {claimant.alone}"
+    yield f"claimant alone {claimant.is_isolated}"
     yield f"the name is at {cluster.instances['i001'].membership.members['i002'].address}"
     yield from cluster.lines[-1:]
     # Who held it dies, and the claimant has asked again.
     cluster.kill("i002")
     cluster.run(25)
-    yield f"claimant alone {claimant.alone}"
+    yield f"claimant alone {claimant.is_isolated}"
     yield f"then the name is at {cluster.instances['i001'].membership.members['i002'].address}"
 
 
@@ -159,19 +181,10 @@
         def __getattr__(self, _name):
             return lambda *args: None
 
-    import random
-
     membership = Membership(
         Actions(),
         random.Random(1),
-        "a",
-        "a:1",
-        1,
-        period=1000.0,
-        patience=300.0,
-        helpers=3,
-        kept=1000.0,
-        sync_every=1000.0,
+        replace(CONFIG, address="a:1", retention_ms=1000.0, sync_interval_ms=1000.0),
     )
     for words in (
         ["what"],
@@ -180,14 +193,14 @@
         [],
     ):
         with pytest.raises(ValueError):
-            membership.on_message(0.0, "b:1", words)
+            membership.on_message(0.0, "b:1", decode_message(words))
 
 
 def test_rumours_end():
-    rumours = Rumours(times=2.0)
-    member = Member("a", "a:1", 0, 1, ALIVE, 0.0)
-    rumours.add(member, "a")
-    assert sum(bool(rumours.take(8, 9)) for _ in range(10)) == 2
+    gossip = GossipQueue(2.0)
+    member = Member("a", "a:1", 0, 1, MemberState.ALIVE, 0.0)
+    gossip.add(member, "a")
+    assert sum(bool(gossip.take(8, 9)) for _ in range(10)) == 2
 
 
 def test_a_quarter_lost_buries_nobody_and_a_vanished_machine_is_found():
@@ -213,81 +226,82 @@
     cluster = Cluster(5)
     cluster.run(10)
     cluster.vanish("i002")
-    stale = cluster.instances["i004"].membership.members["i002"].words()
-    assert cluster.instances["i001"].membership.remove(cluster.clock.now(), "i002")
+    stale = MemberUpdate.of(
+        cluster.instances["i004"].membership.members["i002"], reported_by="i004"
+    )
+    remover = cluster.instances["i001"].membership
+    assert remover.remove_member(cluster.clock.now(), "i002")
     cluster.run(100)  # longer than it is remembered
     for instance in cluster.running():
-        instance.membership.hear(cluster.clock.now(), [[*stale, "i004"]])
+        instance.membership.apply_updates(cluster.clock.now(), [stale])
         assert "i002" not in instance.membership.members
 
 
 class Alone:
     """What a membership calls for, in its own time; who is sent anything says nothing."""
 
-    def __init__(self, answer):
-        self.now, self.alarms, self.rang, self.knocks = 0.0, [], 0, []
-        self.answer = answer  # what a knock finds, at once or after its wait
-        self.send = self.changed = self.log = lambda *args: None
-
-    def alarm(self, at, what):
-        heapq.heappush(self.alarms, (at, next(self.order), what))
+    def __init__(self, result):
+        self.now, self.timers, self.fired, self.probes = 0.0, [], 0, []
+        self.result = result  # of a fallback probe, at once or after its timeout
+        self.send = self.member_changed = self.log = lambda *args: None
 
     order = itertools.count()
 
-    def knock(self, name, birth, address, wait, why):
-        self.knocks.append(self.now)
-        at = self.now + (1.0 if self.answer == "up" else wait)
-        heapq.heappush(
-            self.alarms, (at, next(self.order), ("knocked", name, birth, why))
-        )
+    def set_timer(self, at_ms, timer):
+        heapq.heappush(self.timers, (at_ms, next(self.order), timer))
+
+    def start_fallback_probe(self, probe):
+        self.probes.append(self.now)
+        is_reachable = self.result is ProbeResult.REACHABLE
+        at_ms = self.now + (1.0 if is_reachable else probe.timeout_ms)
+        heapq.heappush(self.timers, (at_ms, next(self.order), probe))
 
     def run(self, membership, until, most):
-        while self.alarms[0][0] <= until:
-            self.now, _, what = heapq.heappop(self.alarms)
-            self.rang += 1
-            assert self.rang < most, f"{self.rang} alarms by {self.now:.0f} ms"
-            if what[0] == "knocked":
-                membership.on_knock(self.now, *what[1:3], self.answer, what[3])
+        while self.timers[0][0] <= until:
+            self.now, _, timer = heapq.heappop(self.timers)
+            self.fired += 1
+            assert self.fired < most, f"{self.fired} timers by {self.now:.0f} ms"
+            if isinstance(timer, FallbackProbe):
+                membership.on_fallback_probe_result(self.now, timer, self.result)
             else:
-                membership.on_alarm(self.now, what)
+                membership.on_timer(self.now, timer)
         self.now = until
 
 
 @pytest.mark.parametrize("count", [2, 3, 4, 7])
-@pytest.mark.parametrize("answer", ["up", "nothing"])
+@pytest.mark.parametrize("result", [ProbeResult.REACHABLE, ProbeResult.NO_ANSWER])
 @pytest.mark.parametrize("starved", [False, True])
 def test_suspects_that_can_t_be_buried_are_looked_at_now_and_then(
-    count, answer, starved
+    count, result, starved
 ):
     """By one that was stopped itself and is answered by nobody, or of members whose machines take connections while
     they stand still. Among few a suspicion is shorter than the last knock; that is no cause to look without a pause."""
-    actions = Alone(answer)
-    membership = Membership(
-        actions,
-        random.Random(1),
-        "a",
-        "h:1",
-        1,
-        period=1000.0,
-        patience=300.0,
-        helpers=3,
-        kept=60_000.0,
-        sync_every=10_000.0,
-    )
+    effects = Alone(result)
+    membership = Membership(effects, random.Random(1), CONFIG)
     membership.start(0.0, [])
     others = [f"b{number}" for number in range(1, count)]
-    membership.hear(0.0, [[ALIVE, name, f"h:{name}", 0, 5, name] for name in others])
-    membership.hear(
+    membership.apply_updates(
+        0.0,
+        [
+            MemberUpdate(MemberState.ALIVE, name, f"h:{name}", 0, 5, name)
+            for name in others
+        ],
+    )
+    membership.apply_updates(
         0.0,
         [
-            [SUSPECT, name, f"h:{name}", 0, 5, by]
+            MemberUpdate(MemberState.SUSPECT, name, f"h:{name}", 0, 5, by)
             for name in others
             for by in (*others, "c", "d")
         ],
     )
     if starved:
-        membership.wake(1.0, 500.0)
-    actions.run(membership, 30_000.0, 60 * 30 * count)
-    assert len(actions.knocks) <= 2 * 30 * count
+        membership.failure_detector.on_stall(1.0, 500.0)
+    effects.run(membership, 30_000.0, 60 * 30 * count)
+    assert len(effects.probes) <= 2 * 30 * count
     suspects = {membership.members[name].state for name in others}
-    assert suspects == ({SUSPECT} if answer == "up" or starved else {DEAD})
+    assert suspects == (
+        {MemberState.SUSPECT}
+        if result is ProbeResult.REACHABLE or starved
+        else {MemberState.DEAD}
+    )
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -63,7 +63,9 @@
     old, new = fleet.names["c1"][2:], fleet.names["c1"][:2]
     assert shares(fleet, old) > 0.0 and shares(fleet, new) > 0.0
     # The processes before, whose addresses others have now, are known to be gone, though something answers there.
-    assert [member.name for member in fleet.peers[old[0]].membership.alive()] == old
+    assert [
+        member.name for member in fleet.peers[old[0]].membership.active_members()
+    ] == old
     since = fleet.change("g", new[0])
     fleet.run(6)
     assert (
@@ -148,8 +150,10 @@
     fleet.start_all()
     fleet.run(10)
     met = fleet.names["b1"] + [wrong]
-    assert all(len(fleet.peers[name].membership.alive()) == 6 for name in met)
-    assert all(len(fleet.peers[name].membership.alive()) == 4 for name in right)
+    assert all(len(fleet.peers[name].membership.active_members()) == 6 for name in met)
+    assert all(
+        len(fleet.peers[name].membership.active_members()) == 4 for name in right
+    )
     assert (
         fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
         is not None
@@ -177,7 +181,7 @@
     assert fleet.until(fleet.all_agree, 30) is not None, fleet.states()
     fleet.run(5)
     assert all(
-        len(fleet.peers[name].membership.alive()) == 5
+        len(fleet.peers[name].membership.active_members()) == 5
         for zone in ("a1", "b1")
         for name in fleet.names[zone]
     )
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,15 +4,23 @@
 import tomllib
 
 import pytest
-
 from test_peers import dropped
+
 from wheathill.config import Misconfigured, operator
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers.board import Board
 from wheathill.peers.facts import AGREED, CUT_OFF, DOUBT
 from wheathill.peers.frames import Seal
-from wheathill.peers.membership import ALIVE, COMPARE, STATE, WANT, Membership
+from wheathill.peers.membership import (
+    Membership,
+    MembershipConfig,
+    MemberState,
+    MemberUpdate,
+    StateSync,
+)
+from wheathill.peers.membership.anti_entropy import BUCKETS
+from wheathill.peers.membership.messages import DigestRequest, StateRequest
 from wheathill.peers.zoned import DIFFER, HAVE, ZonedPeers
 from wheathill.peers.zones import Zones, check
 
@@ -315,16 +323,16 @@
     def __init__(self):
         self.said = []
 
-    def send(self, address, words):
-        self.said.append((address, words))
+    def send(self, address, message):
+        self.said.append((address, message))
 
-    def alarm(self, at, what):
+    def set_timer(self, at_ms, timer):
         pass
 
-    def knock(self, *args):
+    def start_fallback_probe(self, probe):
         pass
 
-    changed = log = alarm
+    member_changed = log = set_timer
 
 
 def member(name, known):
@@ -332,39 +340,48 @@
     one = Membership(
         wire,
         random.Random(name),
-        name,
-        f"{name}:1",
-        1,
-        period=1000.0,
-        patience=300.0,
-        helpers=3,
-        kept=60_000.0,
-        sync_every=10_000.0,
-        differences=True,
+        MembershipConfig(
+            name=name,
+            address=f"{name}:1",
+            generation=1,
+            probe_interval_ms=1000.0,
+            probe_timeout_ms=300.0,
+            indirect_checks=3,
+            retention_ms=60_000.0,
+            sync_interval_ms=10_000.0,
+            digest_sync=True,
+        ),
     )
-    one.hear(0.0, [[ALIVE, other, f"{other}:1", 0, 2, other] for other in known])
+    one.apply_updates(0.0, [alive(other, 2) for other in known])
     return one, wire
 
 
+def alive(name, generation):
+    return MemberUpdate(MemberState.ALIVE, name, f"{name}:1", 0, generation, name)
+
+
 def test_states_that_are_the_same_cost_one_digest_a_bucket():
     names = [f"m{place}" for place in range(187)]
     one, wire = member("x", names)
     other, answers = member("y", names)
     for each, name in ((one, "y"), (other, "x")):
-        each.hear(0.0, [[ALIVE, name, f"{name}:1", 0, 1, name]])
-    one.meet(other.me)
-    ((to, words),) = wire.said
-    assert to == "y:1" and words[0] == COMPARE and len(words[1]) == Membership.BUCKETS
-    other.on_message(1.0, "x:1", words)
+        each.apply_updates(0.0, [alive(name, 1)])
+    one.anti_entropy.synchronise_with(other.local)
+    ((to, request),) = wire.said
+    assert to == "y:1" and isinstance(request, DigestRequest)
+    assert len(request.digests) == BUCKETS
+    other.on_message(1.0, "x:1", request)
     assert answers.said == []
-    one.hear(0.0, [[ALIVE, "new", "new:1", 0, 9, "new"]])
-    other.on_message(2.0, "x:1", [COMPARE, one.sums()])
-    assert [words[0] for _, words in answers.said] == [STATE, WANT]
-    assert 1 < len(answers.said[0][1][1]) < 40
+    one.apply_updates(0.0, [alive("new", 9)])
+    other.on_message(2.0, "x:1", DigestRequest(one.anti_entropy.bucket_digests()))
+    assert [type(message) for _, message in answers.said] == [StateSync, StateRequest]
+    assert 1 < len(answers.said[0][1].updates) < 40
     one.on_message(3.0, "y:1", answers.said[1][1])
-    for _, words in [item for item in wire.said if item[1][0] == STATE]:
-        other.on_message(4.0, "x:1", words)
-    assert "new" in other.members and one.sums() == other.sums()
+    for _, message in wire.said:
+        if isinstance(message, StateSync):
+            other.on_message(4.0, "x:1", message)
+    assert "new" in other.members
+    assert one.anti_entropy.bucket_digests() == other.anti_entropy.bucket_digests()
 
 
 # Fleets
--- a/wheathill/lab/cores/members.py
+++ b/wheathill/lab/cores/members.py
@@ -4,20 +4,36 @@
 """
 
 import random
+from dataclasses import replace
 from statistics import median
 
 from wheathill.config import Limits
 from wheathill.lab.cores.ways import Faults, VirtualPeers
 from wheathill.lab.worlds.virtual import VirtualWorld
-from wheathill.peers.membership import ALIVE, DEAD, SUSPECT, Membership
-
-USUAL = {
-    "period": 1000.0,
-    "patience": 300.0,
-    "helpers": 3,
-    "kept": 60_000.0,
-    "sync_every": 10_000.0,
-}
+from wheathill.peers.membership import (
+    FallbackProbe,
+    Member,
+    Membership,
+    MembershipConfig,
+    MemberState,
+    Message,
+    ProbeResult,
+    Timer,
+    decode_message,
+    encode_message,
+)
+
+# Of any instance: name, address and generation are replaced by its own.
+DEFAULT_CONFIG = MembershipConfig(
+    name="",
+    address="",
+    generation=0,
+    probe_interval_ms=1000.0,
+    probe_timeout_ms=300.0,
+    indirect_checks=3,
+    retention_ms=60_000.0,
+    sync_interval_ms=10_000.0,
+)
 LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
 
 
@@ -32,43 +48,47 @@
         self.membership = Membership(
             self,
             rng,
-            cluster.claims.get(host.name, host.name),
-            host.name,
-            rng.getrandbits(48),
-            **cluster.settings,
+            replace(
+                cluster.config,
+                name=cluster.claims.get(host.name, host.name),
+                address=host.name,
+                generation=rng.getrandbits(48),
+            ),
         )
-        self.sent = self.knocks = 0
+        self.sent = self.fallback_probes = 0
 
     def received(self, data, came_from):
         self.membership.on_message(
-            self.clock.now(), came_from, self.cluster.decode(data)
+            self.clock.now(), came_from, decode_message(self.cluster.decode(data))
         )
 
-    def send(self, address, words):
+    def send(self, address: str | None, message: Message) -> None:
         self.sent += 1
-        self.end.send(address, self.cluster.encode(words))
+        self.end.send(address, self.cluster.encode(encode_message(message)))
 
-    def knock(self, name, birth, address, wait, why):
-        self.knocks += 1
+    def start_fallback_probe(self, probe: FallbackProbe) -> None:
+        self.fallback_probes += 1
         self.cluster.peers.knock(
             self.host,
-            address,
-            wait,
-            lambda how: self.membership.on_knock(
-                self.clock.now(), name, birth, how, why
+            probe.address,
+            probe.timeout_ms,
+            lambda result: self.membership.on_fallback_probe_result(
+                self.clock.now(), probe, ProbeResult(result)
             ),
         )
 
-    def alarm(self, at, what):
-        self.clock.at(at, self.ring, what)
+    def set_timer(self, at_ms: float, timer: Timer) -> None:
+        self.clock.at(at_ms, self.on_timer, timer)
 
-    def ring(self, what):
-        self.membership.on_alarm(self.clock.now(), what)
+    def on_timer(self, timer: Timer) -> None:
+        self.membership.on_timer(self.clock.now(), timer)
 
-    def changed(self, member, old):
-        self.cluster.changed(self, member, old)
+    def member_changed(
+        self, member: Member, previous_state: MemberState | None
+    ) -> None:
+        self.cluster.changed(self, member)
 
-    def log(self, text):
+    def log(self, text: str) -> None:
         self.cluster.lines.append(f"{self.clock.now():9.0f} {self.host.name} {text}")
 
 
@@ -83,7 +103,7 @@
 
         self.encode, self.decode = msgspec.msgpack.encode, msgspec.msgpack.decode
         self.seed = seed
-        self.settings = {**USUAL, **settings}
+        self.config = replace(DEFAULT_CONFIG, **settings)
         self.claims = claims or {}
         self.world = VirtualWorld(
             seed, {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
@@ -140,17 +160,17 @@
     def run(self, seconds):
         self.clock.run(self.clock.now() + seconds * 1000)
 
-    def changed(self, instance, member, old):
+    def changed(self, instance, member):
         if instance.host.name in self.dead or instance.host.name in self.paused:
             return
-        if member.state == DEAD:
+        if member.state == MemberState.DEAD:
             if member.address in self.dead:
                 self.found.setdefault(member.address, {}).setdefault(
                     instance.host.name, self.clock.now()
                 )
             else:
                 self.false.append((self.clock.now(), instance.host.name, member.name))
-        elif member.state == SUSPECT and member.address not in self.dead:
+        elif member.state == MemberState.SUSPECT and member.address not in self.dead:
             self.suspected += 1
 
     def running(self):
@@ -172,13 +192,13 @@
 
     def agreed(self):
         """Whether all running instances have exactly each other as there."""
-        there = sorted(instance.membership.me.name for instance in self.running())
+        there = sorted(instance.membership.local.name for instance in self.running())
         return all(
             there
             == sorted(
                 member.name
-                for member in instance.membership.alive()
-                if member.state == ALIVE
+                for member in instance.membership.active_members()
+                if member.state == MemberState.ALIVE
             )
             for instance in self.running()
         )
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -6,7 +6,12 @@
 from wheathill.peers.frames import Seal
 from wheathill.peers.instance import Peers
 from wheathill.peers.links import Knock
-from wheathill.peers.membership import DEAD, Membership
+from wheathill.peers.membership import MemberState, updates
+from wheathill.peers.membership.anti_entropy import AntiEntropy
+from wheathill.peers.membership.context import MembershipContext
+from wheathill.peers.membership.name_conflicts import NameOwnership
+from wheathill.peers.membership.refutation import Refutation
+from wheathill.peers.membership.updates import UpdateHandler
 from wheathill.peers.zoned import ZonedPeers
 from wheathill.peers.zones import Zones
 from wheathill.policy.balancer import Balancer
@@ -20,23 +25,20 @@
 def forgets_who_is_cut_off():
     told = Facts.member
     Facts.member = lambda self, now, name, birth, state, certain: told(
-        self, now, name, birth, state, certain or state == DEAD
+        self, now, name, birth, state, certain or state == MemberState.DEAD
     )
 
 
 def rumour_beats_own_sight():
     """And whoever is spoken of is the last to hear of it."""
-    gossip = Membership.gossip
-    Membership.RECENT = 0.0, 0.0
-    Membership.deny = lambda self, by: None
-    Membership.gossip = lambda self, first=None: gossip(self)
+    gossip_updates = MembershipContext.gossip_updates
+    updates.MIN_CONTACT_INTERVALS = updates.MAX_CONTACT_INTERVALS = 0.0
+    Refutation.refute = lambda self, reported_by: None
+    MembershipContext.gossip_updates = lambda self, first=None: gossip_updates(self)
 
 
 def never_denies():
-    def hear_of_me(self, now, state, address, incarnation, birth, by):
-        pass
-
-    Membership.hear_of_me = hear_of_me
+    Refutation.apply = lambda self, now_ms, update: None
 
 
 def keeps_its_birth():
@@ -51,21 +53,24 @@
 
 
 def takes_no_successor():
-    Membership.contact = lambda self, now, name, birth, address: None
+    UpdateHandler.on_contact = lambda self, now_ms, name, generation, address: None
 
 
 def never_asks_the_dead():
-    sync = Membership.sync
-
-    def only_alive(self, now):
-        kept = self.members
-        self.members = {
-            name: member for name, member in kept.items() if member.state != DEAD
+    synchronise = AntiEntropy.synchronise
+
+    def only_alive(self, now_ms):
+        table = self._context.table
+        kept = table.members
+        table.members = {
+            name: member
+            for name, member in kept.items()
+            if member.state != MemberState.DEAD
         }
-        sync(self, now)
-        self.members = {**kept, **self.members}
+        synchronise(self, now_ms)
+        table.members = {**kept, **table.members}
 
-    Membership.sync = only_alive
+    AntiEntropy.synchronise = only_alive
 
 
 def keeps_drains_to_itself():
@@ -79,8 +84,8 @@
 
 def goes_past_any_other():
     """Of its name, whoever holds it."""
-    Membership.contest = lambda self, now, address, incarnation, birth: self.go_past(
-        incarnation
+    NameOwnership.contest = lambda self, now_ms, other: self._context.raise_incarnation(
+        other.incarnation
     )
 
 
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -111,6 +111,8 @@
 
 def acquaint(peers, layout, number, numbers, full):
     """The instance of member `number`, not yet started, knows all of `numbers`; `full`: as `Hollow.start`."""
+    from wheathill.peers.membership import MemberState, MemberUpdate
+
     log, now = peers.log_event, peers.clock.now()
     peers.look = peers.log_event = lambda *_, **__: None
     others = [
@@ -120,17 +122,17 @@
         and (not layout.zoned or layout.zone(other) == layout.zone(number))
     ]
     for other in others:
-        peers.membership.hear(
+        peers.membership.apply_updates(
             now,
             [
-                [
-                    "alive",
+                MemberUpdate(
+                    MemberState.ALIVE,
                     layout.name(other),
                     layout.address(other),
                     0,
                     layout.birth(other, 1),
                     layout.name(other),
-                ]
+                )
             ],
         )
     del peers.look
@@ -141,11 +143,12 @@
             peers.links.allowed(layout.address(other))
             peers.seal.take(layout.name(other), layout.birth(other, 1), 0)
     peers.log_event = log
-    peers.membership.rumours.told.clear()
+    peers.membership.gossip.clear()
     # It asks nobody: at a start of all, answers of whole states would still be on their way when it is measured.
     peers.told = replace(peers.told, seeds=())
-    peers.membership.joined = True
-    peers.membership.sync_wait = peers.membership.sync_every
+    peers.membership.joining.has_joined = True
+    longest_ms = peers.membership.config.sync_interval_ms
+    peers.membership.anti_entropy.interval_ms = longest_ms
     peers.facts.old = True
     peers.facts.ended.clear()
     digest = peers.facts.digest()
@@ -376,7 +379,8 @@
         wrong, right = [], 0
         for hollow in self.running():
             there = {
-                member.name: member.birth for member in hollow.peers.membership.alive()
+                member.name: member.generation
+                for member in hollow.peers.membership.active_members()
             }
             meant = {
                 name: birth
--- a/wheathill/peers/facts.py
+++ b/wheathill/peers/facts.py
@@ -14,7 +14,7 @@
 import hashlib
 from collections import deque
 
-from wheathill.peers.membership import ALIVE, DEAD, SUSPECT
+from wheathill.peers.membership import MemberState
 
 AGREED, DOUBT, CUT_OFF, ALONE = "agreed", "in doubt", "cut off", "never heard of peers"
 
@@ -76,12 +76,16 @@
         self.digested = None
         known = self.there.get(name)
         if known is not None and known.birth != birth:
-            if state not in (ALIVE, SUSPECT):
+            if state not in (MemberState.ALIVE, MemberState.SUSPECT):
                 return
             # The process before it is gone for good; the new one is nobody's until all agree.
             self.ended.append(now)
             known = None
-        if state in (ALIVE, SUSPECT) or state == DEAD and not certain:
+        if (
+            state in (MemberState.ALIVE, MemberState.SUSPECT)
+            or state == MemberState.DEAD
+            and not certain
+        ):
             if known is None:
                 known = self.there[name] = Known(birth, state)
                 known.old = name not in self.names
@@ -133,13 +137,19 @@
         return max(self.least, 1 + len(self.there) + len(self.ended) + self.unseen())
 
     def reached(self):
-        return [name for name in sorted(self.there) if self.there[name].state != DEAD]
+        return [
+            name
+            for name in sorted(self.there)
+            if self.there[name].state != MemberState.DEAD
+        ]
 
     def all_told(self):
         """Whether all that are reached have told the digest that this one has."""
         mine = self.digest()
         return all(
-            known.digest == mine for known in self.there.values() if known.state != DEAD
+            known.digest == mine
+            for known in self.there.values()
+            if known.state != MemberState.DEAD
         )
 
     def look(self, now, unanswered):
@@ -159,7 +169,7 @@
         elif (
             len(reached) < len(self.there)
             or not same
-            or any(self.there[name].state == SUSPECT for name in reached)
+            or any(self.there[name].state == MemberState.SUSPECT for name in reached)
         ):
             state = DOUBT
         else:
@@ -186,7 +196,8 @@
         return (
             whole
             * sum(
-                known.state != DEAD and mine in (known.digest, self.confirmed)
+                known.state != MemberState.DEAD
+                and mine in (known.digest, self.confirmed)
                 for known in before
             )
             / len(before)
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -7,14 +7,26 @@
 import os
 import random
 
+from wheathill.model import Phase
 from wheathill.peers.control import Control
 from wheathill.peers.drains import Drains, Starts
 from wheathill.peers.facts import ALONE, CUT_OFF, Facts
 from wheathill.peers.frames import Seal
 from wheathill.peers.links import Links
-from wheathill.peers.membership import ALIVE, DEAD, LEFT, STATE, SUSPECT, Membership
+from wheathill.peers.membership import (
+    FallbackProbe,
+    Member,
+    Membership,
+    MembershipConfig,
+    MemberState,
+    Message,
+    ProbeResult,
+    StateSync,
+    Timer,
+    decode_message,
+    encode_message,
+)
 from wheathill.peers.witness import BAD, WELL, Witnesses
-from wheathill.model import Phase
 
 DRAINS, STARTS, SEEN, ASK_VIEW, VIEW, NOTE = (
     "drains",
@@ -57,15 +69,17 @@
         self.membership = Membership(
             self,
             rng,
-            told.name,
-            told.advertise_address,
-            birth,
-            period=told.probe_interval_ms,
-            patience=told.probe_timeout_ms,
-            helpers=3,
-            kept=60 * told.probe_interval_ms,
-            sync_every=10 * told.probe_interval_ms,
-            differences=told.layout is not None,
+            MembershipConfig(
+                name=told.name,
+                address=told.advertise_address,
+                generation=birth,
+                probe_interval_ms=told.probe_interval_ms,
+                probe_timeout_ms=told.probe_timeout_ms,
+                indirect_checks=3,
+                retention_ms=60 * told.probe_interval_ms,
+                sync_interval_ms=10 * told.probe_interval_ms,
+                digest_sync=told.layout is not None,
+            ),
         )
         others = [seed for seed in told.seeds if seed != told.advertise_address]
         self.facts = Facts(
@@ -109,15 +123,15 @@
 
     def leave(self):
         """At the end: the others need not find out."""
-        self.membership.leave(self.clock.now())
+        self.membership.leave()
         self.links.close()
         if self.place:
             self.place.close()
 
     # What membership calls for
 
-    def send(self, address, words):
-        self.say(address, words, bulk=words[0] == STATE)
+    def send(self, address: str | None, message: Message) -> None:
+        self.say(address, encode_message(message), bulk=isinstance(message, StateSync))
 
     def say(self, address, words, bulk=False):
         self.links.send(address, [*self.beliefs(), words], bulk)
@@ -129,37 +143,47 @@
     def bears(self):
         return self.proxy.balancer.levels.borne
 
-    def knock(self, name, birth, address, wait, why):
+    def start_fallback_probe(self, probe: FallbackProbe) -> None:
         self.links.knock(
-            address,
-            wait,
-            lambda how: self.membership.on_knock(
-                self.clock.now(), name, birth, how, why
+            probe.address,
+            probe.timeout_ms,
+            lambda result: self.membership.on_fallback_probe_result(
+                self.clock.now(), probe, ProbeResult(result)
             ),
         )
 
-    def alarm(self, at, what):
-        self.clock.at(at, self.ring, what)
+    def set_timer(self, at_ms: float, timer: Timer) -> None:
+        self.clock.at(at_ms, self.on_timer, timer)
 
-    def ring(self, what):
-        self.membership.on_alarm(self.clock.now(), what)
+    def on_timer(self, timer: Timer) -> None:
+        self.membership.on_timer(self.clock.now(), timer)
 
-    def changed(self, member, old):
+    def member_changed(
+        self, member: Member, previous_state: MemberState | None
+    ) -> None:
         now = self.clock.now()
-        self.facts.member(now, member.name, member.birth, member.state, member.certain)
-        if member.state in (DEAD, LEFT):
+        self.facts.member(
+            now,
+            member.name,
+            member.generation,
+            member.state,
+            member.is_death_confirmed,
+        )
+        if member.state in (MemberState.DEAD, MemberState.LEFT):
             self.witnesses.forget(member.name)
-        by = list(member.accusers) if member.state == SUSPECT else None
+        by = list(member.suspected_by) if member.state == MemberState.SUSPECT else None
         self.log_event(
             "peer",
             peer=member.name,
-            state=member.state,
-            was=old,
+            state=member.state.value,
+            was=None if previous_state is None else previous_state.value,
             address=member.address,
             by=by,
-            surely=member.certain if member.state == DEAD else None,
+            surely=member.is_death_confirmed
+            if member.state == MemberState.DEAD
+            else None,
         )
-        if old is None and member.state == ALIVE:
+        if previous_state is None and member.state == MemberState.ALIVE:
             self.tell_news(member.address)
         self.look(now)
 
@@ -188,7 +212,7 @@
 
     def meets(self, now, name, birth, address):
         if address is not None:
-            self.membership.contact(now, name, birth, address)
+            self.membership.on_contact(now, name, birth, address)
 
     def follow(self, now, name, address, kind, rest):
         """What is said alike wherever whole views are held."""
@@ -202,13 +226,15 @@
         elif kind == VIEW:
             self.viewed(rest[0], name, rest[1])
         else:
-            self.membership.on_message(now, address, [kind, *rest])
+            self.membership.on_message(now, address, decode_message([kind, *rest]))
 
     def listens(self, name):
         """Evidence counts where this instance is not cut off, and from members that are there."""
         member = self.membership.members.get(name)
         return (
-            self.facts.state != CUT_OFF and member is not None and member.state == ALIVE
+            self.facts.state != CUT_OFF
+            and member is not None
+            and member.state == MemberState.ALIVE
         )
 
     # What follows
@@ -242,8 +268,8 @@
     def reached(self):
         return [
             member
-            for member in self.membership.alive()
-            if member is not self.membership.me
+            for member in self.membership.active_members()
+            if member is not self.membership.local
         ]
 
     def note(self):
@@ -255,14 +281,14 @@
             self.tell_all([NOTE])
 
     def tell_all(self, words):
-        for member in self.membership.alive()[: self.NOTED]:
-            if member is not self.membership.me:
+        for member in self.membership.active_members()[: self.NOTED]:
+            if member is not self.membership.local:
                 self.say(member.address, words)
 
     def look(self, now):
-        self.facts.apart = self.membership.alone
+        self.facts.apart = self.membership.is_isolated
         before, since = self.facts.state, self.facts.since
-        state = self.facts.look(now, self.membership.unanswered)
+        state = self.facts.look(now, self.membership.unanswered_probes)
         if state != before:
             self.log_event(
                 "peers are",
@@ -374,7 +400,7 @@
 
     def view(self):
         return {
-            name: [member.birth, member.state]
+            name: [member.generation, member.state.value]
             for name, member in self.membership.members.items()
         }
 
@@ -388,18 +414,19 @@
                 {
                     "name": name,
                     "address": member.address,
-                    "state": member.state,
-                    "since_s": round((now - member.since) / 1000, 1),
+                    "state": member.state.value,
+                    "since_s": round((now - member.state_since_ms) / 1000, 1),
                     "heard_s": None
-                    if member is membership.me
-                    else round((now - member.heard) / 1000, 1),
-                    "accused_by": list(member.accusers)
-                    if member.state == SUSPECT
+                    if member is membership.local
+                    else round((now - member.last_seen_ms) / 1000, 1),
+                    "accused_by": list(member.suspected_by)
+                    if member.state == MemberState.SUSPECT
                     else [],
-                    "surely_gone": member.certain or member.state == LEFT,
+                    "surely_gone": member.is_death_confirmed
+                    or member.state == MemberState.LEFT,
                     "agrees": known is not None
                     and known.digest == facts.digest()
-                    or member is membership.me,
+                    or member is membership.local,
                 }
             )
         return {
@@ -408,7 +435,7 @@
             "state": facts.state,
             "since_s": round((now - facts.since) / 1000, 1),
             "digest": membership.digest(),
-            "alone": membership.alone,
+            "alone": membership.is_isolated,
             "fleet": facts.fleet(now),
             "share": round(self.share(now), 6),
             "members": members,
@@ -471,7 +498,9 @@
         if "compare" in request:
             self.compare(done)
         elif "remove" in request:
-            gone = self.membership.remove(self.clock.now(), str(request["remove"]))
+            gone = self.membership.remove_member(
+                self.clock.now(), str(request["remove"])
+            )
             done(
                 {"removed": request["remove"]}
                 if gone
@@ -484,8 +513,8 @@
         """Asks all that can be reached; what has come within a second is set side by side."""
         self.asked += 1
         self.views[self.asked] = {self.told.name: self.view()}
-        for member in self.membership.alive():
-            if member is not self.membership.me:
+        for member in self.membership.active_members():
+            if member is not self.membership.local:
                 self.say(member.address, [ASK_VIEW, self.asked])
         self.clock.after(self.ANSWERS, self.compared, self.asked, done)
 
@@ -509,7 +538,7 @@
                 differ[name] = {viewer: state for viewer, (_, state) in said.items()}
         silent = [
             member.name
-            for member in self.membership.alive()
+            for member in self.membership.active_members()
             if member.name not in views
         ]
         done(
--- /dev/null
+++ b/wheathill/peers/membership/__init__.py
@@ -0,0 +1,44 @@
+"""Who the members of a cluster are: SWIM with suspicion and Lifeguard's local health.
+
+After "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
+(Das, Gupta, Motivala, 2002) and "Lifeguard: Local Health Awareness for More Accurate
+Failure Detection" (Dadgar, Phillips, Currey, 2018), in the terms of these papers and of
+HashiCorp's memberlist. What is added to them is in docs/design/membership.md.
+"""
+
+from wheathill.peers.membership.config import MembershipConfig
+from wheathill.peers.membership.effects import (
+    FallbackProbe,
+    MembershipEffects,
+    ProbePurpose,
+    ProbeResult,
+    Timer,
+)
+from wheathill.peers.membership.member import Member, MemberState
+from wheathill.peers.membership.membership import Membership
+from wheathill.peers.membership.messages import (
+    InvalidMessage,
+    MemberUpdate,
+    Message,
+    StateSync,
+    decode_message,
+    encode_message,
+)
+
+__all__ = [
+    "FallbackProbe",
+    "InvalidMessage",
+    "Member",
+    "MemberState",
+    "MemberUpdate",
+    "Membership",
+    "MembershipConfig",
+    "MembershipEffects",
+    "Message",
+    "ProbePurpose",
+    "ProbeResult",
+    "StateSync",
+    "Timer",
+    "decode_message",
+    "encode_message",
+]
--- /dev/null
+++ b/wheathill/peers/membership/context.py
@@ -0,0 +1,112 @@
+"""What all parts of the membership of one instance share."""
+
+import random
+from dataclasses import dataclass
+
+from wheathill.peers.membership.config import MembershipConfig
+from wheathill.peers.membership.effects import (
+    FallbackProbe,
+    MembershipEffects,
+    ProbePurpose,
+)
+from wheathill.peers.membership.gossip_queue import GossipQueue
+from wheathill.peers.membership.local_health import LocalHealth
+from wheathill.peers.membership.member import Member, MemberState
+from wheathill.peers.membership.member_table import MemberTable
+from wheathill.peers.membership.messages import MemberUpdate, Ping
+
+MAX_UPDATES = 8  # a message
+RETRANSMIT_MULTIPLIER = (
+    8.0  # times log10 of the members: how often an update is passed on
+)
+
+
+@dataclass(slots=True, frozen=True)
+class FallbackTimeout:
+    """Probe intervals for one of several connections to come up, without losses and with many."""
+
+    usual: float
+    lossy: float
+
+
+_SHORT_TIMEOUT = FallbackTimeout(1.3, 2.0)
+FALLBACK_TIMEOUTS = {
+    ProbePurpose.BEFORE_SUSPICION: _SHORT_TIMEOUT,
+    ProbePurpose.KNOWN_DEATH: _SHORT_TIMEOUT,
+    ProbePurpose.NAME_CLAIM: _SHORT_TIMEOUT,
+    ProbePurpose.BEFORE_DEATH: FallbackTimeout(3.5, 3.5),
+    # Others have declared the member dead after a long probe of their own.
+    ProbePurpose.DEATH_REPORT: FallbackTimeout(0.5, 1.2),
+}
+
+
+class MembershipContext:
+    """The member table, the gossip queue and the local health of one instance, and the ways to use them."""
+
+    def __init__(
+        self, effects: MembershipEffects, rng: random.Random, config: MembershipConfig
+    ) -> None:
+        self.effects = effects
+        self.rng = rng
+        self.config = config
+        self.table = MemberTable(
+            Member(
+                config.name,
+                config.address,
+                0,
+                config.generation,
+                MemberState.ALIVE,
+                0.0,
+            )
+        )
+        self.gossip = GossipQueue(RETRANSMIT_MULTIPLIER)
+        self.health = LocalHealth()
+        self._sequence = 0
+
+    @property
+    def local(self) -> Member:
+        """The member that is this instance."""
+        return self.table.local
+
+    def next_sequence(self) -> int:
+        """Return a sequence number for a ping that is to be answered."""
+        self._sequence += 1
+        return self._sequence
+
+    def gossip_updates(self, first: Member | None = None) -> list[MemberUpdate]:
+        """Return the updates that ride on the next message, led by that of `first`."""
+        return self.gossip.take(MAX_UPDATES, len(self.table.members), first)
+
+    def send_ping(
+        self, address: str, sequence: int, first: Member | None = None
+    ) -> None:
+        """Send a ping with updates, led by that of `first`; a sequence number of 0 asks for no answer."""
+        self.effects.send(
+            address, Ping(sequence, self.local.name, self.gossip_updates(first))
+        )
+
+    def sample_others(self, count: int, *excluded: Member) -> list[Member]:
+        """Return up to `count` active members at random, without this instance and those excluded."""
+        others = self.table.active_others(*excluded)
+        return self.rng.sample(others, min(len(others), count))
+
+    def start_fallback_probe(self, member: Member, purpose: ProbePurpose) -> None:
+        """Probe `member` over TCP, because a lost datagram must not count as a death."""
+        timeout_ms = self.fallback_timeout_ms(purpose)
+        self.effects.start_fallback_probe(
+            FallbackProbe(
+                member.name, member.generation, member.address, timeout_ms, purpose
+            )
+        )
+
+    def fallback_timeout_ms(self, purpose: ProbePurpose) -> float:
+        """Return how long a fallback probe made now may take."""
+        timeout = FALLBACK_TIMEOUTS[purpose]
+        intervals = timeout.lossy if self.health.is_network_lossy else timeout.usual
+        return intervals * self.config.probe_interval_ms
+
+    def raise_incarnation(self, incarnation: int) -> None:
+        """Let updates about this instance supersede those with `incarnation` (SWIM)."""
+        if incarnation >= self.local.incarnation:
+            self.local.incarnation = incarnation + 1
+            self.gossip.add(self.local, self.local.name)
--- /dev/null
+++ b/wheathill/peers/membership/failure_detector.py
@@ -0,0 +1,177 @@
+"""SWIM's failure detector: pings members in turn, and asks others to where no answer comes."""
+
+from dataclasses import dataclass
+
+from wheathill.peers.membership.context import MembershipContext
+from wheathill.peers.membership.death_checks import DeathChecks
+from wheathill.peers.membership.effects import ProbeTimeoutTimer, ProbeTimer
+from wheathill.peers.membership.indirect_probes import IndirectProbes
+from wheathill.peers.membership.member import Member, MemberState
+from wheathill.peers.membership.name_conflicts import NameOwnership
+from wheathill.peers.membership.probe_round import ProbeRound
+from wheathill.peers.membership.suspicion import Suspicion
+
+
+@dataclass(slots=True)
+class PendingProbe:
+    """The probe under way.
+
+    Attributes:
+        sequence: Sequence number of its pings.
+        target: The member that is probed.
+        is_acknowledged: Whether it, or another in its place, has answered.
+        missing_nacks: Helpers that have sent neither an answer nor a nack.
+        is_late: Whether no answer came within the timeout.
+    """
+
+    sequence: int
+    target: Member
+    is_acknowledged: bool = False
+    missing_nacks: int = 0
+    is_late: bool = False
+
+
+class FailureDetector:
+    """Probes one member each interval."""
+
+    def __init__(
+        self,
+        context: MembershipContext,
+        probe_round: ProbeRound,
+        indirect_probes: IndirectProbes,
+        suspicion: Suspicion,
+        death_checks: DeathChecks,
+        ownership: NameOwnership,
+    ) -> None:
+        self._context = context
+        self._probe_round = probe_round
+        self._indirect_probes = indirect_probes
+        self._suspicion = suspicion
+        self._death_checks = death_checks
+        self._ownership = ownership
+        self._pending: PendingProbe | None = None
+        self._next_probe_ms = 0.0
+
+    def start(self, now_ms: float) -> None:
+        """Schedule the first probe, not in step with instances that start together."""
+        interval_ms = self._context.config.probe_interval_ms
+        self._schedule_probe(now_ms + self._context.rng.uniform(0.0, interval_ms))
+
+    def on_probe_timer(self, now_ms: float) -> None:
+        """End the probe under way and begin the next."""
+        config = self._context.config
+        delay_ms = now_ms - self._next_probe_ms
+        if delay_ms > config.probe_timeout_ms:
+            self.on_stall(now_ms, delay_ms)
+        self._end_probe(now_ms)
+        # A starved instance answers late itself: it probes less often.
+        interval_ms = config.probe_interval_ms * self._context.health.multiplier
+        self._schedule_probe(now_ms + interval_ms)
+        self._begin_probe(now_ms)
+
+    def on_stall(self, now_ms: float, stalled_ms: float) -> None:
+        """Begin anew after this process was stopped or starved.
+
+        What it has missed meanwhile says nothing of others: until another instance
+        answers, it suspects nobody and declares nobody dead.
+        """
+        self._context.effects.log(
+            f"peers: this process stood still for {stalled_ms:.0f} ms"
+        )
+        self._pending = None
+        self._context.health.on_stall(now_ms)
+        members = self._context.table.members
+        for name in sorted(members):
+            member = members[name]
+            member.unconfirmed_since_ms = None
+            member.final_check_since_ms = None
+            if member.state == MemberState.SUSPECT:
+                self._suspicion.restart(now_ms, member)
+
+    def on_probe_timeout(self) -> None:
+        """Ping the target again and ask others to, where it has not answered."""
+        pending = self._pending
+        if pending is None or pending.is_acknowledged:
+            return
+        pending.is_late = True
+        self._ping(pending.target, pending.sequence)  # the first may have been lost
+        pending.missing_nacks = self._indirect_probes.request(
+            pending.target,
+            pending.sequence,
+            self._context.config.indirect_checks,
+        )
+
+    def on_ack(self, now_ms: float, sequence: int) -> None:
+        """Take note of an answer to any ping that asked for one."""
+        if self._pending is not None and self._pending.sequence == sequence:
+            self._pending.is_acknowledged = True
+        else:
+            self._indirect_probes.on_ack(now_ms, sequence)
+
+    def on_nack(self, sequence: int) -> None:
+        """Take note that a helper is well, and the target has not answered it."""
+        pending = self._pending
+        if pending is not None and pending.sequence == sequence:
+            pending.missing_nacks = max(0, pending.missing_nacks - 1)
+
+    def _schedule_probe(self, at_ms: float) -> None:
+        self._next_probe_ms = at_ms
+        self._context.effects.set_timer(at_ms, ProbeTimer())
+
+    def _begin_probe(self, now_ms: float) -> None:
+        if self._ownership.is_isolated:
+            return
+        self._ping_own_suspects()
+        target = self._probe_round.next_target()
+        if target is None:
+            self._pending = None
+            return
+        self._pending = PendingProbe(self._context.next_sequence(), target)
+        self._ping(target, self._pending.sequence)
+        config = self._context.config
+        timeout_ms = config.probe_timeout_ms * self._context.health.multiplier
+        self._context.effects.set_timer(now_ms + timeout_ms, ProbeTimeoutTimer())
+
+    def _ping_own_suspects(self) -> None:
+        """Ping all members that this instance is checking or suspects, each interval.
+
+        So each hears of its suspicion, and can answer: one lost message is no death. The
+        answer counts whichever probe is under way.
+        """
+        members = self._context.table.members
+        local_name = self._context.local.name
+        for name in sorted(members):
+            member = members[name]
+            is_checked = member.is_active and member.unconfirmed_since_ms is not None
+            is_suspected_here = (
+                member.state == MemberState.SUSPECT
+                and local_name in member.suspected_by
+            )
+            if is_checked or is_suspected_here:
+                self._ping(member, self._context.next_sequence())
+
+    def _ping(self, target: Member, sequence: int) -> None:
+        # A suspect receives the suspicion first of all, so that it can refute it.
+        is_suspect = target.state == MemberState.SUSPECT
+        self._context.send_ping(
+            target.address, sequence, first=target if is_suspect else None
+        )
+
+    def _end_probe(self, now_ms: float) -> None:
+        pending = self._pending
+        if pending is None:
+            return
+        self._pending = None
+        health = self._context.health
+        health.record_probe(
+            pending.target.name,
+            was_late=pending.is_late or not pending.is_acknowledged,
+        )
+        if pending.is_acknowledged:
+            health.improve(was_late=pending.is_late)
+            return
+        health.unanswered_probes += 1
+        # Helpers that answer nothing at all point at this instance, not at the target.
+        health.worsen(1 + pending.missing_nacks)
+        if pending.target.is_active:
+            self._death_checks.check_unresponsive(now_ms, pending.target)
--- /dev/null
+++ b/wheathill/peers/membership/membership.py
@@ -0,0 +1,286 @@
+"""One instance's membership: the parts of the protocol, and what reaches each of them."""
+
+import random
+from collections.abc import Iterable
+
+from wheathill.peers.membership.anti_entropy import AntiEntropy
+from wheathill.peers.membership.config import MembershipConfig
+from wheathill.peers.membership.context import MembershipContext
+from wheathill.peers.membership.death_checks import DeathChecks
+from wheathill.peers.membership.effects import (
+    DeathCheckTimer,
+    FallbackProbe,
+    JoinTimer,
+    MembershipEffects,
+    NackTimer,
+    ProbeResult,
+    ProbeTimeoutTimer,
+    ProbeTimer,
+    SuspicionTimer,
+    SyncTimer,
+    Timer,
+)
+from wheathill.peers.membership.failure_detector import FailureDetector
+from wheathill.peers.membership.indirect_probes import IndirectProbes
+from wheathill.peers.membership.joining import Joining
+from wheathill.peers.membership.member import Member, MemberState
+from wheathill.peers.membership.messages import (
+    Ack,
+    DigestRequest,
+    IndirectPing,
+    Join,
+    MemberUpdate,
+    Message,
+    Nack,
+    NameConflict,
+    Ping,
+    StateRequest,
+    StateSync,
+)
+from wheathill.peers.membership.name_conflicts import NameOwnership
+from wheathill.peers.membership.probe_round import ProbeRound
+from wheathill.peers.membership.refutation import Refutation
+from wheathill.peers.membership.suspicion import Suspicion
+from wheathill.peers.membership.transitions import Transitions
+from wheathill.peers.membership.updates import UpdateHandler
+
+
+class Membership:
+    """One instance's view of the members of its cluster.
+
+    It does no I/O: it is given messages, timers and results of probes with the time in
+    ms, and answers with calls of `MembershipEffects`.
+    """
+
+    def __init__(
+        self,
+        effects: MembershipEffects,
+        rng: random.Random,
+        config: MembershipConfig,
+    ) -> None:
+        context = MembershipContext(effects, rng, config)
+        self._context = context
+        self.config = config
+        self.gossip = context.gossip
+        self._probe_round = ProbeRound(context)
+        self._ownership = NameOwnership(context)
+        self._indirect_probes = IndirectProbes(context)
+        self._suspicion = Suspicion(context)
+        self._transitions = Transitions(context, self._probe_round)
+        self.joining = Joining(context, self._ownership)
+        self.anti_entropy = AntiEntropy(context, self.joining, self._ownership)
+        self._death_checks = DeathChecks(
+            context,
+            self._suspicion,
+            self._transitions,
+            self._indirect_probes,
+            self.anti_entropy,
+        )
+        self.failure_detector = FailureDetector(
+            context,
+            self._probe_round,
+            self._indirect_probes,
+            self._suspicion,
+            self._death_checks,
+            self._ownership,
+        )
+        self._updates = UpdateHandler(
+            context,
+            self._suspicion,
+            self._transitions,
+            self._death_checks,
+            Refutation(context, self._ownership),
+            self.anti_entropy,
+        )
+        self._is_stopped = False
+
+    # Views
+
+    @property
+    def local(self) -> Member:
+        """The member that is this instance."""
+        return self._context.local
+
+    @property
+    def members(self) -> dict[str, Member]:
+        """All members by name, this instance and those that are gone among them."""
+        return self._context.table.members
+
+    @property
+    def is_isolated(self) -> bool:
+        """Whether another process holds its name, or an operator removed it."""
+        return self._ownership.is_isolated
+
+    @property
+    def unanswered_probes(self) -> int:
+        """Probes in a row that nobody answered."""
+        return self._context.health.unanswered_probes
+
+    @property
+    def local_health(self) -> int:
+        """Lifeguard's local health score: 0 where this instance is well."""
+        return self._context.health.score
+
+    def active_members(self) -> list[Member]:
+        """Return the members that count as running, in order of name.
+
+        Suspects and this instance are among them.
+        """
+        return self._context.table.active()
+
+    def digest(self) -> str:
+        """Return a digest of the active processes, which is the same where views agree."""
+        return self._context.table.digest()
+
+    # Start and end
+
+    def start(self, now_ms: float, seeds: Iterable[str]) -> None:
+        """Join the cluster by the addresses of some instances."""
+        self.local.state_since_ms = now_ms
+        self._ownership.held_since_ms = now_ms
+        self.gossip.add(self.local, self.local.name)
+        self.joining.start(now_ms, seeds)
+        self.failure_detector.start(now_ms)
+        self.anti_entropy.start(now_ms)
+
+    def leave(self) -> None:
+        """Announce to a few others that this instance ends; ignore everything after."""
+        self.local.state = MemberState.LEFT
+        self.local.incarnation += 1
+        update = MemberUpdate.of(self.local, self.local.name)
+        count = 2 * self._context.config.indirect_checks
+        for member in self._context.sample_others(count):
+            self._context.effects.send(
+                member.address, Ping(0, self.local.name, [update])
+            )
+        self._is_stopped = True
+
+    def remove_member(self, now_ms: float, name: str) -> bool:
+        """Hold a member to have left, as an operator says; return whether it is known.
+
+        No update brings that process back.
+        """
+        member = self.members.get(name)
+        if member is None or member is self.local:
+            return False
+        member.incarnation += 1
+        self._transitions.mark_left(now_ms, member, self.local.name)
+        return True
+
+    # Inputs
+
+    def on_timer(self, now_ms: float, timer: Timer) -> None:
+        """Act on a timer that was set by `MembershipEffects.set_timer`."""
+        if self._is_stopped:
+            return
+        match timer:
+            case ProbeTimer():
+                self.failure_detector.on_probe_timer(now_ms)
+            case ProbeTimeoutTimer():
+                self.failure_detector.on_probe_timeout()
+            case NackTimer(sequence):
+                self._indirect_probes.on_nack_timer(sequence)
+            case SuspicionTimer():
+                self._death_checks.check_due_suspects(now_ms)
+            case DeathCheckTimer(name, generation):
+                self._death_checks.check_known_death(name, generation)
+            case JoinTimer():
+                self.joining.on_retry_timer(now_ms)
+            case SyncTimer():
+                self.anti_entropy.on_timer(now_ms)
+
+    def on_fallback_probe_result(
+        self, now_ms: float, probe: FallbackProbe, result: ProbeResult
+    ) -> None:
+        """Act on the result of a probe that `start_fallback_probe` began."""
+        if not self._is_stopped:
+            self._death_checks.on_probe_result(now_ms, probe, result)
+
+    def on_contact(
+        self, now_ms: float, name: str, generation: int, address: str
+    ) -> None:
+        """Take note that a process has sent any message that is not an old one."""
+        self._updates.on_contact(now_ms, name, generation, address)
+
+    def apply_updates(self, now_ms: float, updates: Iterable[MemberUpdate]) -> None:
+        """Apply what others report of members."""
+        self._updates.apply_all(now_ms, updates)
+
+    def on_message(self, now_ms: float, address: str | None, message: Message) -> None:
+        """Act on a message from `address`, which is None where it came over a stream.
+
+        Raises:
+            InvalidMessage: It does not suit this cluster's protocol.
+        """
+        if self._is_stopped:
+            return
+        match message:
+            case Ping() | Ack() | IndirectPing():
+                self._on_probe_message(now_ms, address, message)
+            case Nack(sequence):
+                self.failure_detector.on_nack(sequence)
+            case Join(member):
+                self._on_join(now_ms, member)
+            case StateSync(updates):
+                self._on_state_sync(now_ms, updates)
+            case NameConflict(holder):
+                self._ownership.on_name_conflict(now_ms, holder)
+            case DigestRequest(digests):
+                self.anti_entropy.on_digest_request(address, digests)
+            case StateRequest(buckets):
+                self.anti_entropy.send_state(address, buckets)
+
+    # Messages
+
+    def _on_probe_message(
+        self, now_ms: float, address: str | None, message: Ping | Ack | IndirectPing
+    ) -> None:
+        if isinstance(message, Ack):
+            self._context.health.on_ack()
+        self._note_seen(now_ms, message.sender, address)
+        self.apply_updates(now_ms, message.updates)
+        match message:
+            case Ping(sequence, sender):
+                if sequence:
+                    self._send_ack(address, sequence, sender)
+            case Ack(sequence):
+                self.failure_detector.on_ack(now_ms, sequence)
+            case IndirectPing():
+                self._indirect_probes.on_request(now_ms, address, message)
+
+    def _note_seen(self, now_ms: float, sender: str, address: str | None) -> None:
+        member = self.members.get(sender)
+        if member is not None and address == member.address:
+            member.last_seen_ms = now_ms
+            member.unconfirmed_since_ms = None
+
+    def _send_ack(self, address: str | None, sequence: int, sender: str) -> None:
+        """Answer a ping.
+
+        A sender that counts as suspect or dead here is informed of it, and refutes it.
+        """
+        member = self.members.get(sender)
+        is_suspected = (
+            member is not None
+            and member.state in (MemberState.SUSPECT, MemberState.DEAD)
+            and member.address == address
+        )
+        updates = self._context.gossip_updates(member if is_suspected else None)
+        self._context.effects.send(address, Ack(sequence, self.local.name, updates))
+
+    def _on_join(self, now_ms: float, joining: MemberUpdate) -> None:
+        """Send all that is known to a process that joins, and take it in."""
+        if self._ownership.rejects_claim(joining):
+            return
+        self.anti_entropy.send_state(joining.address)
+        self.apply_updates(now_ms, [joining])
+        # Last of all, that it is taken in: the state may have said otherwise.
+        member = self.members.get(joining.name)
+        if member is not None and member.generation == joining.generation:
+            self.anti_entropy.send_member(joining.address, member)
+
+    def _on_state_sync(self, now_ms: float, updates: list[MemberUpdate]) -> None:
+        self.joining.has_joined = True
+        count_before = len(self.members)
+        self.apply_updates(now_ms, updates)
+        self.anti_entropy.on_state_applied(len(self.members) > count_before)
--- /dev/null
+++ b/wheathill/peers/membership/suspicion.py
@@ -0,0 +1,106 @@
+"""Suspicions of members and when they end (SWIM's suspicion, with Lifeguard's dynamic timeout)."""
+
+import math
+
+from wheathill.peers.membership.context import MembershipContext
+from wheathill.peers.membership.effects import ProbePurpose, SuspicionTimer
+from wheathill.peers.membership.member import Member, MemberState
+
+MIN_TIMEOUT_INTERVALS = (
+    3.0  # probe intervals, times log10 of the members (Lifeguard's alpha)
+)
+MAX_TIMEOUT_FACTOR = 6.0  # a suspicion without confirmations lasts so many times as long (Lifeguard's beta)
+CONFIRMATIONS = 3  # independent ones, after which it lasts no longer than the minimum (Lifeguard's K)
+
+
+class Suspicion:
+    """Suspects members, and sets the deadline at which a suspicion may end in their death."""
+
+    def __init__(self, context: MembershipContext) -> None:
+        self._context = context
+
+    def suspect(
+        self, now_ms: float, member: Member, incarnation: int, reported_by: str
+    ) -> None:
+        """Begin to suspect an alive member, in the incarnation that `reported_by` suspects."""
+        member.state = MemberState.SUSPECT
+        member.incarnation = incarnation
+        member.state_since_ms = now_ms
+        member.suspected_by = (reported_by,)
+        member.suspicion_restarted_ms = None
+        self.schedule_deadline(now_ms, member)
+        self._context.gossip.add(member, reported_by)
+        self._context.effects.member_changed(member, MemberState.ALIVE)
+
+    def confirm(self, now_ms: float, member: Member, reported_by: str) -> None:
+        """Shorten a suspicion that another member came to independently, which makes it likelier to be true."""
+        is_known = not reported_by or reported_by in member.suspected_by
+        if not is_known and len(member.suspected_by) <= CONFIRMATIONS:
+            member.suspected_by += (reported_by,)
+            self.schedule_deadline(now_ms, member)
+            self._context.gossip.add(member, reported_by)
+
+    def restart(self, now_ms: float, member: Member) -> None:
+        """Let the suspicion of `member` last as long again as one that begins now."""
+        member.state_since_ms = member.suspicion_restarted_ms = now_ms
+        self.schedule_deadline(now_ms, member)
+
+    def schedule_deadline(self, now_ms: float, member: Member) -> None:
+        """Set the deadline of a suspect by its confirmations, and the timer for its final check."""
+        member.suspicion_deadline_ms = member.state_since_ms + self._timeout_ms(member)
+        at_ms = max(
+            now_ms, self._final_check_due_ms(member, member.suspicion_deadline_ms)
+        )
+        self._context.effects.set_timer(at_ms, SuspicionTimer())
+
+    def is_final_check_due(self, now_ms: float, member: Member) -> bool:
+        """Whether `member` is a suspect whose fallback probe before its death is to begin now."""
+        return (
+            member.state == MemberState.SUSPECT
+            and member.suspicion_deadline_ms is not None
+            and member.final_check_since_ms is None
+            and now_ms >= self._final_check_due_ms(member, member.suspicion_deadline_ms)
+        )
+
+    def has_ended(self, now_ms: float, member: Member) -> bool:
+        """Whether the deadline of a suspect has passed."""
+        deadline_ms = member.suspicion_deadline_ms
+        return deadline_ms is not None and now_ms >= deadline_ms
+
+    def _timeout_ms(self, member: Member) -> float:
+        """Return Lifeguard's timeout: from the longest down to the shortest as others confirm."""
+        active_count = self._context.table.active_count()
+        interval_ms = self._context.config.probe_interval_ms
+        shortest_ms = (
+            MIN_TIMEOUT_INTERVALS
+            * max(1.0, math.log10(max(1, active_count)))
+            * interval_ms
+        )
+        possible_confirmations = min(CONFIRMATIONS, active_count - 2)
+        if possible_confirmations < 1:
+            # Among so few there is nobody to confirm.
+            return shortest_ms
+        confirmations = min(possible_confirmations, len(member.suspected_by) - 1)
+        progress = (
+            (MAX_TIMEOUT_FACTOR - 1)
+            * math.log(confirmations + 1)
+            / math.log(possible_confirmations + 1)
+        )
+        return shortest_ms * (MAX_TIMEOUT_FACTOR - progress)
+
+    def _final_check_due_ms(self, member: Member, deadline_ms: float) -> float:
+        """Return when the last fallback probe has to begin, so that it ends at the deadline.
+
+        Among few members a suspicion is shorter than that probe. It would be due as soon as the suspicion restarts,
+        again and again without end, where that happens because this instance may not declare anybody dead yet or
+        because the member's host accepts each connection at once. So at least one interval passes after a restart.
+        """
+        due_ms = deadline_ms - self._context.fallback_timeout_ms(
+            ProbePurpose.BEFORE_DEATH
+        )
+        if member.suspicion_restarted_ms is None:
+            return due_ms
+        return max(
+            due_ms,
+            member.suspicion_restarted_ms + self._context.config.probe_interval_ms,
+        )
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -10,6 +10,7 @@
 from wheathill.peers.board import SERVER, Board
 from wheathill.peers.facts import AGREED, ALONE
 from wheathill.peers.instance import NOTE, Peers, bounded
+from wheathill.peers.membership import FallbackProbe, ProbeResult
 from wheathill.peers.zones import (
     AT_WORK,
     DELEGATES,
@@ -103,31 +104,28 @@
 
     # What membership calls for
 
-    def knock(self, name, birth, address, wait, why):
+    def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """A process may have taken the address that is of another zone now, by its file: nobody of this one ever meets
         it, and its connections come up all the same. That the one before is gone is what links have found since."""
         began = self.clock.now()
 
-        def told(how):
+        def told(result):
             member, peer = (
-                self.membership.members.get(name),
-                self.links.peers.get(address),
+                self.membership.members.get(probe.name),
+                self.links.peers.get(probe.address),
             )
             replaced = (
                 member is not None
-                and member.heard <= began
+                and member.last_seen_ms <= began
                 and peer is not None
-                and birth in peer.past
-            )
-            self.membership.on_knock(
-                self.clock.now(),
-                name,
-                birth,
-                "refused" if how == "up" and replaced else how,
-                why,
+                and probe.generation in peer.past
             )
+            found = ProbeResult(result)
+            if found == ProbeResult.REACHABLE and replaced:
+                found = ProbeResult.REFUSED
+            self.membership.on_fallback_probe_result(self.clock.now(), probe, found)
 
-        self.links.knock(address, wait, told)
+        self.links.knock(probe.address, probe.timeout_ms, told)
 
     # The board
 
@@ -277,12 +275,12 @@
 
     def delegates(self):
         """(name, birth, address) of those who speak for the zone, by this view."""
-        if self.membership.alone:
+        if self.membership.is_isolated:
             return []
         return self.zones.delegates(
             [
-                (member.name, member.birth, member.address)
-                for member in self.membership.alive()
+                (member.name, member.generation, member.address)
+                for member in self.membership.active_members()
             ]
         )
 
