--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -47,7 +47,7 @@
 def control_answer(instance: Any, clock: Any, limits: Any, data: bytes) -> Sink:
     """Feeds the control socket of an instance with one caller's bytes."""
     wire = Sink()
-    control = Control(wire, instance.handle_operator_request, limits, clock)
+    control = Control(wire, instance.operator_requests.handle, limits, clock)
     control.connected()
     control.received(data)
     return wire
--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -58,7 +58,7 @@
 def compare_views(fleet: "RecordedFleet", name: str) -> list:
     """Asks a member, as an operator, to compare its view with the others'; the answer comes into the list."""
     answers: list = []
-    fleet.peers[name].handle_operator_request({"compare": True}, answers.append)
+    fleet.peers[name].operator_requests.handle({"compare": True}, answers.append)
     return answers
 
 
--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -21,7 +21,7 @@
 from dataclasses import dataclass
 from enum import StrEnum
 
-from wheathill.peers.membership import ALIVE, DEAD, SUSPECT
+from wheathill.peers.membership import MemberState
 from wheathill.peers.messages import ViewHeader
 
 # Names of members that are remembered, a bound on memory.
@@ -82,7 +82,7 @@
     """
 
     generation: int
-    state: str
+    state: MemberState
     is_established: bool
     digest: str | None = None
     capacity_estimate: float | None = None
@@ -129,13 +129,13 @@
         now_ms: float,
         name: str,
         generation: int,
-        state: str,
+        state: MemberState,
         is_death_certain: bool,
     ) -> None:
         """Take in what membership has found of the process `generation` of a member."""
         self._digest = None
         known = self.members.get(name)
-        is_present = state in (ALIVE, SUSPECT)
+        is_present = state in (MemberState.ALIVE, MemberState.SUSPECT)
         if known is not None and known.generation != generation:
             if not is_present:
                 return
@@ -143,7 +143,7 @@
             # all agree.
             self.ended_at_ms.append(now_ms)
             known = None
-        if is_present or state == DEAD and not is_death_certain:
+        if is_present or state == MemberState.DEAD and not is_death_certain:
             if known is None:
                 known = KnownMember(
                     generation, state, is_established=name not in self._known_names
@@ -214,7 +214,9 @@
     def reachable_names(self) -> list[str]:
         """Return the names of the members that aren't taken for dead, in order."""
         members = self.members
-        return [name for name in sorted(members) if members[name].state != DEAD]
+        return [
+            name for name in sorted(members) if members[name].state != MemberState.DEAD
+        ]
 
     def have_all_reported_same(self) -> bool:
         """Tell whether all reachable members have reported this view's digest."""
@@ -222,7 +224,7 @@
         return all(
             known.digest == own
             for known in self.members.values()
-            if known.state != DEAD
+            if known.state != MemberState.DEAD
         )
 
     def may_stand_alone(self, now_ms: float) -> bool:
@@ -255,7 +257,7 @@
             return ViewState.PARTITIONED
         if len(reachable) < len(self.members) or not self._has_agreement():
             return ViewState.DIVERGED
-        if any(self.members[name].state == SUSPECT for name in reachable):
+        if any(self.members[name].state == MemberState.SUSPECT for name in reachable):
             return ViewState.DIVERGED
         return ViewState.CONVERGED
 
@@ -286,7 +288,8 @@
             return equal_part
         own = self.digest()
         agreeing = sum(
-            known.state != DEAD and own in (known.digest, self.confirmed_digest)
+            known.state != MemberState.DEAD
+            and own in (known.digest, self.confirmed_digest)
             for known in established
         )
         return equal_part * agreeing / len(established)
--- a/wheathill/peers/derived_config.py
+++ b/wheathill/peers/derived_config.py
@@ -2,11 +2,34 @@
 
 from wheathill.config.peers import PeerSettings
 from wheathill.peers.cluster_view import ClusterViewConfig
+from wheathill.peers.membership import MembershipConfig
 
 # Milliseconds; after that what a process had under way has ended or come back.
 ENDED_PROCESS_HOLD_MS = 3000.0
 # Probe intervals after the start in which others would have answered.
 STARTUP_SILENCE_INTERVALS = 3
+# Members that are asked to probe one that doesn't answer.
+INDIRECT_CHECKS = 3
+# Probe intervals that members which have surely gone are remembered.
+RETENTION_INTERVALS = 60
+# Probe intervals between two exchanges of whole states.
+SYNC_INTERVALS = 10
+
+
+def membership_config(settings: PeerSettings, generation: int) -> MembershipConfig:
+    """Return what membership of the fleet, or of the own zone, is built from."""
+    interval_ms = settings.probe_interval_ms
+    return MembershipConfig(
+        name=settings.name,
+        address=settings.advertise_address,
+        generation=generation,
+        probe_interval_ms=interval_ms,
+        probe_timeout_ms=settings.probe_timeout_ms,
+        indirect_checks=INDIRECT_CHECKS,
+        retention_ms=RETENTION_INTERVALS * interval_ms,
+        sync_interval_ms=SYNC_INTERVALS * interval_ms,
+        digest_sync=settings.layout is not None,
+    )
 
 
 def cluster_view_config(
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -5,16 +5,14 @@
 that fail for it alone. No session waits for any of it.
 """
 
-import os
 import random
-from collections.abc import Callable, Mapping, Sequence
+from collections.abc import Mapping, Sequence
 from typing import Any
 
 from wheathill.config.peers import PeerSettings
 from wheathill.model import Phase
 from wheathill.peers.cluster_view import ClusterView, ViewState
-from wheathill.peers.control import Control
-from wheathill.peers.derived_config import cluster_view_config
+from wheathill.peers.derived_config import cluster_view_config, membership_config
 from wheathill.peers.environment import Closeable, PeerEnvironment
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.frames import Seal
@@ -22,14 +20,17 @@
 from wheathill.peers.links import Links
 from wheathill.peers.member_rotation import MemberRotation
 from wheathill.peers.membership import (
-    ALIVE,
-    DEAD,
-    LEFT,
-    STATE,
-    SUSPECT,
+    FallbackProbe,
     Member,
     Membership,
+    MemberState,
+    ProbeResult,
+    StateSync,
+    Timer,
 )
+from wheathill.peers.membership import Message as MembershipMessage
+from wheathill.peers.membership import decode_message as decode_membership_message
+from wheathill.peers.membership import encode_message as encode_membership_message
 from wheathill.peers.messages import (
     DigestNote,
     DrainUpdate,
@@ -43,6 +44,7 @@
     ZonedViewHeader,
     decode_message,
 )
+from wheathill.peers.operator_requests import OperatorRequests
 from wheathill.peers.peer_health_reports import HealthObservation
 from wheathill.peers.server_updates import (
     DirectServerUpdates,
@@ -55,12 +57,6 @@
 # Members that are notified at once that this view has changed; more of them learn it
 # with what is sent anyway.
 MAX_NOTIFIED = 64
-# Members that are asked to probe one that doesn't answer.
-INDIRECT_CHECKS = 3
-# Probe intervals that members which have surely gone are remembered.
-GONE_MEMBER_INTERVALS = 60
-# Probe intervals between two exchanges of whole views.
-SYNC_INTERVALS = 10
 
 
 class PeerService:
@@ -102,7 +98,13 @@
         self.quota_in_force: float | None = None
         # What the others were last notified of: the digest, and whether established.
         self._announced_view: tuple[str, bool] | None = None
-        self._control_socket = self._open_control_socket(environment)
+        self.operator_requests = OperatorRequests(
+            environment, self.membership, self.status, self.comparison
+        )
+        self._control_socket: Closeable | None = None
+        if settings.control_socket_path:
+            path = settings.control_socket_path
+            self._control_socket = self.operator_requests.listen(path)
 
     # Parts; those that differ where there are zones are created by a method each.
 
@@ -121,20 +123,8 @@
         )
 
     def _create_membership(self, generation: int) -> Membership:
-        settings = self.settings
-        return Membership(
-            self,
-            self.random,
-            settings.name,
-            settings.advertise_address,
-            generation,
-            period=settings.probe_interval_ms,
-            patience=settings.probe_timeout_ms,
-            helpers=INDIRECT_CHECKS,
-            kept=GONE_MEMBER_INTERVALS * settings.probe_interval_ms,
-            sync_every=SYNC_INTERVALS * settings.probe_interval_ms,
-            differences=settings.layout is not None,
-        )
+        config = membership_config(self.settings, generation)
+        return Membership(self, self.random, config)
 
     def _create_view(self, generation: int, expected_proxies: int) -> ClusterView:
         config = cluster_view_config(self.settings, generation, expected_proxies)
@@ -163,19 +153,6 @@
     def _create_status(self) -> StatusReporter:
         return StatusReporter(self._status_sources())
 
-    def _open_control_socket(self, environment: PeerEnvironment) -> Closeable | None:
-        if not self.settings.control_socket_path:
-            return None
-        folder, name = os.path.split(self.settings.control_socket_path)
-        carrier = environment.carrier
-        return carrier.meet(
-            folder or ".",
-            name,
-            lambda connection: Control(
-                connection, self.handle_operator_request, carrier.limits, self.clock
-            ),
-        )
-
     # Start and end
 
     def start(self) -> None:
@@ -192,7 +169,7 @@
 
     def leave(self) -> None:
         """Leave the cluster in order, so that the others need not find out."""
-        self.membership.leave(self.clock.now())
+        self.membership.leave()
         self.links.close()
         if self._control_socket:
             self._control_socket.close()
@@ -251,7 +228,7 @@
         return ViewHeader(view.digest(), view.is_established, self.capacity_estimate())
 
     def send_words(
-        self, address: str, words: Sequence[Any], is_bulk: bool = False
+        self, address: str | None, words: Sequence[Any], is_bulk: bool = False
     ) -> None:
         """Send a message that is encoded already; one in bulk goes by stream."""
         self.links.send(address, [*self.header().encode(), words], is_bulk)
@@ -262,8 +239,8 @@
 
     def send_to_all(self, message: Message) -> None:
         """Send a message to all members that can be reached, up to a bound."""
-        for member in self.membership.alive()[:MAX_NOTIFIED]:
-            if member is not self.membership.me:
+        for member in self.membership.active_members()[:MAX_NOTIFIED]:
+            if member is not self.membership.local:
                 self.send_message(member.address, message)
 
     def announce_view(self) -> None:
@@ -279,8 +256,10 @@
 
     def other_members(self) -> list[Member]:
         """Return the other members that count as present, suspects among them."""
-        me = self.membership.me
-        return [member for member in self.membership.alive() if member is not me]
+        me = self.membership.local
+        return [
+            member for member in self.membership.active_members() if member is not me
+        ]
 
     # Receiving
 
@@ -305,7 +284,7 @@
     def record_contact(self, now_ms: float, sender: Sender) -> None:
         """Note that a process has spoken from an address; a stream doesn't tell it."""
         if sender.address is not None:
-            self.membership.contact(
+            self.membership.on_contact(
                 now_ms, sender.name, sender.generation, sender.address
             )
 
@@ -315,7 +294,8 @@
         """Act on a message, without its header."""
         message = decode_message(words)
         if message is None:
-            self.membership.on_message(now_ms, sender.address, words)
+            membership_message = decode_membership_message(words)
+            self.membership.on_message(now_ms, sender.address, membership_message)
         elif isinstance(message, DrainUpdate | StartUpdate):
             self.server_updates.handle(now_ms, sender, message)
         elif isinstance(message, HealthEvidence):
@@ -340,51 +320,55 @@
         return (
             self.cluster_view.state != ViewState.PARTITIONED
             and member is not None
-            and member.state == ALIVE
+            and member.state == MemberState.ALIVE
         )
 
-    # What membership calls for
+    # Effects of membership
 
-    def send(self, address: str, words: Sequence[Any]) -> None:
-        """Send a message of membership."""
-        self.send_words(address, words, is_bulk=words[0] == STATE)
+    def send(self, address: str | None, message: MembershipMessage) -> None:
+        """Send a message of membership; states go by stream."""
+        words = encode_membership_message(message)
+        self.send_words(address, words, is_bulk=isinstance(message, StateSync))
 
-    def knock(self, name: str, birth: int, address: str, wait: float, why: str) -> None:
+    def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """Check by connections whether a process listens at a member's address."""
         self.links.knock(
-            address,
-            wait,
-            lambda how: self.membership.on_knock(
-                self.clock.now(), name, birth, how, why
+            probe.address,
+            probe.timeout_ms,
+            lambda result: self.membership.on_fallback_probe_result(
+                self.clock.now(), probe, ProbeResult(result)
             ),
         )
 
-    def alarm(self, at: float, what: object) -> None:
-        """Set a timer."""
-        self.clock.at(at, self._on_timer, what)
+    def set_timer(self, at_ms: float, timer: Timer) -> None:
+        """Set a timer of membership."""
+        self.clock.at(at_ms, self._on_timer, timer)
 
-    def _on_timer(self, what: object) -> None:
-        self.membership.on_alarm(self.clock.now(), what)
+    def _on_timer(self, timer: Timer) -> None:
+        self.membership.on_timer(self.clock.now(), timer)
 
-    def changed(self, member: Member, old: str | None) -> None:
-        """Act on a member's change of state; `old` is None for one that is new."""
+    def member_changed(
+        self, member: Member, previous_state: MemberState | None
+    ) -> None:
+        """Act on a member's change; without a previous state it is new."""
         now_ms = self.clock.now()
+        state = member.state
         self.cluster_view.update_member(
-            now_ms, member.name, member.birth, member.state, member.certain
+            now_ms, member.name, member.generation, state, member.is_death_confirmed
         )
-        if member.state in (DEAD, LEFT):
+        if state in (MemberState.DEAD, MemberState.LEFT):
             self.health.forget_source(member.name)
-        accusers = list(member.accusers) if member.state == SUSPECT else None
+        is_suspect, is_dead = state == MemberState.SUSPECT, state == MemberState.DEAD
         self.log_event(
             "peer",
             peer=member.name,
-            state=member.state,
-            was=old,
+            state=state.value,
+            was=None if previous_state is None else previous_state.value,
             address=member.address,
-            by=accusers,
-            surely=member.certain if member.state == DEAD else None,
+            by=list(member.suspected_by) if is_suspect else None,
+            surely=member.is_death_confirmed if is_dead else None,
         )
-        if old is None and member.state == ALIVE:
+        if previous_state is None and state == MemberState.ALIVE:
             self.server_updates.send_all(member.address)
         self.update_view(now_ms)
 
@@ -395,9 +379,9 @@
     def update_view(self, now_ms: float) -> None:
         """Work out the state of the view anew, and with it the quota."""
         view = self.cluster_view
-        view.is_isolated = self.membership.alone
+        view.is_isolated = self.membership.is_isolated
         state_before, since_ms = view.state, view.state_since_ms
-        state = view.update_state(now_ms, self.membership.unanswered)
+        state = view.update_state(now_ms, self.membership.unanswered_probes)
         if state != state_before:
             self.log_event(
                 "peers are",
@@ -411,21 +395,3 @@
         if quota != self.quota_in_force:
             self.quota_in_force = quota
             self.proxy.balancer.on_fleet(now_ms, quota)
-
-    # Operators
-
-    def handle_operator_request(
-        self, request: dict[str, Any], on_done: Callable[[dict[str, Any]], None]
-    ) -> None:
-        """Answer a request of the control socket by calling `on_done`, now or later."""
-        if "compare" in request:
-            self.comparison.begin(on_done)
-        elif "remove" in request:
-            on_done(self._remove_member(request["remove"]))
-        else:
-            on_done(self.status.table())
-
-    def _remove_member(self, name: object) -> dict[str, Any]:
-        if self.membership.remove(self.clock.now(), str(name)):
-            return {"removed": name}
-        return {"wrong": f"no other member {name!r}"}
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -9,7 +9,7 @@
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.health_exchange import HealthExchange
 from wheathill.peers.links import Links
-from wheathill.peers.membership import LEFT, SUSPECT, Member, Membership
+from wheathill.peers.membership import Member, Membership, MemberState
 from wheathill.peers.server_updates import ServerUpdates
 
 # Quotas under this are shown by two digits, those above by three decimal places.
@@ -46,7 +46,7 @@
             "state": view.state.value,
             "since_s": _seconds(now_ms - view.state_since_ms),
             "digest": membership.digest(),
-            "alone": membership.alone,
+            "alone": membership.is_isolated,
             "fleet": view.max_active_proxies(now_ms),
             "share": round(sources.limits.quota(now_ms), 6),
             "members": [
@@ -99,16 +99,17 @@
         return found
 
     def _member_row(self, now_ms: float, member: Member) -> dict[str, Any]:
-        is_self = member is self._sources.membership.me
-        accusers = list(member.accusers) if member.state == SUSPECT else []
+        is_self = member is self._sources.membership.local
+        is_suspect = member.state == MemberState.SUSPECT
+        has_left = member.state == MemberState.LEFT
         return {
             "name": member.name,
             "address": member.address,
-            "state": member.state,
-            "since_s": _seconds(now_ms - member.since),
-            "heard_s": None if is_self else _seconds(now_ms - member.heard),
-            "accused_by": accusers,
-            "surely_gone": member.certain or member.state == LEFT,
+            "state": member.state.value,
+            "since_s": _seconds(now_ms - member.state_since_ms),
+            "heard_s": None if is_self else _seconds(now_ms - member.last_seen_ms),
+            "accused_by": list(member.suspected_by) if is_suspect else [],
+            "surely_gone": member.is_death_confirmed or has_left,
             "agrees": is_self or self._has_same_view(member.name),
         }
 
--- a/wheathill/peers/view_comparison.py
+++ b/wheathill/peers/view_comparison.py
@@ -42,9 +42,9 @@
         """
         self._last_request_id += 1
         request_id = self._last_request_id
-        me = self._membership.me
+        me = self._membership.local
         self._views[request_id] = {me.name: self._own_view()}
-        for member in self._membership.alive():
+        for member in self._membership.active_members():
             if member is not me:
                 self._send(member.address, ViewRequest(request_id))
         self._clock.after(REPLY_WAIT_MS, self._finish, request_id, on_done)
@@ -60,7 +60,7 @@
 
     def _own_view(self) -> View:
         return {
-            name: MemberSummary(member.birth, member.state)
+            name: MemberSummary(member.generation, member.state.value)
             for name, member in self._membership.members.items()
         }
 
@@ -70,7 +70,7 @@
         views = self._views.pop(request_id)
         silent = [
             member.name
-            for member in self._membership.alive()
+            for member in self._membership.active_members()
             if member.name not in views
         ]
         on_done(
