--- a/wheathill/config/operator.py
+++ b/wheathill/config/operator.py
@@ -9,7 +9,7 @@
 from dataclasses import replace
 from typing import Annotated, Literal
 
-from msgspec import Meta, Struct, field
+from msgspec import Meta, field
 
 from wheathill.config import (
     Misconfigured,
@@ -19,29 +19,18 @@
     peers,
     surroundings,
 )
-
-Name = Annotated[
-    str,
-    Meta(
-        min_length=1,
-        max_length=200,
-        pattern=r"^[!-~]+$",
-        description="printable, no blanks",
-    ),
-]
-Address = Annotated[
-    str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT, a numeric address")
-]
-Ms = Annotated[float, Meta(gt=0, le=3_600_000)]
-Wait = Annotated[float, Meta(ge=0, le=3_600_000)]
-Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Share = Annotated[float, Meta(ge=0, le=1)]
-Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-Price = Annotated[float, Meta(ge=0, le=1000)]
-
-
-class Table(Struct, forbid_unknown_fields=True, frozen=True):
-    pass
+from wheathill.config.peer_tables import PeersTable
+from wheathill.config.tables import (
+    Address,
+    Count,
+    Ms,
+    Name,
+    Price,
+    Seconds,
+    Share,
+    Table,
+    Wait,
+)
 
 
 class ListenerTable(Table):
@@ -108,35 +97,6 @@
     nines_full: Annotated[float, Meta(gt=0, le=1000)] = 3.0
 
 
-class ZoneTable(Table):
-    """One zone of a fleet of several, told alike to all instances."""
-
-    name: Name
-    proxies: Count
-    seeds: list[Address]
-    region: Name | None = None
-    part: Share | None = None  # of every limit over all; by `proxies` where left out
-    was: Share | None = None  # its part by the layout before this one
-
-
-class Peers(Table):
-    """The other instances, where this one is to know them."""
-
-    cluster: Name
-    listen: Address
-    key_file: Annotated[str, Meta(min_length=1)]
-    name: Name | None = None
-    advertise: Address | None = None
-    seeds: list[Address] = []
-    roster: list[Name] = []
-    control: Annotated[str, Meta(min_length=1)] | None = None
-    period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
-    patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 300.0
-    zone: Name | None = None  # its own, of `zones`
-    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1  # the version of `zones`
-    zones: Annotated[list[ZoneTable], Meta(max_length=64)] = []
-
-
 class File(Table):
     """An installation's proxy."""
 
@@ -156,7 +116,7 @@
     fleet: Fleet = field(default_factory=Fleet)
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
-    peers: Peers | None = None
+    peers: PeersTable | None = None
 
 
 REPEATS = {"repeatable": "retryable", "referenced": "dedup", "once-only": "fragile"}
@@ -205,7 +165,9 @@
                 yield str(wrong)
 
     if file.peers is not None:
-        yield from peers.contradictions(file)
+        yield from peers.contradictions(
+            file.peers, proxy_name=file.name, fleet_size=file.fleet.proxies
+        )
 
 
 def platform_form(file):
@@ -315,8 +277,8 @@
     node = node_of(
         {**platform_form(file), "peers": values.get("peers")}, surroundings(os.environ)
     )
-    return (
-        node
-        if file.peers is None
-        else replace(node, peers=peers.read_peer_settings(file))
+    if file.peers is None:
+        return node
+    return replace(
+        node, peers=peers.read_peer_settings(file.peers, proxy_name=file.name)
     )
--- /dev/null
+++ b/wheathill/config/peer_tables.py
@@ -0,0 +1,39 @@
+"""The tables of an operator's file that describe the cluster.
+
+Names of fields are the keys of the file.
+"""
+
+from typing import Annotated
+
+from msgspec import Meta
+
+from wheathill.config.tables import Address, Count, Name, Share, Table
+
+
+class ZoneTable(Table, frozen=True):
+    """One entry of `peers.zones`, the same in the files of all proxies."""
+
+    name: Name
+    proxies: Count
+    seeds: list[Address]
+    region: Name | None = None
+    part: Share | None = None  # of every limit over all; by `proxies` where left out
+    was: Share | None = None  # its part by the layout before this one
+
+
+class PeersTable(Table, frozen=True):
+    """The `[peers]` table, of a proxy that takes part in a cluster."""
+
+    cluster: Name
+    listen: Address
+    key_file: Annotated[str, Meta(min_length=1)]
+    name: Name | None = None
+    advertise: Address | None = None
+    seeds: list[Address] = []
+    roster: list[Name] = []
+    control: Annotated[str, Meta(min_length=1)] | None = None
+    period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
+    patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 300.0
+    zone: Name | None = None  # its own, of `zones`
+    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1  # the version of `zones`
+    zones: Annotated[list[ZoneTable], Meta(max_length=64)] = []
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -1,23 +1,29 @@
-"""The `[peers]` table of an operator's file: the other proxies of the cluster, their zones, and the key they share."""
+"""The `[peers]` table of an operator's file: the cluster, its zones, the shared key."""
 
 import os
 import stat
-from collections.abc import Iterator
+from collections.abc import Iterator, Sequence
 from dataclasses import dataclass
+from typing import TYPE_CHECKING
 
 from wheathill.config import Misconfigured, address
 
-# Bytes of a shared key. The shortest is that of HMAC-SHA256 truncated to 16 bytes, as frames carry it; nobody means
-# a longer one than the longest, which is more likely the wrong file.
+# The tables need msgspec, which a reader of settings alone does without.
+if TYPE_CHECKING:
+    from wheathill.config.peer_tables import PeersTable, ZoneTable
+
+# Bytes of a shared key. Frames carry 16 bytes of HMAC-SHA256, which a shorter key would
+# weaken; past the longest the path is more likely that of the wrong file.
 SHORTEST_KEY, LONGEST_KEY = 16, 4096
+QUOTA_ROUNDING = 1e-9  # how far a sum of quotas may pass 1 by the rounding of floats
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
     """One zone of the fleet, stated alike to all its proxies.
 
-    `quota` is the zone's fraction of every limit that holds for the whole fleet; `previous_quota` is its fraction by the
-    layout before this one.
+    `quota` is the zone's fraction of every limit that holds for the whole fleet;
+    `previous_quota` is its fraction by the layout before this one.
     """
 
     name: str
@@ -44,9 +50,10 @@
 class PeerSettings:
     """What a proxy needs to take part in its cluster.
 
-    Addresses are "HOST:PORT", but for `listen`, which is (host, port). `advertise_address` is where other members reach
-    this one. Where `expected_members` is empty, `fleet.proxies` or the zone's `proxies` says how many there should be.
-    `zone` and `layout` are None in a fleet without zones.
+    Addresses are "HOST:PORT", but for `listen`, which is (host, port). Other members
+    reach this one at `advertise_address`. Where `expected_members` is empty,
+    `fleet.proxies` or the zone's `proxies` says how many there should be. `zone` and
+    `layout` are None in a fleet without zones.
     """
 
     name: str
@@ -63,14 +70,18 @@
     layout: ZoneLayout | None = None
 
 
-def read_zone_layout(peers):
-    """Parts that are not told go by the number of proxies."""
-    if peers.zone is None:
+def read_zone_layout(table: "PeersTable") -> ZoneLayout | None:
+    """Return the layout of the zones, or None where the file names no zone.
+
+    A quota that is left out is the fraction of all proxies that are in the zone; a
+    previous one that is left out is the same as the present one.
+    """
+    if table.zone is None:
         return None
-    whole = sum(zone.proxies for zone in peers.zones)
+    fleet_size = sum(zone.proxies for zone in table.zones)
     zones = []
-    for zone in peers.zones:
-        quota = zone.proxies / whole if zone.part is None else zone.part
+    for zone in table.zones:
+        quota = zone.proxies / fleet_size if zone.part is None else zone.part
         zones.append(
             ZoneSettings(
                 name=zone.name,
@@ -81,99 +92,136 @@
                 previous_quota=quota if zone.was is None else zone.was,
             )
         )
-    return ZoneLayout(peers.layout, tuple(zones))
+    return ZoneLayout(table.layout, tuple(zones))
+
+
+def contradictions(
+    table: "PeersTable", *, proxy_name: str, fleet_size: int
+) -> Iterator[str]:
+    """Yield a message for each value that is valid by itself but not beside the others.
+
+    `proxy_name` and `fleet_size` are the file's `name` and `fleet.proxies`.
+    """
+    addresses = [
+        ("peers.listen", table.listen),
+        ("peers.advertise", table.advertise),
+        *((f"peers.seeds[{index}]", seed) for index, seed in enumerate(table.seeds)),
+    ]
+    for key, text in addresses:
+        if text is not None:
+            yield from _address_faults(key, text)
+    if table.patience_ms >= table.period_ms:
+        yield "peers.patience_ms: is not under peers.period_ms"
+    name = table.name or proxy_name
+    if table.roster and name not in table.roster:
+        yield f"peers.roster: {name!r}, this instance, is not one of them"
+    if len(dict.fromkeys(table.roster)) != len(table.roster):
+        yield "peers.roster: a name stands twice"
+    yield from _zone_contradictions(table, fleet_size)
 
 
-def zone_contradictions(peers, proxies):
-    names = [zone.name for zone in peers.zones]
-    if peers.zone is None:
-        if peers.zones:
+def _zone_contradictions(table: "PeersTable", fleet_size: int) -> Iterator[str]:
+    if table.zone is None:
+        if table.zones:
             yield "peers.zone: is missing, as peers.zones names some"
         return
-    if peers.zone not in names:
-        yield f"peers.zone: {peers.zone!r} is none of peers.zones"
-    if peers.roster:
-        yield "peers.roster: is for a fleet without zones; peers.zones says how many are meant to be there"
-    for place, zone in enumerate(peers.zones):
-        if zone.name in names[:place]:
-            yield f"peers.zones[{place}].name: {zone.name!r} stands at peers.zones[{names.index(zone.name)}] already"
-        if not zone.seeds:
-            yield f"peers.zones[{place}].seeds: is empty, so that the zone can't be found"
-        for at, text in enumerate(zone.seeds):
-            try:
-                address(text, f"peers.zones[{place}].seeds[{at}]")
-            except Misconfigured as wrong:
-                yield str(wrong)
-    for key in ("part", "was"):
-        told = [getattr(zone, key) for zone in peers.zones]
-        if any(each is None for each in told):
-            if any(each is not None for each in told):
-                yield f"peers.zones: {key} is told of some zones and not of others"
-        elif sum(told) > 1.0 + 1e-9:
-            yield f"peers.zones: {key} sums to {sum(told):g}, which is over 1"
-    meant = sum(zone.proxies for zone in peers.zones)
-    if not meant:
+    names = [zone.name for zone in table.zones]
+    if table.zone not in names:
+        yield f"peers.zone: {table.zone!r} is none of peers.zones"
+    if table.roster:
+        yield (
+            "peers.roster: is for a fleet without zones;"
+            " peers.zones says how many are meant to be there"
+        )
+    for index in range(len(table.zones)):
+        yield from _faults_of_zone(table.zones, index)
+    yield from _quota_faults("part", [zone.part for zone in table.zones])
+    yield from _quota_faults("was", [zone.was for zone in table.zones])
+    expected = sum(zone.proxies for zone in table.zones)
+    if not expected:
         yield "peers.zones: proxies is 0 in all of them"
-    elif meant != proxies:
-        yield f"fleet.proxies: is {proxies}, and the proxies of peers.zones are {meant}"
+    elif expected != fleet_size:
+        yield (
+            f"fleet.proxies: is {fleet_size},"
+            f" and the proxies of peers.zones are {expected}"
+        )
 
 
-def contradictions(file):
-    peers = file.peers
-    for what, text in (
-        ("listen", peers.listen),
-        ("advertise", peers.advertise),
-        *((f"seeds[{place}]", text) for place, text in enumerate(peers.seeds)),
-    ):
-        if text is not None:
-            try:
-                address(text, f"peers.{what}")
-            except Misconfigured as wrong:
-                yield str(wrong)
-    if peers.patience_ms >= peers.period_ms:
-        yield "peers.patience_ms: is not under peers.period_ms"
-    if peers.roster and (peers.name or file.name) not in peers.roster:
-        yield f"peers.roster: {peers.name or file.name!r}, this instance, is not one of them"
-    if len(dict.fromkeys(peers.roster)) != len(peers.roster):
-        yield "peers.roster: a name stands twice"
-    yield from zone_contradictions(peers, file.fleet.proxies)
+def _faults_of_zone(zones: "list[ZoneTable]", index: int) -> Iterator[str]:
+    """Yield what is wrong with one entry of `peers.zones`, given those before it."""
+    key, zone = f"peers.zones[{index}]", zones[index]
+    first_index = [other.name for other in zones].index(zone.name)
+    if first_index < index:
+        yield f"{key}.name: {zone.name!r} stands at peers.zones[{first_index}] already"
+    if not zone.seeds:
+        yield f"{key}.seeds: is empty, so that the zone can't be found"
+    for seed_index, seed in enumerate(zone.seeds):
+        yield from _address_faults(f"{key}.seeds[{seed_index}]", seed)
+
+
+def _quota_faults(key: str, quotas: list[float | None]) -> Iterator[str]:
+    """Yield what is wrong with quotas: all or none are stated, and sum to 1 at most."""
+    stated = [quota for quota in quotas if quota is not None]
+    if len(stated) < len(quotas):
+        if stated:
+            yield f"peers.zones: {key} is told of some zones and not of others"
+    elif sum(stated) > 1.0 + QUOTA_ROUNDING:
+        yield f"peers.zones: {key} sums to {sum(stated):g}, which is over 1"
+
 
+def _address_faults(key: str, text: str) -> Iterator[str]:
+    try:
+        address(text, key)
+    except Misconfigured as error:
+        yield str(error)
+
+
+def read_peer_settings(table: "PeersTable", *, proxy_name: str) -> PeerSettings:
+    """Return the settings, with the shared key read from its file.
 
-def read_peer_settings(file):
-    """Raises Misconfigured where the key can't be used."""
-    peers = file.peers
-    layout = read_zone_layout(peers)
-    seeds = peers.seeds or (layout.zone(peers.zone).seeds if layout else ())
+    Raises:
+        Misconfigured: The key can't be used.
+    """
+    layout = read_zone_layout(table)
+    seeds: Sequence[str] = table.seeds
+    if not seeds and layout is not None and table.zone is not None:
+        seeds = layout.zone(table.zone).seeds
     return PeerSettings(
-        name=peers.name or file.name,
-        cluster=peers.cluster,
-        listen=address(peers.listen, "peers.listen"),
-        advertise_address=peers.advertise or peers.listen,
+        name=table.name or proxy_name,
+        cluster=table.cluster,
+        listen=address(table.listen, "peers.listen"),
+        advertise_address=table.advertise or table.listen,
         seeds=tuple(seeds),
-        shared_key=read_key(peers.key_file),
-        expected_members=tuple(peers.roster),
-        control_socket_path=peers.control,
-        probe_interval_ms=peers.period_ms,
-        probe_timeout_ms=peers.patience_ms,
-        zone=peers.zone,
+        shared_key=_read_key(table.key_file),
+        expected_members=tuple(table.roster),
+        control_socket_path=table.control,
+        probe_interval_ms=table.period_ms,
+        probe_timeout_ms=table.patience_ms,
+        zone=table.zone,
         layout=layout,
     )
 
 
-def read_key(path):
-    """The file's bytes, but for white space at its end. Only its owner, who runs this, may read it."""
+def _read_key(path: str) -> bytes:
+    """Return the file's bytes without white space at their end.
+
+    Only its owner, who runs the proxy, may have access: whoever has the key counts as
+    a member of the cluster.
+    """
     try:
         with open(path, "rb") as source:
             state = os.fstat(source.fileno())
             key = source.read(LONGEST_KEY + 1).rstrip()
-    except OSError as wrong:
-        raise Misconfigured(f"peers.key_file: {wrong}") from None
+    except OSError as error:
+        raise Misconfigured(f"peers.key_file: {error}") from None
     if state.st_uid != os.geteuid() or stat.S_IMODE(state.st_mode) & 0o077:
         raise Misconfigured(
-            f"peers.key_file: {path} must be readable by its owner alone, who starts the proxy"
+            f"peers.key_file: {path} must be readable by its owner alone,"
+            " who starts the proxy"
         )
     if not SHORTEST_KEY <= len(key) <= LONGEST_KEY:
         raise Misconfigured(
-            f"peers.key_file: {path} holds {len(key)} bytes, expected {SHORTEST_KEY} to {LONGEST_KEY}"
+            f"peers.key_file: {path} holds {len(key)} bytes,"
+            f" expected {SHORTEST_KEY} to {LONGEST_KEY}"
         )
     return key
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -6,9 +6,9 @@
 from msgspec import Meta, field
 
 from wheathill.config import Misconfigured, checked
-from wheathill.config.operator import (
+from wheathill.config.operator import ListenerTable
+from wheathill.config.tables import (
     Count,
-    ListenerTable,
     Ms,
     Name,
     Price,
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -18,7 +18,7 @@
 import msgspec
 import orjson
 
-from wheathill.config import operator
+from wheathill.config.peer_tables import PeersTable, ZoneTable
 from wheathill.lab.judging.mutated import program
 from wheathill.lab.worlds.outside import Outside, parts_of
 from wheathill.lab.worlds.relay import Relay
@@ -267,14 +267,14 @@
             {
                 "zone": zone_of[name],
                 "zones": [
-                    operator.ZoneTable(zone, len(within), seeds_of(within))
+                    ZoneTable(zone, len(within), seeds_of(within))
                     for zone, within in parts_of(names, zone_of)
                 ],
             }
             if told.zoned
             else {}
         )
-        return operator.Peers(
+        return PeersTable(
             cluster=odd and odd.cluster or "lab",
             listen="%s:%d" % private,
             advertise="%s:%d" % public,
