--- a/wheathill/peers/membership/__init__.py
+++ b/wheathill/peers/membership/__init__.py
@@ -1,9 +1,10 @@
 """Who the members of a cluster are: SWIM with suspicion and Lifeguard's local health.
 
-After "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol"
-(Das, Gupta, Motivala, 2002) and "Lifeguard: Local Health Awareness for More Accurate
-Failure Detection" (Dadgar, Phillips, Currey, 2018), in the terms of these papers and of
-HashiCorp's memberlist. What is added to them is in docs/design/membership.md.
+After "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Protocol" (Das, Gupta, Motivala, 2002) and "Lifeguard: Local Health Awareness for More
+Accurate Failure Detection" (Dadgar, Phillips, Currey, 2018), in the terms of these
+papers and of HashiCorp's memberlist. What is added to them is in
+docs/design/membership.md.
 """
 
 from wheathill.peers.membership.config import MembershipConfig
@@ -17,7 +18,7 @@
 from wheathill.peers.membership.member import Member, MemberState
 from wheathill.peers.membership.membership import Membership
 from wheathill.peers.membership.messages import (
-    InvalidMessage,
+    InvalidMessageError,
     MemberUpdate,
     Message,
     StateSync,
@@ -27,7 +28,7 @@
 
 __all__ = [
     "FallbackProbe",
-    "InvalidMessage",
+    "InvalidMessageError",
     "Member",
     "MemberState",
     "MemberUpdate",
--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -13,7 +13,7 @@
 from wheathill.peers.membership.member import Member, MemberState
 from wheathill.peers.membership.messages import (
     DigestRequest,
-    InvalidMessage,
+    InvalidMessageError,
     MemberUpdate,
     StateRequest,
     StateSync,
@@ -32,9 +32,9 @@
     """Sends and compares whole states.
 
     Attributes:
-        interval_ms: Until the next exchange but one. Short while exchanges bring members
-            that were not known: where hundreds start at once each has met few, and
-            gossip takes long to spread so many.
+        interval_ms: Until the next exchange but one. Short while exchanges bring
+            members that were not known: where hundreds start at once each has met few,
+            and gossip takes long to spread so many.
     """
 
     def __init__(
@@ -137,10 +137,12 @@
         """Send the members of all buckets that differ, and ask for the sender's.
 
         Raises:
-            InvalidMessage: The sender has another number of buckets.
+            InvalidMessageError: The sender has another number of buckets.
         """
         if len(digests) != BUCKETS:
-            raise InvalidMessage(f"{len(digests)} buckets where there are {BUCKETS}")
+            raise InvalidMessageError(
+                f"{len(digests)} buckets where there are {BUCKETS}"
+            )
         differing = [
             bucket
             for bucket, own_digest in enumerate(self.bucket_digests())
--- a/wheathill/peers/membership/config.py
+++ b/wheathill/peers/membership/config.py
@@ -5,19 +5,25 @@
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class MembershipConfig:
-    """Settings of one instance; the intervals and what follows from them must be the same throughout a cluster.
+    """Settings of one instance.
+
+    The intervals must be the same throughout a cluster.
 
     Attributes:
         name: Of this instance, unique within the cluster.
         address: "HOST:PORT" at which the others reach it.
         generation: A number that no other process under this name has or had.
-        probe_interval_ms: Between two probes; SWIM's protocol period. Stretched with the local health.
-        probe_timeout_ms: For the answer to a ping, before others are asked to ping. Stretched with the local health.
-        indirect_checks: How many others are asked to ping a member that has not answered; SWIM's k.
-        retention_ms: How long members that have left, or whose death is confirmed, are remembered.
+        probe_interval_ms: Between two probes; SWIM's protocol period. Stretched with
+            the local health.
+        probe_timeout_ms: For the answer to a ping, before others are asked to ping.
+            Stretched with the local health.
+        indirect_checks: How many others are asked to ping a member that has not
+            answered; SWIM's k.
+        retention_ms: How long members that have left, or whose death is confirmed, are
+            remembered.
         sync_interval_ms: Between two exchanges of whole states with a member at random.
-        digest_sync: Whether states are compared by digest first, and only what differs is sent. All instances of a
-            cluster do so, or none.
+        digest_sync: Whether states are compared by digest first, and only what differs
+            is sent. All instances of a cluster do so, or none.
     """
 
     name: str
--- a/wheathill/peers/membership/context.py
+++ b/wheathill/peers/membership/context.py
@@ -23,7 +23,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FallbackTimeout:
-    """Probe intervals for one of several connections to come up, without losses and with many."""
+    """How long one of several connections may take, in probe intervals.
+
+    `lossy` applies while many datagrams are lost.
+    """
 
     usual: float
     lossy: float
@@ -41,7 +44,7 @@
 
 
 class MembershipContext:
-    """The member table, the gossip queue and the local health of one instance, and the ways to use them."""
+    """The state that the parts share, and the messages that several of them send."""
 
     def __init__(
         self, effects: MembershipEffects, rng: random.Random, config: MembershipConfig
@@ -80,18 +83,21 @@
     def send_ping(
         self, address: str, sequence: int, first: Member | None = None
     ) -> None:
-        """Send a ping with updates, led by that of `first`; a sequence number of 0 asks for no answer."""
+        """Send a ping with updates, led by that of `first`.
+
+        A sequence number of 0 asks for no answer.
+        """
         self.effects.send(
             address, Ping(sequence, self.local.name, self.gossip_updates(first))
         )
 
     def sample_others(self, count: int, *excluded: Member) -> list[Member]:
-        """Return up to `count` active members at random, without this instance and those excluded."""
+        """Return up to `count` other active members at random."""
         others = self.table.active_others(*excluded)
         return self.rng.sample(others, min(len(others), count))
 
     def start_fallback_probe(self, member: Member, purpose: ProbePurpose) -> None:
-        """Probe `member` over TCP, because a lost datagram must not count as a death."""
+        """Probe `member` over TCP: a lost datagram must not count as a death."""
         timeout_ms = self.fallback_timeout_ms(purpose)
         self.effects.start_fallback_probe(
             FallbackProbe(
--- a/wheathill/peers/membership/death_checks.py
+++ b/wheathill/peers/membership/death_checks.py
@@ -1,10 +1,10 @@
 """The fallback probes that precede a suspicion and a death, and what follows from them.
 
-Beside the papers: a member that has not answered a probe is at first unconfirmed to this
-instance alone. It is suspected publicly only where no TCP connection reaches it either
-and it has sent nothing meanwhile, so that neither lost datagrams nor a process that is
-stopped look like a death. A process whose host refuses the connection is known to be
-dead.
+Beside the papers: a member that has not answered a probe is at first unconfirmed to
+this instance alone. It is suspected publicly only where no TCP connection reaches it
+either and it has sent nothing meanwhile, so that neither lost datagrams nor a process
+that is stopped look like a death. A process whose host refuses the connection is known
+to be dead.
 """
 
 from wheathill.peers.membership.anti_entropy import AntiEntropy
@@ -57,8 +57,8 @@
     ) -> None:
         """Probe a member that was seen here recently and that others declared dead.
 
-        Whoever did may itself be partitioned from it. The member is informed, so that it
-        refutes; it is dead where this probe fails too.
+        Whoever did may itself be partitioned from it. The member is informed, so that
+        it refutes; it is dead where this probe fails too.
         """
         member.reported_dead_incarnation = report.incarnation
         if not self._can_begin_check(member):
@@ -133,7 +133,7 @@
                 self._suspicion.schedule_deadline(now_ms, member)
 
     def _can_begin_check(self, member: Member) -> bool:
-        """Whether no check is under way, and this instance has not been stopped itself."""
+        """Whether no check is under way and this instance is not stalled."""
         return (
             member.unconfirmed_since_ms is None and not self._context.health.is_stalled
         )
--- a/wheathill/peers/membership/effects.py
+++ b/wheathill/peers/membership/effects.py
@@ -1,4 +1,4 @@
-"""What membership asks of the instance that runs it: messages, fallback probes, timers and notifications."""
+"""What membership asks of the instance that runs it."""
 
 from dataclasses import dataclass
 from enum import Enum, StrEnum, auto
@@ -11,30 +11,33 @@
 class ProbePurpose(Enum):
     """Why a fallback probe is made, which decides what follows from its result."""
 
+    # A member did not answer a probe, or is suspected by others.
     BEFORE_SUSPICION = auto()
-    """A member did not answer a probe, or is suspected by others."""
+    # The suspicion of a member is about to end in its death.
     BEFORE_DEATH = auto()
-    """The suspicion of a member is about to end in its death."""
+    # Others declared a member dead that was seen here a moment ago.
     DEATH_REPORT = auto()
-    """Others declared a member dead that was seen here a moment ago."""
+    # A member counts as dead, but nobody observed its death: it may be partitioned.
     KNOWN_DEATH = auto()
-    """A member counts as dead, but nobody observed its death: it may only be partitioned."""
+    # Another process claims a member's name.
     NAME_CLAIM = auto()
-    """Another process claims a member's name."""
 
 
 class ProbeResult(StrEnum):
     """What a fallback probe found. The values are those of the transport."""
 
     REACHABLE = "up"
+    # The host is there and no process listens at the address: the process is dead.
     REFUSED = "refused"
-    """The host is there and no process listens at the address: the process is dead."""
     NO_ANSWER = "nothing"
 
 
 @dataclass(slots=True, frozen=True)
 class FallbackProbe:
-    """A probe over TCP (memberlist's fallback ping): whether a process listens at the member's address."""
+    """A probe over TCP, as memberlist's fallback ping.
+
+    It finds whether a process listens at the member's address.
+    """
 
     name: str
     generation: int
@@ -95,10 +98,13 @@
 
 
 class MembershipEffects(Protocol):
-    """Carries out what membership decides. None of these may call membership back before it returns."""
+    """Carries out what membership decides."""
 
     def send(self, address: str | None, message: Message) -> None:
-        """Send `message`; it may be lost. Without an address it is."""
+        """Send `message`, which may be lost.
+
+        `address` is None in answer to a message that came over a stream.
+        """
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """Probe, and give the result to `Membership.on_fallback_probe_result`."""
@@ -109,7 +115,10 @@
     def member_changed(
         self, member: Member, previous_state: MemberState | None
     ) -> None:
-        """Take note of a change of state or process; without a previous state the member is new."""
+        """Take note that a member is new, or has another state or process.
+
+        A new member has no previous state.
+        """
 
     def log(self, text: str) -> None:
         """Write a line to the log."""
--- a/wheathill/peers/membership/failure_detector.py
+++ b/wheathill/peers/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: pings members in turn, and asks others to where no answer comes."""
+"""SWIM's failure detector: it pings members in turn, if need be by way of others."""
 
 from dataclasses import dataclass
 
@@ -135,8 +135,8 @@
     def _ping_own_suspects(self) -> None:
         """Ping all members that this instance is checking or suspects, each interval.
 
-        So each hears of its suspicion, and can answer: one lost message is no death. The
-        answer counts whichever probe is under way.
+        So each hears of its suspicion, and can answer: one lost message is no death.
+        The answer counts whichever probe is under way.
         """
         members = self._context.table.members
         local_name = self._context.local.name
--- a/wheathill/peers/membership/gossip_queue.py
+++ b/wheathill/peers/membership/gossip_queue.py
@@ -18,11 +18,15 @@
 class GossipQueue:
     """The members whose last update is passed on, the least often sent first.
 
-    Each is sent about log10(members) times, then no more, which is enough to reach all with high probability.
+    Each is sent about log10(members) times, then no more, which is enough to reach all
+    with high probability.
     """
 
     def __init__(self, retransmit_multiplier: float) -> None:
-        """Begin empty; each update is sent `retransmit_multiplier` * log10(members + 1) times."""
+        """Begin empty.
+
+        Each update is sent `retransmit_multiplier` * log10(members + 1) times.
+        """
         self._retransmit_multiplier = retransmit_multiplier
         self._queued: dict[Member, QueuedUpdate] = {}
 
@@ -41,7 +45,7 @@
     def take(
         self, limit: int, member_count: int, first: Member | None = None
     ) -> list[MemberUpdate]:
-        """Return up to `limit` updates, and count them as sent in a cluster of `member_count`.
+        """Return up to `limit` updates, and count them as sent.
 
         `first` is among them, and leads them, however often it was sent.
         """
--- a/wheathill/peers/membership/indirect_probes.py
+++ b/wheathill/peers/membership/indirect_probes.py
@@ -69,7 +69,7 @@
         self._context.effects.set_timer(now_ms + timeout_ms, NackTimer(sequence))
 
     def on_nack_timer(self, sequence: int) -> None:
-        """Tell the requester that its target has not answered, but this instance is well."""
+        """Let the requester know that its target has not answered this instance."""
         relayed = self._relayed_pings.get(sequence)
         if relayed is not None:
             self._context.effects.send(
@@ -77,7 +77,7 @@
             )
 
     def on_ack(self, now_ms: float, sequence: int) -> None:
-        """Take note of an answer to a final check, or pass on that to a relayed ping."""
+        """Take note of an answer to a final check, or relay one to its requester."""
         target = self._final_checks.pop(sequence, None)
         if target is not None:
             target.last_seen_ms = now_ms
--- a/wheathill/peers/membership/local_health.py
+++ b/wheathill/peers/membership/local_health.py
@@ -1,4 +1,4 @@
-"""How far this instance may trust what it observes of others (Lifeguard's local health)."""
+"""Lifeguard's local health: how far an instance may trust what it observes."""
 
 from collections import deque
 
@@ -11,11 +11,13 @@
 
 
 class LocalHealth:
-    """Signs that this instance or its network, and not the members that it probes, is at fault.
+    """Signs that this instance or its network is at fault, and not who it probes.
 
     Attributes:
-        score: 0 where it is well; each missed answer or accusation makes it more careful.
-        stalled_since_ms: Since when it has been stopped or starved and nobody has answered it, None if it was not.
+        score: 0 where it is well; each missed answer or suspicion of it makes it more
+            careful.
+        stalled_since_ms: Since when it has been stopped or starved and nobody has
+            answered it, None if it was not.
         unanswered_probes: Probes in a row that nobody answered.
     """
 
@@ -23,7 +25,8 @@
         self.score = 0
         self.stalled_since_ms: float | None = None
         self.unanswered_probes = 0
-        # Of the last probes the target's name where the answer was late or none came, else None.
+        # Of the last probes the target's name where the answer was late or none came,
+        # else None.
         self._late_targets: deque[str | None] = deque(maxlen=RECENT_PROBES)
 
     @property
@@ -33,12 +36,15 @@
 
     @property
     def is_stalled(self) -> bool:
-        """Whether it has been stopped and nobody has answered since: what it missed says nothing of others."""
+        """Whether this process was stopped and nobody has answered it since.
+
+        What it has missed says nothing of others.
+        """
         return self.stalled_since_ms is not None
 
     @property
     def is_network_lossy(self) -> bool:
-        """Whether datagrams are being lost, so that silence is a weaker sign of death."""
+        """Whether datagrams are being lost: silence is a weaker sign of death."""
         late = [name for name in self._late_targets if name is not None]
         return len(set(late)) >= LOSSY_TARGETS and len(late) > LOSSY_SHARE * len(
             self._late_targets
@@ -51,8 +57,8 @@
     def improve(self, was_late: bool) -> None:
         """Take note of an answered probe.
 
-        After an answer in time the score is halved: an instance that was partitioned raised it by those that it
-        could not reach, and is well again soon.
+        After an answer in time the score is halved: an instance that was partitioned
+        raised it by those that it could not reach, and is well again soon.
         """
         self.score = max(0, self.score - 1) if was_late else self.score // 2
 
--- a/wheathill/peers/membership/member.py
+++ b/wheathill/peers/membership/member.py
@@ -24,19 +24,27 @@
     Attributes:
         name: Unique within the cluster.
         address: "HOST:PORT" of its datagrams and streams.
-        incarnation: Orders the updates about one process (SWIM); only the process itself raises it, and an operator.
-        generation: Tells apart the processes that run under one name. Generations have no order in time.
+        incarnation: Orders the updates about one process (SWIM); only the process
+            itself raises it, and an operator.
+        generation: Tells apart the processes that run under one name. Generations have
+            no order in time.
         state: What this instance holds it to be.
-        state_since_ms: When it came into this state, or when its suspicion was last restarted.
+        state_since_ms: When it came into this state, or when its suspicion was last
+            restarted.
         last_seen_ms: When a message of its own last arrived.
         suspected_by: Names of the members that suspect it, each independently.
         suspicion_deadline_ms: While suspect: when it is declared dead.
         suspicion_restarted_ms: When its suspicion was last restarted, None if never.
-        unconfirmed_since_ms: Since when it has not answered this instance, while a fallback probe is under way.
-        final_check_since_ms: Since when the fallback probe that precedes its declaration as dead is under way.
-        reported_dead_incarnation: The incarnation others declared dead while this instance verifies that; else -1.
-        is_death_confirmed: Whether its death was observed: its host refuses connections to its address.
-        claimed_by_generation: Generation of the last process that tried to take over its name.
+        unconfirmed_since_ms: Since when it has not answered this instance, while a
+            fallback probe is under way.
+        final_check_since_ms: Since when the fallback probe that precedes its
+            declaration as dead is under way.
+        reported_dead_incarnation: The incarnation others declared dead while this
+            instance verifies that; else -1.
+        is_death_confirmed: Whether its death was observed: its host refuses connections
+            to its address.
+        claimed_by_generation: Generation of the last process that tried to take over
+            its name.
     """
 
     name: str
@@ -64,7 +72,7 @@
         return self.state in _ACTIVE_STATES
 
     def digest(self) -> int:
-        """Return 48 bits that differ where two instances know this member differently."""
+        """Return 48 bits of what this instance knows of the member."""
         fields = [
             self.state.value,
             self.name,
--- a/wheathill/peers/membership/member_table.py
+++ b/wheathill/peers/membership/member_table.py
@@ -8,12 +8,12 @@
 
 
 class MemberTable:
-    """The members by name, this instance among them, and the processes that are gone for good.
+    """The members by name, and the processes that are gone for good.
 
     Attributes:
         local: The member that is this instance.
-        members: All members by name; those that left or died stay for a while, so that an old update does not bring
-            them back.
+        members: All members by name; those that left or died stay for a while, so that
+            an old update does not bring them back.
     """
 
     def __init__(self, local: Member) -> None:
@@ -22,12 +22,15 @@
         self._removed: dict[tuple[str, int], None] = {}
 
     def active(self) -> list[Member]:
-        """Return the members that count as running, suspects and this instance among them, in order of name."""
+        """Return the members that count as running, in order of name.
+
+        Suspects and this instance are among them.
+        """
         members = (self.members[name] for name in sorted(self.members))
         return [member for member in members if member.is_active]
 
     def active_others(self, *excluded: Member) -> list[Member]:
-        """Return the active members in order of name, without this instance and those excluded."""
+        """Return the active members but this instance and those excluded, by name."""
         without = (self.local, *excluded)
         return [member for member in self.active() if member not in without]
 
@@ -36,7 +39,7 @@
         return sum(member.is_active for member in self.members.values())
 
     def mark_removed(self, member: Member) -> None:
-        """Ignore all updates about this process of the member from now on: it is gone for good."""
+        """Ignore updates about this process from now on: it is gone for good."""
         self._removed[member.name, member.generation] = None
         while len(self._removed) > MAX_REMOVED:
             del self._removed[next(iter(self._removed))]
@@ -57,7 +60,7 @@
             del self.members[name]
 
     def unconfirmed_dead(self) -> list[str]:
-        """Return the names of the dead whose death nobody observed: they may only be partitioned."""
+        """Return the dead whose death nobody observed: they may be partitioned."""
         return [
             name
             for name, member in self.members.items()
@@ -65,7 +68,7 @@
         ]
 
     def digest(self) -> str:
-        """Return a digest of the active processes, which is the same where views agree."""
+        """Return a digest of the active processes, the same where views agree."""
         processes = ";".join(
             f"{member.name} {member.generation}" for member in self.active()
         )
--- a/wheathill/peers/membership/membership.py
+++ b/wheathill/peers/membership/membership.py
@@ -1,4 +1,4 @@
-"""One instance's membership: the parts of the protocol, and what reaches each of them."""
+"""One instance's membership: what reaches each part of the protocol."""
 
 import random
 from collections.abc import Iterable
@@ -49,7 +49,14 @@
     """One instance's view of the members of its cluster.
 
     It does no I/O: it is given messages, timers and results of probes with the time in
-    ms, and answers with calls of `MembershipEffects`.
+    ms, and answers with calls of `MembershipEffects`. All draws are made from `rng`.
+
+    Attributes:
+        config: Its settings.
+        gossip: The updates that are being passed on.
+        joining: How it gets to know others by its seeds.
+        anti_entropy: The exchanges of whole states.
+        failure_detector: The probes of members.
     """
 
     def __init__(
@@ -58,35 +65,34 @@
         rng: random.Random,
         config: MembershipConfig,
     ) -> None:
-        context = MembershipContext(effects, rng, config)
-        self._context = context
         self.config = config
+        context = self._context = MembershipContext(effects, rng, config)
         self.gossip = context.gossip
-        self._probe_round = ProbeRound(context)
         self._ownership = NameOwnership(context)
-        self._indirect_probes = IndirectProbes(context)
-        self._suspicion = Suspicion(context)
-        self._transitions = Transitions(context, self._probe_round)
         self.joining = Joining(context, self._ownership)
         self.anti_entropy = AntiEntropy(context, self.joining, self._ownership)
+        probe_round = ProbeRound(context)
+        suspicion = Suspicion(context)
+        self._transitions = Transitions(context, probe_round)
+        self._indirect_probes = IndirectProbes(context)
         self._death_checks = DeathChecks(
             context,
-            self._suspicion,
+            suspicion,
             self._transitions,
             self._indirect_probes,
             self.anti_entropy,
         )
         self.failure_detector = FailureDetector(
             context,
-            self._probe_round,
+            probe_round,
             self._indirect_probes,
-            self._suspicion,
+            suspicion,
             self._death_checks,
             self._ownership,
         )
         self._updates = UpdateHandler(
             context,
-            self._suspicion,
+            suspicion,
             self._transitions,
             self._death_checks,
             Refutation(context, self._ownership),
@@ -129,7 +135,7 @@
         return self._context.table.active()
 
     def digest(self) -> str:
-        """Return a digest of the active processes, which is the same where views agree."""
+        """Return a digest of the active processes, the same where views agree."""
         return self._context.table.digest()
 
     # Start and end
--- a/wheathill/peers/membership/messages.py
+++ b/wheathill/peers/membership/messages.py
@@ -1,7 +1,8 @@
 """The messages of the membership protocol, and their form on the wire.
 
-On the wire a message is a list of its kind and its fields, of numbers, text and lists only, ready for MessagePack.
-`encode_message` and `decode_message` are the only places that know this form.
+On the wire a message is a list of its kind and its fields, of numbers, text and lists
+only, ready for MessagePack. `encode_message` and `decode_message` are the only places
+that know this form.
 """
 
 import reprlib
@@ -11,22 +12,22 @@
 
 from wheathill.peers.membership.member import Member, MemberState
 
-
 # Lookups, as the enum's own conversions cost more than the rest of an update.
 _STATES_BY_VALUE = {state.value: state for state in MemberState}
 _VALUES_BY_STATE = {state: state.value for state in MemberState}
 
 
-class InvalidMessage(ValueError):
+class InvalidMessageError(ValueError):
     """A message that is not of the membership protocol."""
 
 
 # Not frozen, which would double the cost of the one type made many times a message.
 @dataclass(slots=True)
 class MemberUpdate:
-    """What one instance reports of a member; carried by other messages (SWIM's infection-style dissemination).
+    """What one instance reports of a member; other messages carry it.
 
-    `reported_by` is the name of the member that came to this by itself, "" where that is not known.
+    `reported_by` is the name of the member that came to this by itself, "" where that
+    is not known.
     """
 
     state: MemberState
@@ -69,7 +70,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IndirectPing:
-    """SWIM's ping-req: asks the receiver to ping `target_name` in the sender's place."""
+    """SWIM's ping-req: asks the receiver to ping a target in the sender's place."""
 
     sequence: int
     sender: str
@@ -80,14 +81,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Nack:
-    """Lifeguard's nack: the target of an indirect ping has not answered its sender, which is well itself."""
+    """Lifeguard's nack: the helper is well, and has no answer of the target."""
 
     sequence: int
 
 
 @dataclass(slots=True, frozen=True)
 class Join:
-    """Asks for all that the receiver knows, and introduces the sender, which is `member`."""
+    """Asks for all that the receiver knows, and introduces the sender."""
 
     member: MemberUpdate
 
@@ -108,7 +109,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DigestRequest:
-    """A digest of each bucket of the sender's members: asks for what differs, and offers it."""
+    """A digest of each bucket of the sender's members, to exchange what differs."""
 
     digests: list[int]
 
@@ -169,7 +170,7 @@
     may be followed by more, which are ignored.
 
     Raises:
-        InvalidMessage: It is not of the protocol.
+        InvalidMessageError: It is not of the protocol.
     """
     match fields:
         case ["ping", int(sequence), str(sender), [*updates]]:
@@ -191,7 +192,7 @@
             return DigestRequest(_decode_integers(digests))
         case ["want", [*buckets], *_]:
             return StateRequest(_decode_integers(buckets))
-    raise InvalidMessage(f"no message of the protocol: {reprlib.repr(fields)}")
+    raise InvalidMessageError(f"no message of the protocol: {reprlib.repr(fields)}")
 
 
 def _encode_member(update: MemberUpdate) -> list[Any]:
@@ -213,7 +214,7 @@
     match fields:
         case [_, name, _, _, _]:
             return _decode_update([*fields, name])
-    raise InvalidMessage(f"no member: {reprlib.repr(fields)}")
+    raise InvalidMessageError(f"no member: {reprlib.repr(fields)}")
 
 
 def _decode_updates(fields: Sequence[object]) -> list[MemberUpdate]:
@@ -223,7 +224,7 @@
 def _decode_update(fields: object) -> MemberUpdate:
     # Not by a pattern, which takes three times as long: there are many in a message.
     if not isinstance(fields, (list, tuple)) or len(fields) != 6:
-        raise InvalidMessage(f"no update of a member: {reprlib.repr(fields)}")
+        raise InvalidMessageError(f"no update of a member: {reprlib.repr(fields)}")
     state, name, address, incarnation, generation, reported_by = fields
     if not (
         isinstance(state, str)
@@ -234,7 +235,7 @@
         and isinstance(generation, int)
         and isinstance(reported_by, str)
     ):
-        raise InvalidMessage(f"no update of a member: {reprlib.repr(fields)}")
+        raise InvalidMessageError(f"no update of a member: {reprlib.repr(fields)}")
     return MemberUpdate(
         _STATES_BY_VALUE[state], name, address, incarnation, generation, reported_by
     )
@@ -243,5 +244,5 @@
 def _decode_integers(fields: Sequence[object]) -> list[int]:
     integers = [value for value in fields if isinstance(value, int)]
     if len(integers) != len(fields):
-        raise InvalidMessage(f"not all of them integers: {reprlib.repr(fields)}")
+        raise InvalidMessageError(f"not all of them integers: {reprlib.repr(fields)}")
     return integers
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -104,5 +104,6 @@
         """Take note that an operator removed this instance."""
         self.is_isolated = self.is_removed = True
         self._context.effects.log(
-            "peers: an operator took this instance off; it comes back with its next start"
+            "peers: an operator took this instance off; "
+            "it comes back with its next start"
         )
--- a/wheathill/peers/membership/refutation.py
+++ b/wheathill/peers/membership/refutation.py
@@ -7,7 +7,7 @@
 
 
 class Refutation:
-    """Refutes suspicions of this instance, and supersedes earlier processes of its name."""
+    """Refutes suspicions of this instance, and supersedes its predecessors."""
 
     def __init__(self, context: MembershipContext, ownership: NameOwnership) -> None:
         self._context = context
--- a/wheathill/peers/membership/suspicion.py
+++ b/wheathill/peers/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""Suspicions of members and when they end (SWIM's suspicion, with Lifeguard's dynamic timeout)."""
+"""SWIM's suspicion of members, with Lifeguard's dynamic timeout."""
 
 import math
 
@@ -9,12 +9,14 @@
 MIN_TIMEOUT_INTERVALS = (
     3.0  # probe intervals, times log10 of the members (Lifeguard's alpha)
 )
-MAX_TIMEOUT_FACTOR = 6.0  # a suspicion without confirmations lasts so many times as long (Lifeguard's beta)
-CONFIRMATIONS = 3  # independent ones, after which it lasts no longer than the minimum (Lifeguard's K)
+# Lifeguard's beta: a suspicion without confirmations lasts so many times as long.
+MAX_TIMEOUT_FACTOR = 6.0
+# Lifeguard's K: so many independent ones, and it lasts no longer than the minimum.
+CONFIRMATIONS = 3
 
 
 class Suspicion:
-    """Suspects members, and sets the deadline at which a suspicion may end in their death."""
+    """Suspects members, and sets the deadline at which they may be declared dead."""
 
     def __init__(self, context: MembershipContext) -> None:
         self._context = context
@@ -22,7 +24,7 @@
     def suspect(
         self, now_ms: float, member: Member, incarnation: int, reported_by: str
     ) -> None:
-        """Begin to suspect an alive member, in the incarnation that `reported_by` suspects."""
+        """Begin to suspect an alive member, as `reported_by` does."""
         member.state = MemberState.SUSPECT
         member.incarnation = incarnation
         member.state_since_ms = now_ms
@@ -33,7 +35,10 @@
         self._context.effects.member_changed(member, MemberState.ALIVE)
 
     def confirm(self, now_ms: float, member: Member, reported_by: str) -> None:
-        """Shorten a suspicion that another member came to independently, which makes it likelier to be true."""
+        """Shorten a suspicion that `reported_by` came to independently.
+
+        That makes it likelier to be true.
+        """
         is_known = not reported_by or reported_by in member.suspected_by
         if not is_known and len(member.suspected_by) <= CONFIRMATIONS:
             member.suspected_by += (reported_by,)
@@ -46,7 +51,7 @@
         self.schedule_deadline(now_ms, member)
 
     def schedule_deadline(self, now_ms: float, member: Member) -> None:
-        """Set the deadline of a suspect by its confirmations, and the timer for its final check."""
+        """Set a suspect's deadline by its confirmations, and its final check."""
         member.suspicion_deadline_ms = member.state_since_ms + self._timeout_ms(member)
         at_ms = max(
             now_ms, self._final_check_due_ms(member, member.suspicion_deadline_ms)
@@ -54,7 +59,7 @@
         self._context.effects.set_timer(at_ms, SuspicionTimer())
 
     def is_final_check_due(self, now_ms: float, member: Member) -> bool:
-        """Whether `member` is a suspect whose fallback probe before its death is to begin now."""
+        """Whether the fallback probe before a suspect's death is to begin."""
         return (
             member.state == MemberState.SUSPECT
             and member.suspicion_deadline_ms is not None
@@ -68,7 +73,7 @@
         return deadline_ms is not None and now_ms >= deadline_ms
 
     def _timeout_ms(self, member: Member) -> float:
-        """Return Lifeguard's timeout: from the longest down to the shortest as others confirm."""
+        """Return Lifeguard's timeout, which shrinks as others confirm."""
         active_count = self._context.table.active_count()
         interval_ms = self._context.config.probe_interval_ms
         shortest_ms = (
@@ -89,11 +94,13 @@
         return shortest_ms * (MAX_TIMEOUT_FACTOR - progress)
 
     def _final_check_due_ms(self, member: Member, deadline_ms: float) -> float:
-        """Return when the last fallback probe has to begin, so that it ends at the deadline.
+        """Return when the final check has to begin, so that it ends at the deadline.
 
-        Among few members a suspicion is shorter than that probe. It would be due as soon as the suspicion restarts,
-        again and again without end, where that happens because this instance may not declare anybody dead yet or
-        because the member's host accepts each connection at once. So at least one interval passes after a restart.
+        Among few members a suspicion is shorter than that probe. It would be due as
+        soon as the suspicion restarts, again and again without end, where that happens
+        because this instance may not declare anybody dead yet or because the member's
+        host accepts each connection at once. So at least one interval passes after a
+        restart.
         """
         due_ms = deadline_ms - self._context.fallback_timeout_ms(
             ProbePurpose.BEFORE_DEATH
--- a/wheathill/peers/membership/transitions.py
+++ b/wheathill/peers/membership/transitions.py
@@ -86,7 +86,7 @@
         self._context.effects.member_changed(member, previous_state)
 
     def _schedule_death_check(self, now_ms: float, member: Member) -> None:
-        """Ask the member's host within an interval, where nobody has observed its death.
+        """Have a death that nobody has observed checked within an interval.
 
         The delay is random, as all others learn of the death at about the same time.
         """
--- a/wheathill/peers/membership/updates.py
+++ b/wheathill/peers/membership/updates.py
@@ -39,7 +39,7 @@
         self._anti_entropy = anti_entropy
 
     def apply_all(self, now_ms: float, updates: Iterable[MemberUpdate]) -> None:
-        """Apply updates in their order; those about processes gone for good are ignored."""
+        """Apply updates in order, but for those about processes gone for good."""
         table = self._context.table
         for update in updates:
             if table.is_removed(update.name, update.generation):
@@ -103,9 +103,9 @@
     ) -> None:
         """Let another process under the name of `known` succeed it, or not.
 
-        Generations have no order in time, but a process that is surely gone, or that was
-        succeeded at its address, never counts again. Of two that run the one with the
-        lower generation counts, so that all members agree.
+        Generations have no order in time, but a process that is surely gone, or that
+        was succeeded at its address, never counts again. Of two that run the one with
+        the lower generation counts, so that all members agree.
         """
         is_ahead = (
             update.incarnation,
