--- a/tests/drive.py
+++ b/tests/drive.py
@@ -21,7 +21,7 @@
 from collections import Counter
 
 from wheathill.model import Listener, ListKind, Outcome, Phase, Server, Session
-from wheathill.policy import Balancer
+from wheathill.policy.balancer import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
 USUAL = dict(
@@ -453,7 +453,7 @@
         "test_worlds",
         "test_members",
         "test_store",
-        "test_journal",
+        "test_write_ahead_log",
         "test_operations",
         "test_rare_lists",
         "test_rare_dials",
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -4,21 +4,29 @@
 import tomllib
 
 import pytest
-
 from test_peers import dropped
+
 from wheathill.config import Misconfigured, operator
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers.board import Board
-from wheathill.peers.facts import AGREED, CUT_OFF, DOUBT
+from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.frames import Seal
-from wheathill.peers.membership import ALIVE, COMPARE, STATE, WANT, Membership
+from wheathill.peers.membership import (
+    Membership,
+    MembershipConfig,
+    MemberState,
+    MemberUpdate,
+    StateSync,
+)
+from wheathill.peers.membership.anti_entropy import BUCKETS
+from wheathill.peers.membership.messages import DigestRequest, StateRequest
 from wheathill.peers.zoned import DIFFER, HAVE, ZonedPeers
 from wheathill.peers.zones import Zones, check
 
 WALL = 1_800_000_000_000.0
 KEY = b"k" * 32
-SUMMARY = [AGREED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
+SUMMARY = [ViewState.CONVERGED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
 
 
 def board(zones=("e", "w")):
@@ -221,7 +229,9 @@
     written = []
     for second in range(600):
         for each, at_work in ((one, 3), (other, 4)):
-            if each.write(second * 1000.0, [AGREED, at_work, *SUMMARY[2:]]):
+            if each.write(
+                second * 1000.0, [ViewState.CONVERGED, at_work, *SUMMARY[2:]]
+            ):
                 written.append(second)
     assert len(written) < 40 and sum(second >= 300 for second in written) < 12
     assert one.write(601_000.0, held.summary("e")[4]) is None  # nothing new
@@ -232,17 +242,21 @@
     assert one.out_of_reach(14_000.0) == [] and len(one.due(1000.0)) == 2
     one.spoke(10_000.0, "w")
     assert one.out_of_reach(16_000.0) == ["v"]
-    one.write(16_000.0, [AGREED, 3, 3, "ab", ["v"], 1, []])
+    one.write(16_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v"], 1, []])
     assert (
-        one.state("w", AGREED) == DOUBT and one.region_state(AGREED) == AGREED
+        one.state("w", ViewState.CONVERGED) == ViewState.DIVERGED
+        and one.region_state(ViewState.CONVERGED) == ViewState.CONVERGED
     )  # nothing told of it yet
     next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.board)
     next_one.listen(16_500.0)
     assert next_one.out_of_reach(17_000.0) == ["v"]
     next_one.spoke(17_500.0, "v")
     assert next_one.out_of_reach(18_000.0) == []
-    one.write(30_000.0, [AGREED, 3, 3, "ab", ["v", "w"], 1, []])
-    assert one.region_state(AGREED) == CUT_OFF and one.fleet_state(AGREED) == DOUBT
+    one.write(30_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v", "w"], 1, []])
+    assert (
+        one.region_state(ViewState.CONVERGED) == ViewState.PARTITIONED
+        and one.fleet_state(ViewState.CONVERGED) == ViewState.DIVERGED
+    )
 
 
 # Limits
@@ -274,7 +288,7 @@
 
 
 def through(held, zone, version):
-    value = [AGREED, 4, 4, "ab", [], version, []]
+    value = [ViewState.CONVERGED, 4, 4, "ab", [], version, []]
     held.write_summary(zone, "x", value)
 
 
@@ -315,16 +329,16 @@
     def __init__(self):
         self.said = []
 
-    def send(self, address, words):
-        self.said.append((address, words))
+    def send(self, address, message):
+        self.said.append((address, message))
 
-    def alarm(self, at, what):
+    def set_timer(self, at_ms, timer):
         pass
 
-    def knock(self, *args):
+    def start_fallback_probe(self, probe):
         pass
 
-    changed = log = alarm
+    member_changed = log = set_timer
 
 
 def member(name, known):
@@ -332,39 +346,48 @@
     one = Membership(
         wire,
         random.Random(name),
-        name,
-        f"{name}:1",
-        1,
-        period=1000.0,
-        patience=300.0,
-        helpers=3,
-        kept=60_000.0,
-        sync_every=10_000.0,
-        differences=True,
+        MembershipConfig(
+            name=name,
+            address=f"{name}:1",
+            generation=1,
+            probe_interval_ms=1000.0,
+            probe_timeout_ms=300.0,
+            indirect_checks=3,
+            retention_ms=60_000.0,
+            sync_interval_ms=10_000.0,
+            digest_sync=True,
+        ),
     )
-    one.hear(0.0, [[ALIVE, other, f"{other}:1", 0, 2, other] for other in known])
+    one.apply_updates(0.0, [alive(other, 2) for other in known])
     return one, wire
 
 
+def alive(name, generation):
+    return MemberUpdate(MemberState.ALIVE, name, f"{name}:1", 0, generation, name)
+
+
 def test_states_that_are_the_same_cost_one_digest_a_bucket():
     names = [f"m{place}" for place in range(187)]
     one, wire = member("x", names)
     other, answers = member("y", names)
     for each, name in ((one, "y"), (other, "x")):
-        each.hear(0.0, [[ALIVE, name, f"{name}:1", 0, 1, name]])
-    one.meet(other.me)
-    ((to, words),) = wire.said
-    assert to == "y:1" and words[0] == COMPARE and len(words[1]) == Membership.BUCKETS
-    other.on_message(1.0, "x:1", words)
+        each.apply_updates(0.0, [alive(name, 1)])
+    one.anti_entropy.synchronise_with(other.local)
+    ((to, request),) = wire.said
+    assert to == "y:1" and isinstance(request, DigestRequest)
+    assert len(request.digests) == BUCKETS
+    other.on_message(1.0, "x:1", request)
     assert answers.said == []
-    one.hear(0.0, [[ALIVE, "new", "new:1", 0, 9, "new"]])
-    other.on_message(2.0, "x:1", [COMPARE, one.sums()])
-    assert [words[0] for _, words in answers.said] == [STATE, WANT]
-    assert 1 < len(answers.said[0][1][1]) < 40
+    one.apply_updates(0.0, [alive("new", 9)])
+    other.on_message(2.0, "x:1", DigestRequest(one.anti_entropy.bucket_digests()))
+    assert [type(message) for _, message in answers.said] == [StateSync, StateRequest]
+    assert 1 < len(answers.said[0][1].updates) < 40
     one.on_message(3.0, "y:1", answers.said[1][1])
-    for _, words in [item for item in wire.said if item[1][0] == STATE]:
-        other.on_message(4.0, "x:1", words)
-    assert "new" in other.members and one.sums() == other.sums()
+    for _, message in wire.said:
+        if isinstance(message, StateSync):
+            other.on_message(4.0, "x:1", message)
+    assert "new" in other.members
+    assert one.anti_entropy.bucket_digests() == other.anti_entropy.bucket_digests()
 
 
 # Fleets
@@ -474,9 +497,11 @@
     before = {name: peers.shared for name, peers in fleet.peers.items()}
     fleet.cut(region)
     fleet.run(30)
-    assert {state[1] for state in fleet.states(region)} == {CUT_OFF}
-    assert {state[0] for state in fleet.states()} == {AGREED}
-    assert {state[1:] for state in fleet.states(rest)} == {(AGREED, DOUBT)}
+    assert {state[1] for state in fleet.states(region)} == {ViewState.PARTITIONED}
+    assert {state[0] for state in fleet.states()} == {ViewState.CONVERGED}
+    assert {state[1:] for state in fleet.states(rest)} == {
+        (ViewState.CONVERGED, ViewState.DIVERGED)
+    }
     assert {name: peers.shared for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -7,14 +7,34 @@
 import os
 import random
 
+from wheathill.model import Phase
 from wheathill.peers.control import Control
-from wheathill.peers.drains import Drains, Starts
-from wheathill.peers.facts import ALONE, CUT_OFF, Facts
+from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
+from wheathill.peers.cluster_view import ClusterView, ClusterViewConfig, ViewState
 from wheathill.peers.frames import Seal
 from wheathill.peers.links import Links
-from wheathill.peers.membership import ALIVE, DEAD, LEFT, STATE, SUSPECT, Membership
-from wheathill.peers.witness import BAD, WELL, Witnesses
-from wheathill.model import Phase
+from wheathill.peers.membership import (
+    FallbackProbe,
+    Member,
+    Membership,
+    MembershipConfig,
+    MemberState,
+    Message,
+    ProbeResult,
+    StateSync,
+    Timer,
+    decode_message,
+    encode_message,
+)
+from wheathill.peers.messages import ViewHeader
+from wheathill.peers.peer_health_reports import (
+    HealthObservation,
+    HealthReport,
+    HealthVerdict,
+    PeerHealthReports,
+    ServerHealth,
+)
+from wheathill.peers.start_registry import StartRecord, StartRegistry
 
 DRAINS, STARTS, SEEN, ASK_VIEW, VIEW, NOTE = (
     "drains",
@@ -26,10 +46,6 @@
 )
 
 
-def bounded(bears):
-    return min(1e6, max(0.0, float(bears)))
-
-
 def told(share):
     return f"{share:.3f}" if share >= 0.01 else f"{share:.2g}"
 
@@ -57,33 +73,39 @@
         self.membership = Membership(
             self,
             rng,
-            told.name,
-            told.advertise_address,
-            birth,
-            period=told.probe_interval_ms,
-            patience=told.probe_timeout_ms,
-            helpers=3,
-            kept=60 * told.probe_interval_ms,
-            sync_every=10 * told.probe_interval_ms,
-            differences=told.layout is not None,
+            MembershipConfig(
+                name=told.name,
+                address=told.advertise_address,
+                generation=birth,
+                probe_interval_ms=told.probe_interval_ms,
+                probe_timeout_ms=told.probe_timeout_ms,
+                indirect_checks=3,
+                retention_ms=60 * told.probe_interval_ms,
+                sync_interval_ms=10 * told.probe_interval_ms,
+                digest_sync=told.layout is not None,
+            ),
         )
         others = [seed for seed in told.seeds if seed != told.advertise_address]
-        self.facts = Facts(
+        silence_ms = self.SILENCE * told.probe_interval_ms if others else 0.0
+        self.expected_proxies = meant
+        self.cluster_view = ClusterView(
+            ClusterViewConfig(
+                name=told.name,
+                generation=birth,
+                expected_proxies=meant,
+                expected_members=tuple(told.expected_members),
+                ended_process_hold_ms=self.AGED,
+                startup_silence_ms=silence_ms,
+            ),
             now,
-            told.name,
-            birth,
-            meant,
-            told.expected_members,
-            self.AGED,
-            self.SILENCE * told.probe_interval_ms if others else 0.0,
         )
-        self.witnesses = Witnesses(self.FRESH)
-        self.drains, self.starts = Drains(), Starts()
+        self.health_reports = PeerHealthReports(self.FRESH)
+        self.drains, self.starts = DrainRegistry(), StartRegistry()
         self.own = {}  # server name -> (phase, start) as the own list has it
         self.telling = []  # whom to tell next
         self.noted = None  # the digest that all were last told
         self.shared = None  # the share as last told to the decisions
-        self.failing, self.here = [], []
+        self.verdict = HealthVerdict()
         self.views = {}  # number of a comparison -> [views by name, when done]
         self.asked = 0
         self.place = None
@@ -109,57 +131,64 @@
 
     def leave(self):
         """At the end: the others need not find out."""
-        self.membership.leave(self.clock.now())
+        self.membership.leave()
         self.links.close()
         if self.place:
             self.place.close()
 
     # What membership calls for
 
-    def send(self, address, words):
-        self.say(address, words, bulk=words[0] == STATE)
+    def send(self, address: str | None, message: Message) -> None:
+        self.say(address, encode_message(message), bulk=isinstance(message, StateSync))
 
     def say(self, address, words, bulk=False):
-        self.links.send(address, [*self.beliefs(), words], bulk)
+        self.links.send(address, [*self.header().encode(), words], bulk)
 
-    def beliefs(self):
+    def header(self):
         """What each message says of this one's view."""
-        return self.facts.digest(), self.facts.old, round(self.bears(), 2)
+        view = self.cluster_view
+        return ViewHeader(view.digest(), view.is_established, self.bears())
 
     def bears(self):
         return self.proxy.balancer.levels.borne
 
-    def knock(self, name, birth, address, wait, why):
+    def start_fallback_probe(self, probe: FallbackProbe) -> None:
         self.links.knock(
-            address,
-            wait,
-            lambda how: self.membership.on_knock(
-                self.clock.now(), name, birth, how, why
+            probe.address,
+            probe.timeout_ms,
+            lambda result: self.membership.on_fallback_probe_result(
+                self.clock.now(), probe, ProbeResult(result)
             ),
         )
 
-    def alarm(self, at, what):
-        self.clock.at(at, self.ring, what)
+    def set_timer(self, at_ms: float, timer: Timer) -> None:
+        self.clock.at(at_ms, self.on_timer, timer)
 
-    def ring(self, what):
-        self.membership.on_alarm(self.clock.now(), what)
+    def on_timer(self, timer: Timer) -> None:
+        self.membership.on_timer(self.clock.now(), timer)
 
-    def changed(self, member, old):
+    def member_changed(
+        self, member: Member, previous_state: MemberState | None
+    ) -> None:
         now = self.clock.now()
-        self.facts.member(now, member.name, member.birth, member.state, member.certain)
-        if member.state in (DEAD, LEFT):
-            self.witnesses.forget(member.name)
-        by = list(member.accusers) if member.state == SUSPECT else None
+        self.cluster_view.update_member(
+            now, member.name, member.generation, member.state, member.is_death_confirmed
+        )
+        if member.state in (MemberState.DEAD, MemberState.LEFT):
+            self.health_reports.forget_source(member.name)
+        by = list(member.suspected_by) if member.state == MemberState.SUSPECT else None
         self.log_event(
             "peer",
             peer=member.name,
-            state=member.state,
-            was=old,
+            state=member.state.value,
+            was=None if previous_state is None else previous_state.value,
             address=member.address,
             by=by,
-            surely=member.certain if member.state == DEAD else None,
+            surely=member.is_death_confirmed
+            if member.state == MemberState.DEAD
+            else None,
         )
-        if old is None and member.state == ALIVE:
+        if previous_state is None and member.state == MemberState.ALIVE:
             self.tell_news(member.address)
         self.look(now)
 
@@ -176,19 +205,22 @@
             self.links.drop("nonsense", address or name)
 
     def take(self, now, name, birth, address, words):
-        digest, old, bears, (kind, *rest) = words
+        *header, (kind, *rest) = words
+        header = ViewHeader.decode(header)
         self.meets(now, name, birth, address)
-        self.facts.told(name, birth, digest, bool(old), bounded(bears))
+        self.cluster_view.record_report(name, birth, header)
         if kind == DRAINS:
-            self.apply(self.drains.hear(name, birth, rest[0]))
+            records = [DrainRecord.decode(fields) for fields in rest[0]]
+            self.apply(self.drains.merge(name, birth, records))
         elif kind == STARTS:
-            self.apply(self.starts.hear(self.clock.to_wall(now), rest[0]))
+            records = [StartRecord.decode(fields) for fields in rest[0]]
+            self.apply(self.starts.merge(self.clock.to_wall(now), records))
         else:
             self.follow(now, name, address, kind, rest)
 
     def meets(self, now, name, birth, address):
         if address is not None:
-            self.membership.contact(now, name, birth, address)
+            self.membership.on_contact(now, name, birth, address)
 
     def follow(self, now, name, address, kind, rest):
         """What is said alike wherever whole views are held."""
@@ -196,19 +228,24 @@
             pass
         elif kind == SEEN:
             if self.listens(name):
-                self.witnesses.tell(now, name, rest[0])
+                reports = [HealthReport.decode(fields) for fields in rest[0]]
+                self.health_reports.record(
+                    now, name, [report for report in reports if report is not None]
+                )
         elif kind == ASK_VIEW:
             self.say(address, [VIEW, rest[0], self.view()])
         elif kind == VIEW:
             self.viewed(rest[0], name, rest[1])
         else:
-            self.membership.on_message(now, address, [kind, *rest])
+            self.membership.on_message(now, address, decode_message([kind, *rest]))
 
     def listens(self, name):
         """Evidence counts where this instance is not cut off, and from members that are there."""
         member = self.membership.members.get(name)
         return (
-            self.facts.state != CUT_OFF and member is not None and member.state == ALIVE
+            self.cluster_view.state != ViewState.PARTITIONED
+            and member is not None
+            and member.state == MemberState.ALIVE
         )
 
     # What follows
@@ -223,14 +260,22 @@
         self.note()
         now_told, self.telling = self.telling[: self.TELLS], self.telling[self.TELLS :]
         own = self.sight(now)
-        if self.facts.state not in (CUT_OFF, ALONE):
+        if self.cluster_view.state not in (
+            ViewState.PARTITIONED,
+            ViewState.STANDALONE,
+        ):
             # The bad first: what is well is known to be so by most.
-            seen = sorted(own.items(), key=lambda item: (item[1][0], item[0]))[
+            seen = sorted(own.items(), key=lambda item: (item[1].health, item[0]))[
                 : self.MOST_SEEN
             ]
             words = [
                 SEEN,
-                [[name, how, round(now - when, 1)] for name, (how, when) in seen],
+                [
+                    HealthReport(
+                        name, last.health, round(now - last.seen_at_ms, 1)
+                    ).encode()
+                    for name, last in seen
+                ],
             ]
             for member in now_told if seen else ():
                 self.say(member.address, words)
@@ -242,35 +287,36 @@
     def reached(self):
         return [
             member
-            for member in self.membership.alive()
-            if member is not self.membership.me
+            for member in self.membership.active_members()
+            if member is not self.membership.local
         ]
 
     def note(self):
         """Every message tells the digest of this view; one that has changed is told at once, so that all know soon
         that they agree."""
-        noted = self.facts.digest(), self.facts.old
+        noted = self.cluster_view.digest(), self.cluster_view.is_established
         if noted != self.noted:
             self.noted = noted
             self.tell_all([NOTE])
 
     def tell_all(self, words):
-        for member in self.membership.alive()[: self.NOTED]:
-            if member is not self.membership.me:
+        for member in self.membership.active_members()[: self.NOTED]:
+            if member is not self.membership.local:
                 self.say(member.address, words)
 
     def look(self, now):
-        self.facts.apart = self.membership.alone
-        before, since = self.facts.state, self.facts.since
-        state = self.facts.look(now, self.membership.unanswered)
+        view = self.cluster_view
+        view.is_isolated = self.membership.is_isolated
+        before, since = view.state, view.state_since_ms
+        state = view.update_state(now, self.membership.unanswered_probes)
         if state != before:
             self.log_event(
                 "peers are",
-                state=state,
-                was=before,
+                state=state.value,
+                was=before.value,
                 after=round(now - since),
-                reached=len(self.facts.reached()),
-                fleet=self.facts.fleet(now),
+                reached=len(self.cluster_view.reachable_names()),
+                fleet=self.cluster_view.max_active_proxies(now),
             )
         share = self.share(now)
         if share != self.shared:
@@ -279,55 +325,65 @@
 
     def share(self, now):
         """This proxy's part of what all may do together, between 0 and 1."""
-        return self.facts.share(now)
+        return self.cluster_view.quota(now)
 
     def right(self, server, unit):
-        """Dials in a window that this proxy may send a cold server (`Facts.right`)."""
-        return self.facts.right(server, self.bears(), unit)
+        """Dials in a window that this proxy may send a cold server (`ClusterView.permit`)."""
+        return self.cluster_view.permit(server, self.bears(), unit)
 
     def sight(self, now):
-        """server -> (BAD or WELL, when), the last that this proxy has seen of each itself."""
+        """By server, the last that this proxy has seen of each itself."""
         found = {}
         for name, server in self.proxy.servers.items():
-            seen = [(server.heard, WELL)]
+            seen = [(server.heard, ServerHealth.SERVING)]
             if server.samples:
-                seen.append((server.samples[-1][0], WELL))
+                seen.append((server.samples[-1][0], ServerHealth.SERVING))
             if server.results:
                 seen.append(
-                    (server.results[-1][0], WELL if server.results[-1][1] else BAD)
+                    (server.results[-1][0], ServerHealth(bool(server.results[-1][1])))
                 )
             if server.silent >= 2:
-                seen.append((server.asked, BAD))
+                seen.append((server.asked, ServerHealth.FAILING))
             when, how = max(seen)
             if now - when < self.FRESH:
-                found[name] = how, when
+                found[name] = HealthObservation(how, when)
         return found
 
     def judge_servers(self, now, own):
-        failing, here = (
-            self.witnesses.verdicts(now, own)
-            if self.facts.state != CUT_OFF
-            else ([], [])
+        verdict = (
+            self.health_reports.verdict(now, own)
+            if self.cluster_view.state != ViewState.PARTITIONED
+            else HealthVerdict()
         )
         servers = self.proxy.servers
-        if (failing, here) != (self.failing, self.here):
-            self.failing, self.here = failing, here
-            self.log_event("peers say", fail_for_all=failing, fail_here_alone=here)
-        if failing or here:
+        if verdict != self.verdict:
+            self.verdict = verdict
+            self.log_event(
+                "peers say",
+                fail_for_all=list(verdict.failing_for_all),
+                fail_here_alone=list(verdict.failing_here_alone),
+            )
+        if verdict:
             self.proxy.balancer.on_witnesses(
                 now,
-                [servers[name] for name in failing if name in servers],
-                [servers[name] for name in here if name in servers],
+                [servers[name] for name in verdict.failing_for_all if name in servers],
+                [
+                    servers[name]
+                    for name in verdict.failing_here_alone
+                    if name in servers
+                ],
             )
 
     # Drains and starts
 
     def tell_news(self, address):
         """What one was told and the others may not have been."""
-        if self.drains.mine:
-            self.say(address, [DRAINS, self.drains.told()])
-        if self.starts.latest:
-            self.say(address, [STARTS, list(self.starts.latest.items())])
+        drains = [record.encode() for record in self.drains.own_records()]
+        if drains:
+            self.say(address, [DRAINS, drains])
+        starts = [record.encode() for record in self.starts.records()]
+        if starts:
+            self.say(address, [STARTS, starts])
 
     def on_entry(self, name, phase, started):
         """What holds for an entry of the own list: its phase and start, or what others were told of it since."""
@@ -335,22 +391,24 @@
         if (
             phase is not Phase.GONE
             and started
-            and self.starts.hear(started, [[name, started]])
+            and self.starts.merge(started, [StartRecord(name, started)])
         ):
             self.tell_all([STARTS, [[name, started]]])
         if phase is not Phase.GONE:
-            said = self.drains.list_says(name, phase is Phase.DRAINING, started)
-            if said is not None and (said[2] or said[1] > 1):
-                self.tell_all([DRAINS, [said]])
+            record = self.drains.record_list_entry(
+                name, phase is Phase.DRAINING, started
+            )
+            if record is not None and (record.is_draining or record.count > 1):
+                self.tell_all([DRAINS, [record.encode()]])
         return self.holds(name, phase, started), self.latest(name, started)
 
     def latest(self, name, started):
         """The latest start of a server's process that anyone was told of, where the own list says `started`."""
-        return self.starts.of(name, started)
+        return self.starts.latest_ms(name, started)
 
     def drained(self, name, started):
         """Whether anyone was told that the process which started then drains."""
-        return self.drains.drains(name, started)
+        return self.drains.is_draining(name, started)
 
     def holds(self, name, phase, started):
         drains = phase is Phase.READY and self.drained(name, self.latest(name, started))
@@ -374,42 +432,43 @@
 
     def view(self):
         return {
-            name: [member.birth, member.state]
+            name: [member.generation, member.state.value]
             for name, member in self.membership.members.items()
         }
 
     def table(self):
         now = self.clock.now()
-        facts, membership = self.facts, self.membership
+        view, membership = self.cluster_view, self.membership
         members = []
         for name in sorted(membership.members):
-            member, known = membership.members[name], facts.there.get(name)
+            member, known = membership.members[name], view.members.get(name)
             members.append(
                 {
                     "name": name,
                     "address": member.address,
-                    "state": member.state,
-                    "since_s": round((now - member.since) / 1000, 1),
+                    "state": member.state.value,
+                    "since_s": round((now - member.state_since_ms) / 1000, 1),
                     "heard_s": None
-                    if member is membership.me
-                    else round((now - member.heard) / 1000, 1),
-                    "accused_by": list(member.accusers)
-                    if member.state == SUSPECT
+                    if member is membership.local
+                    else round((now - member.last_seen_ms) / 1000, 1),
+                    "accused_by": list(member.suspected_by)
+                    if member.state == MemberState.SUSPECT
                     else [],
-                    "surely_gone": member.certain or member.state == LEFT,
+                    "surely_gone": member.is_death_confirmed
+                    or member.state == MemberState.LEFT,
                     "agrees": known is not None
-                    and known.digest == facts.digest()
-                    or member is membership.me,
+                    and known.digest == view.digest()
+                    or member is membership.local,
                 }
             )
         return {
             "name": self.told.name,
             "cluster": self.told.cluster,
-            "state": facts.state,
-            "since_s": round((now - facts.since) / 1000, 1),
+            "state": view.state.value,
+            "since_s": round((now - view.state_since_ms) / 1000, 1),
             "digest": membership.digest(),
-            "alone": membership.alone,
-            "fleet": facts.fleet(now),
+            "alone": membership.is_isolated,
+            "fleet": view.max_active_proxies(now),
             "share": round(self.share(now), 6),
             "members": members,
             "differs": self.differs(now),
@@ -418,14 +477,14 @@
 
     def differs(self, now):
         """What this proxy does because of its peers, and would not do without."""
-        facts = self.facts
-        if facts.state == CUT_OFF:
+        view = self.cluster_view
+        if view.state == ViewState.PARTITIONED:
             found = [
                 "is cut off: serves with what it has, tells and takes no evidence of servers"
             ]
         else:
             found = []
-        if facts.fleet(now) != facts.meant:
+        if view.max_active_proxies(now) != self.expected_proxies:
             found.append(
                 f"takes {told(self.share(now))} of what all may do, {told(self.meant_share())} by its file"
             )
@@ -440,29 +499,29 @@
                 + ", ".join(drained)
                 + ": a peer was told that they drain"
             )
-        if self.failing:
+        if self.verdict.failing_for_all:
             found.append(
                 "tries with one session at a time "
-                + ", ".join(self.failing)
+                + ", ".join(self.verdict.failing_for_all)
                 + ": they fail for others"
             )
-        if self.here:
+        if self.verdict.failing_here_alone:
             found.append(
                 "takes for its own way's fault that "
-                + ", ".join(self.here)
+                + ", ".join(self.verdict.failing_here_alone)
                 + " fail here"
             )
         return found
 
     def meant_share(self):
-        return 1 / self.facts.meant
+        return 1 / self.expected_proxies
 
     def figures(self):
         now = self.clock.now()
         return {
-            "state": self.facts.state,
-            "reached": len(self.facts.reached()),
-            "fleet": self.facts.fleet(now),
+            "state": self.cluster_view.state.value,
+            "reached": len(self.cluster_view.reachable_names()),
+            "fleet": self.cluster_view.max_active_proxies(now),
             "share": round(self.share(now), 6),
             **self.links.figures(),
         }
@@ -471,7 +530,9 @@
         if "compare" in request:
             self.compare(done)
         elif "remove" in request:
-            gone = self.membership.remove(self.clock.now(), str(request["remove"]))
+            gone = self.membership.remove_member(
+                self.clock.now(), str(request["remove"])
+            )
             done(
                 {"removed": request["remove"]}
                 if gone
@@ -484,8 +545,8 @@
         """Asks all that can be reached; what has come within a second is set side by side."""
         self.asked += 1
         self.views[self.asked] = {self.told.name: self.view()}
-        for member in self.membership.alive():
-            if member is not self.membership.me:
+        for member in self.membership.active_members():
+            if member is not self.membership.local:
                 self.say(member.address, [ASK_VIEW, self.asked])
         self.clock.after(self.ANSWERS, self.compared, self.asked, done)
 
@@ -509,7 +570,7 @@
                 differ[name] = {viewer: state for viewer, (_, state) in said.items()}
         silent = [
             member.name
-            for member in self.membership.alive()
+            for member in self.membership.active_members()
             if member.name not in views
         ]
         done(
