--- a/tests/drive.py
+++ b/tests/drive.py
@@ -234,7 +234,11 @@
             pass
 
 
-PORTS = iter(range(10_000 + os.getpid() * 61 % 20_000, 32_000))
+# pytest-xdist starts tests in several processes: no port is given out by two of them.
+WORKERS = int(os.environ.get("PYTEST_XDIST_WORKER_COUNT", "1"))
+WORKER = int(os.environ.get("PYTEST_XDIST_WORKER", "gw0").removeprefix("gw"))
+FIRST_PORT = 10_000 + os.getpid() * 61 % 20_000 // WORKERS * WORKERS + WORKER
+PORTS = iter(range(FIRST_PORT, 32_000, WORKERS))
 
 
 class Rig:
--- a/tests/test_exactness.py
+++ b/tests/test_exactness.py
@@ -54,6 +54,7 @@
         yield part, changed(lambda each, part=part: each.pop(part))
 
 
+@pytest.mark.processes
 def test_figures_are_those_recorded(found, capsys):
     """A few scripts and the store play as they did when they were recorded."""
     assert play.compare(found, complete=False) == 0
@@ -62,6 +63,7 @@
     assert "not played: experiments/peers/strangers.toml seed 1: " in shown
 
 
+@pytest.mark.processes
 def test_a_changed_figure_fails(found, capsys):
     """Each changed or missing value is printed, and ends the comparison with a failure."""
     changes = list(changes_of(found))
@@ -74,6 +76,7 @@
         assert "1 differences" in shown
 
 
+@pytest.mark.processes
 def test_a_missing_or_unrecorded_play_fails(found, capsys, monkeypatch):
     """With all plays played, one too few or too many is a difference."""
     key = "experiments/budget.toml seed 1"
@@ -94,6 +97,7 @@
     assert set(play.QUICK) <= set(play.all_names())
 
 
+@pytest.mark.processes
 def test_wording_alone_may_be_recorded_anew(found, tmp_path, monkeypatch):
     """Fingerprints of the log are recorded anew only where all else is as it was."""
     key = "experiments/budget.toml seed 1"
--- a/tests/test_golden_commands.py
+++ b/tests/test_golden_commands.py
@@ -371,6 +371,7 @@
         lines.write(answer)
 
 
+@pytest.mark.processes
 def test_peers() -> None:
     found = {
         "nobody there": run_peers(None),
