--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -303,7 +303,7 @@
 
 def test_what_real_proxies_are_told_is_what_hollow_ones_are(tmp_path):
     told = Layout(40, 4, 2, 1, 1, 1000.0, 300.0, 0, 1, True)
-    (tmp_path / "key").write_bytes(told.told(0).key)
+    (tmp_path / "key").write_bytes(told.told(0).shared_key)
     (tmp_path / "key").chmod(0o600)
     path = tmp_path / "file.toml"
     path.write_text(
--- a/wheathill/lab/scale/reals.py
+++ b/wheathill/lab/scale/reals.py
@@ -38,7 +38,7 @@
         with open(
             self.key_path, "wb", opener=lambda path, flags: os.open(path, flags, 0o600)
         ) as out:
-            out.write(self.layout.told(0).key)
+            out.write(self.layout.told(0).shared_key)
         self.told = {
             "layout": asdict(self.layout),
             "rate": rate,
