--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -159,8 +159,8 @@
 
     def issued(self, hollow, name):
         """By its own list, which peers don't tell it."""
-        phase, born = hollow.peers.own[name]
-        hollow.told_of(name, phase, born)
+        entry = hollow.peers.server_updates.listed_entry(name)
+        hollow.told_of(name, entry.phase, entry.process_start_ms)
 
     def do_last(self):
         """What it has shown, right before it is killed: its share ends with it."""
--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -41,6 +41,13 @@
             self._share_entry(server, entry)
         return self._effective_entry(server, entry)
 
+    def listed_entry(self, server: str) -> ServerEntry:
+        """Return what the own list alone says of a server.
+
+        Raises KeyError where the list doesn't name it.
+        """
+        return self._listed[server]
+
     def forget_server(self, server: str) -> None:
         """Drop the own list's entry of a server that has left."""
         self._listed.pop(server, None)
