--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -80,7 +80,7 @@
     assert fleet.until(fleet.all_agree, 60) is not None
     assert (
         fleet.until(
-            lambda: all(peers.board.drains("g", 0.0) for peers in fleet.peers.values()),
+            lambda: all(peers.server_records.is_draining("g", 0.0) for peers in fleet.peers.values()),
             30,
         )
         is not None
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,4 +1,7 @@
-"""A fleet of zones: the board, delegates, parts of a limit, and whole fleets in the virtual world under faults."""
+"""A fleet of zones: the replicated table, delegates, parts of a limit.
+
+And whole fleets in the virtual world under faults.
+"""
 
 import random
 import tomllib
@@ -9,7 +12,7 @@
 from wheathill.config import Misconfigured, operator
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
-from wheathill.peers.board import Board
+from wheathill.peers import replicated_table
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.frames import Seal
 from wheathill.peers.membership import (
@@ -21,19 +24,38 @@
 )
 from wheathill.peers.membership.anti_entropy import BUCKETS
 from wheathill.peers.membership.messages import DigestRequest, StateRequest
+from wheathill.peers.replicated_table import (
+    MAX_CLOCK_SKEW_MS,
+    START_RETENTION_MS,
+    ReplicatedTable,
+)
+from wheathill.peers.server_records import ServerRecords
+from wheathill.peers.table_records import RecordCodec
 from wheathill.peers.zoned import DIFFER, HAVE, ZonedPeers
-from wheathill.peers.zones import Zones, check
+from wheathill.peers.zones import Zones, decode_summary, encode_summary
 
 WALL = 1_800_000_000_000.0
 KEY = b"k" * 32
 SUMMARY = [ViewState.CONVERGED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
 
 
-def board(zones=("e", "w")):
-    return Board(zones, check)
+class Replica:
+    """A member's replica of the table, with records encoded as in messages."""
+
+    def __init__(self, zones=("e", "w")):
+        self.codec = RecordCodec(zones, decode_summary, encode_summary)
+        self.table = ReplicatedTable(zones)
+        self.servers = ServerRecords(self.table)
+
+    @property
+    def digest(self):
+        return self.table.digest
+
+    def merge(self, encoded, wall_ms=WALL):
+        return self.table.merge(wall_ms, self.codec.decode_all(encoded))
 
 
-# The board
+# The replicated table
 
 
 def test_the_order_of_arrival_changes_nothing():
@@ -50,41 +72,39 @@
     ]
     digests = {}
     for seed in range(50):
-        one = board()
+        one = Replica()
         random.Random(seed).shuffle(records)
         for record in records:
-            one.merge(WALL, [record])
-        digests[one.digest, str(sorted(one.records.items()))] = None
+            one.merge([record])
+        digests[one.digest, str(sorted(one.table.records.items()))] = None
     assert len(digests) == 1
-    assert one.records["s/a"][1:3] == [WALL + 5.0, 3] and one.records["z/e"][2:4] == [
-        2,
-        "y",
-    ]
-    for key in list(one.records):
-        one.drop(key)
-    assert one.digest == 0 and not any(one.sums)
+    held = one.table.records
+    assert (held["s/a"].epoch, held["s/a"].counter) == (WALL + 5.0, 3)
+    assert (held["z/e"].counter, held["z/e"].writer) == (2, "y")
+    for key in list(held):
+        one.table.remove(key)
+    assert one.digest == 0 and not any(one.table.bucket_digests)
 
 
 def test_what_differs_is_told_both_ways_and_no_more():
-    one, other = board(), board()
+    one, other = Replica(), Replica()
     same = [[f"s/g{place}", WALL, 1, "", [True, WALL]] for place in range(300)]
-    one.merge(WALL, same)
-    other.merge(WALL, same)
+    one.merge(same)
+    other.merge(same)
     one.merge(
-        WALL,
         [["s/mine", WALL, 1, "", [True, WALL]], ["s/g7", WALL, 2, "", [False, WALL]]],
     )
-    other.merge(WALL, [["s/theirs", WALL, 1, "", [True, WALL]]])
-    buckets = other.differing(one.sums)
-    said = [record for some in other.within(buckets).values() for record in some]
-    back = one.ahead(buckets, said)
-    assert [record[0] for record in back] == ["s/g7", "s/mine"] and len(said) < 60
-    assert [record[0] for record in one.merge(WALL, said)] == ["s/theirs"]
-    assert (
-        len(other.merge(WALL, back)) == 2
-        and one.digest == other.digest
-        and one.sums == other.sums
-    )
+    other.merge([["s/theirs", WALL, 1, "", [True, WALL]]])
+    buckets = other.table.differing_buckets(one.table.bucket_digests)
+    by_bucket = other.table.records_by_bucket(buckets)
+    reply = [record for records in by_bucket.values() for record in records]
+    delta = one.table.newer_records(buckets, reply)
+    assert [record.key for record in delta] == ["s/g7", "s/mine"] and len(reply) < 60
+    newer = one.merge(one.codec.encode_all(reply))
+    assert [record.key for record in newer] == ["s/theirs"]
+    assert len(other.merge(one.codec.encode_all(delta))) == 2
+    assert one.digest == other.digest
+    assert one.table.bucket_digests == other.table.bucket_digests
 
 
 @pytest.mark.parametrize(
@@ -106,64 +126,90 @@
     ],
 )
 def test_what_is_no_record_holds_nothing_of_its_message(record):
-    one = board()
+    one = Replica()
     with pytest.raises((ValueError, TypeError)):
-        one.merge(WALL, [["s/good", WALL, 1, "", [True, WALL]], record])
-    assert not one.records and one.digest == 0
+        one.merge([["s/good", WALL, 1, "", [True, WALL]], record])
+    assert not one.table.records and one.digest == 0
 
 
 def test_lists_that_say_the_same_make_the_same_records():
-    boards = [board() for _ in range(4)]
+    replicas = [Replica() for _ in range(4)]
     told = [
-        each.list_says(WALL + place, "g", True, WALL - 5.0)
-        for place, each in enumerate(boards)
+        each.servers.update_from_list(WALL + place, "g", True, WALL - 5.0)
+        for place, each in enumerate(replicas)
     ]
-    assert all(told) and len({each.digest for each in boards}) == 1
-    for each in boards:  # told of one another, it is no news
-        assert each.merge(WALL, told) == []
-    assert all(each.list_says(WALL + 10.0, "g", False, WALL - 5.0) for each in boards)
-    assert len({each.digest for each in boards}) == 1 and not boards[0].drains(
-        "g", WALL - 5.0
+    assert all(told) and len({each.digest for each in replicas}) == 1
+    for each in replicas:  # told of one another, it is no news
+        assert each.merge(each.codec.encode_all(told)) == []
+    assert all(
+        each.servers.update_from_list(WALL + 10.0, "g", False, WALL - 5.0)
+        for each in replicas
     )
+    assert len({each.digest for each in replicas}) == 1 and not replicas[
+        0
+    ].servers.is_draining("g", WALL - 5.0)
 
 
 def test_drains_come_back_only_by_something_newer():
-    one, other = board(), board()
-    told = one.list_says(WALL, "g", True, 5.0)
+    one, other = Replica(), Replica()
+    told = one.servers.update_from_list(WALL, "g", True, 5.0)
+    assert (
+        other.table.merge(WALL, [told])
+        and other.servers.is_draining("g", 5.0)
+        and not other.servers.is_draining("g", 6.0)
+    )
+    assert other.servers.update_from_list(
+        WALL, "g", False, 5.0
+    ) is None and other.servers.is_draining("g", 5.0)  # its list is late
     assert (
-        other.merge(WALL, [told])
-        and other.drains("g", 5.0)
-        and not other.drains("g", 6.0)
+        other.servers.update_from_list(WALL, "g", True, 5.0) is None
+    )  # agrees with what was told
+    again = (
+        one.servers.update_from_list(WALL, "g", False, 5.0),
+        one.servers.update_from_list(WALL, "g", True, 5.0),
     )
-    assert other.list_says(WALL, "g", False, 5.0) is None and other.drains(
+    assert other.table.merge(WALL, again)  # over, and another drain
+    assert other.servers.update_from_list(
+        WALL, "g", False, 5.0
+    ) is None and other.servers.is_draining("g", 5.0)
+    assert other.table.merge(WALL, [told]) == [] and other.servers.is_draining(
         "g", 5.0
-    )  # its list is late
-    assert other.list_says(WALL, "g", True, 5.0) is None  # agrees with what was told
-    again = one.list_says(WALL, "g", False, 5.0), one.list_says(WALL, "g", True, 5.0)
-    assert other.merge(WALL, again)  # over, and another drain
-    assert other.list_says(WALL, "g", False, 5.0) is None and other.drains("g", 5.0)
-    assert other.merge(WALL, [told]) == [] and other.drains("g", 5.0)  # late, or again
-    assert one.list_says(WALL, "g", False, 5.0) and not one.drains("g", 5.0)
-    start = one.list_says(WALL, "g", False, WALL - 1000.0)
-    assert start[1:3] == [WALL - 1000.0, 0] and other.merge(WALL, [start])
-    assert not other.drains("g", 5.0) or other.start("g", 5.0) == WALL - 1000.0
+    )  # late, or again
+    assert one.servers.update_from_list(
+        WALL, "g", False, 5.0
+    ) and not one.servers.is_draining("g", 5.0)
+    start = one.servers.update_from_list(WALL, "g", False, WALL - 1000.0)
+    assert (start.epoch, start.counter) == (WALL - 1000.0, 0)
+    assert other.table.merge(WALL, [start])
+    assert (
+        not other.servers.is_draining("g", 5.0)
+        or other.servers.latest_start_ms("g", 5.0) == WALL - 1000.0
+    )
 
 
 def test_starts_of_the_future_and_long_ago_are_none():
-    one = board()
-    assert one.list_says(WALL, "g", False, WALL + one.AHEAD + 1) is None
-    assert one.list_says(WALL, "g", False, WALL - one.STARTED - 1) is None
-    assert one.merge(WALL, [["s/g", WALL + one.AHEAD + 1, 0, "", [False, WALL]]]) == []
+    one = Replica()
     assert (
-        one.list_says(WALL, "g", False, WALL - 1.0)
-        and one.start("g", None) == WALL - 1.0
+        one.servers.update_from_list(WALL, "g", False, WALL + MAX_CLOCK_SKEW_MS + 1)
+        is None
     )
-    one.forget(WALL + one.STARTED)
-    assert not one.records and one.digest == 0
+    assert (
+        one.servers.update_from_list(WALL, "g", False, WALL - START_RETENTION_MS - 1)
+        is None
+    )
+    assert (
+        one.merge([["s/g", WALL + MAX_CLOCK_SKEW_MS + 1, 0, "", [False, WALL]]]) == []
+    )
+    assert (
+        one.servers.update_from_list(WALL, "g", False, WALL - 1.0)
+        and one.servers.latest_start_ms("g", None) == WALL - 1.0
+    )
+    one.table.remove_expired(WALL + START_RETENTION_MS)
+    assert not one.table.records and one.digest == 0
 
 
 def test_of_too_many_the_oldest_go_at_all_alike(monkeypatch):
-    monkeypatch.setattr(Board, "MOST", 20)
+    monkeypatch.setattr(replicated_table, "MAX_SERVERS", 20)
     records = [
         [f"s/g{place}", WALL + place, 1, "", [True, WALL + place]]
         for place in range(60)
@@ -171,12 +217,12 @@
     digests = {}
     for seed in range(10):
         random.Random(seed).shuffle(records)
-        one = board(("e",))
+        one = Replica(("e",))
         for record in records:
-            one.merge(WALL, [record])
-        one.merge(WALL, [["z/e", 0, 1, "x", SUMMARY]])
+            one.merge([record])
+        one.merge([["z/e", 0, 1, "x", SUMMARY]])
         digests[one.digest] = None
-        assert len(one.records) <= 22
+        assert len(one.table.records) <= 22
     assert len(digests) == 1
 
 
@@ -198,7 +244,7 @@
 
 def zones(own="e", parts=None, was=None, version=1, held=None):
     chance = random.Random(1)
-    held = held or board(parts or ("e", "w"))
+    held = held or ReplicatedTable(parts or ("e", "w"))
     return Zones(
         0.0,
         layout(parts or {"e": 0.5, "w": 0.5}, was, version),
@@ -223,7 +269,7 @@
 
 
 def test_two_that_take_themselves_for_first_write_ever_more_seldom():
-    held = board()
+    held = ReplicatedTable(("e", "w"))
     one, other = zones(held=held), zones(held=held)
     other.writer = "e2 6"
     written = []
@@ -234,7 +280,7 @@
             ):
                 written.append(second)
     assert len(written) < 40 and sum(second >= 300 for second in written) < 12
-    assert one.write(601_000.0, held.summary("e")[4]) is None  # nothing new
+    assert one.write(601_000.0, held.summary("e").value) is None  # nothing new
 
 
 def test_zones_are_out_of_reach_by_silence_and_stay_so_over_a_change_of_delegates():
@@ -247,7 +293,7 @@
         one.state("w", ViewState.CONVERGED) == ViewState.DIVERGED
         and one.region_state(ViewState.CONVERGED) == ViewState.CONVERGED
     )  # nothing told of it yet
-    next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.board)
+    next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.table)
     next_one.listen(16_500.0)
     assert next_one.out_of_reach(17_000.0) == ["v"]
     next_one.spoke(17_500.0, "v")
@@ -294,7 +340,7 @@
 
 def test_a_part_grows_only_once_those_that_give_are_through():
     parts, was = {"e": 0.2, "v": 0.3, "w": 0.5}, {"e": 0.4, "v": 0.3, "w": 0.3}
-    held = board(parts)
+    held = ReplicatedTable(parts)
     giving, taking, other = (
         zones(name, parts, was, 2, held) for name in ("e", "w", "v")
     )
@@ -307,7 +353,7 @@
 
 
 def test_a_layout_that_is_behind_takes_nothing():
-    held = board()
+    held = ReplicatedTable(("e", "w"))
     one = zones(version=2, held=held)
     through(held, "e", 2)
     assert one.part() == 0.5
@@ -413,8 +459,8 @@
     assert (
         len(times) == 17 and max(times) < 6.0
     )  # all but the one that was told by its list
-    assert {peers.board.digest for peers in fleet.peers.values()} == {
-        fleet.peers["a1-0"].board.digest
+    assert {peers.replicated_table.digest for peers in fleet.peers.values()} == {
+        fleet.peers["a1-0"].replicated_table.digest
     }
 
 
@@ -452,9 +498,9 @@
         asked.append(since),
         ask(address, since, tries),
     )
-    # It never gets one half of them, so that its board is another for good, and changes all the time.
+    # It never gets one half of them, so that its table is another for good, and changes all the time.
     one.learn = lambda now, records, zone: learn(
-        now, [each for each in records if each[0][-1] not in "13579"], zone
+        now, [each for each in records if each.key[-1] not in "13579"], zone
     )
     for number in range(80):
         fleet.change(f"news {number}", "c1-1")
@@ -473,7 +519,7 @@
     one.links.stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
-    found = one.board.within(range(Board.BUCKETS))
+    found = one.encoded_by_bucket(range(replicated_table.BUCKETS))
     told = list(one.parts(found))
     assert len(told) > 4 and [
         bucket for buckets, _ in told for bucket in buckets
@@ -485,7 +531,7 @@
     fleet.kill("a1-2")
     fleet.start("a1-2")
     fleet.run(4)
-    assert fleet.peers["a1-2"].board.digest == one.board.digest
+    assert fleet.peers["a1-2"].replicated_table.digest == one.replicated_table.digest
     assert [words for _, words in streams if words[-1][0] == HAVE] == []
 
 
@@ -538,7 +584,10 @@
     for name in fleet.names["a1"]:
         fleet.start(name)
     fleet.run(8)
-    assert all(fleet.peers[name].board.drains("g", 0.0) for name in fleet.names["a1"])
+    assert all(
+        fleet.peers[name].server_records.is_draining("g", 0.0)
+        for name in fleet.names["a1"]
+    )
     assert fleet.until(fleet.all_agree, 20) is not None and fleet.over == []
 
 
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -245,7 +245,7 @@
     """What members of a fleet of zones believe of region and fleet: all agree where nothing has befallen anyone for a
     while, and a zone out of every other's reach says that it is cut off. Each zone is a region of its own.
 
-    That a zone is cut off is found out by its delegates and said in its summary, a record of the board as a drain is.
+    That a zone is cut off is found out by its delegates and said in its summary, a record of the replicated table as a drain is.
     So whoever joins a zone that knows has to know it as soon as a drain: `told` ms after it listens."""
 
     rule = "zones"
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -7,11 +7,13 @@
 from functools import partial
 
 from wheathill.model import Phase
-from wheathill.peers.board import SERVER, Board
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.instance import NOTE, Peers
 from wheathill.peers.membership import FallbackProbe, ProbeResult
 from wheathill.peers.messages import ZonedViewHeader
+from wheathill.peers.replicated_table import ReplicatedTable
+from wheathill.peers.server_records import ServerRecords
+from wheathill.peers.table_records import RecordCodec
 from wheathill.peers.zones import (
     AT_WORK,
     DELEGATES,
@@ -20,7 +22,8 @@
     OUT_OF_REACH,
     REACHED,
     Zones,
-    check,
+    decode_summary,
+    encode_summary,
 )
 
 NEWS, DIFFER, HAVE, BEAT, BEATEN = "news", "differ", "have", "beat", "beaten"
@@ -46,13 +49,16 @@
         # Who starts out of everyone's reach can't know that others took over the part of the process before it.
         self.cluster_view.minimum_proxies = meant
         self.wall = lambda: clock.to_wall(clock.now())
-        self.board = Board([zone.name for zone in told.layout.zones], check)
+        names = [zone.name for zone in told.layout.zones]
+        self.codec = RecordCodec(names, decode_summary, encode_summary)
+        self.replicated_table = ReplicatedTable(names)
+        self.server_records = ServerRecords(self.replicated_table)
         self.zones = Zones(
             clock.now(),
             told.layout,
             told.zone,
             f"{told.name} {birth}",
-            self.board,
+            self.replicated_table,
             told.probe_interval_ms,
             self.shuffle,
             self.choice,
@@ -76,7 +82,7 @@
             self.told.zone,
             super().header(),
             self.told.layout.version,
-            self.board.digest,
+            self.replicated_table.digest,
         )
 
     def take(self, now, name, birth, address, words):
@@ -97,7 +103,7 @@
             self.follow(now, name, address, kind, rest)
         else:
             raise ValueError(f"{kind!r} is not said between zones")
-        if header.table_digest == self.board.digest:
+        if header.table_digest == self.replicated_table.digest:
             self.same_at = now
             self.answers.clear()
         elif address is not None:
@@ -132,24 +138,26 @@
 
     def on_board(self, now, zone, address, kind, rest):
         if kind == NEWS:
-            self.learn(now, rest[0], zone)
+            self.learn(now, self.codec.decode_all(rest[0]), zone)
         elif kind == BEAT:
-            self.learn(now, rest[1], zone)
+            self.learn(now, self.codec.decode_all(rest[1]), zone)
             self.say(rest[0], [BEATEN, self.summaries()])
         elif kind == BEATEN:
-            self.learn(now, rest[0], zone)
+            self.learn(now, self.codec.decode_all(rest[0]), zone)
         elif kind == DIFFER:
             where, sums = rest
             if self.asks < self.MOST_ASKS:
                 self.asks += 1
-                for part in self.parts(self.board.within(self.board.differing(sums))):
+                buckets = self.replicated_table.differing_buckets(sums)
+                for part in self.parts(self.encoded_by_bucket(buckets)):
                     self.say(where, [HAVE, self.told.advertise_address, *part])
         else:
-            where, buckets, records = rest
+            where, buckets, encoded = rest
             self.answers.pop(where, None)
-            ahead = self.board.ahead(buckets, records)
+            records = self.codec.decode_all(encoded)
+            ahead = self.replicated_table.newer_records(buckets, records)
             self.learn(now, records, zone)
-            for part in self.chunks(ahead):
+            for part in self.chunks(self.codec.encode_all(ahead)):
                 self.say(where, [NEWS, part])
 
     def ask_difference(self, now, address):
@@ -170,7 +178,14 @@
         """Again where no answer comes: the question or the answer may have been lost, and while news comes all the time
         the next one would be asked two periods later."""
         if self.answers.get(address) == since:
-            self.say(address, [DIFFER, self.told.advertise_address, self.board.sums])
+            self.say(
+                address,
+                [
+                    DIFFER,
+                    self.told.advertise_address,
+                    self.replicated_table.bucket_digests,
+                ],
+            )
             if tries > 1:
                 self.clock.after(
                     self.AGAIN * self.told.probe_interval_ms,
@@ -191,9 +206,15 @@
         if self.answers.get(address) == since:
             del self.answers[address]
 
+    def encoded_by_bucket(self, buckets):
+        found = self.replicated_table.records_by_bucket(buckets)
+        return {
+            bucket: self.codec.encode_all(records) for bucket, records in found.items()
+        }
+
     def parts(self, found):
         """(buckets, all records in them), as many as a datagram takes, which needs no connection first: what is told of one
-        bucket is all of it, and goes by stream where that is more. `found` as `Board.within`."""
+        bucket is all of it, and goes by stream where that is more. `found`: {bucket: its records, encoded}."""
         some, records, size = [], [], 0
         for bucket, within in found.items():
             length = len(self.seal.encode(within))
@@ -220,16 +241,10 @@
             yield part
 
     def learn(self, now, records, zone):
-        news = self.board.merge(self.wall(), records)
+        news = self.replicated_table.merge(self.wall(), records)
         if news:
             self.pass_on(now, news, abroad=zone == self.told.zone)
-            self.apply(
-                [
-                    record[0][len(SERVER) :]
-                    for record in news
-                    if record[0].startswith(SERVER)
-                ]
-            )
+            self.apply([record.server for record in news if record.server is not None])
 
     def pass_on(self, now, records, abroad):
         """What is news here is told on in a moment. Delegates tell other zones what they hear in theirs."""
@@ -237,9 +252,9 @@
         if not self.news:
             self.clock.after(self.BATCH, self.tell_on)
         for record in records:
-            self.news[record[0]] = record
+            self.news[record.key] = record
             if abroad:
-                self.abroad[record[0]] = record
+                self.abroad[record.key] = record
         self.zones_say()
 
     def begin(self, now, record):
@@ -268,7 +283,7 @@
             )
 
     def tell_each(self, addresses, records):
-        for part in self.chunks(records):
+        for part in self.chunks(self.codec.encode_all(records)):
             for address in addresses:
                 self.say(address, [NEWS, part])
 
@@ -287,8 +302,8 @@
 
     def summaries(self):
         """The record of the own zone's summary, if there is one."""
-        record = self.board.summary(self.told.zone)
-        return [] if record is None else [record]
+        record = self.replicated_table.summary(self.told.zone)
+        return [] if record is None else [self.codec.encode(record)]
 
     def state(self):
         """Of the own zone; one of a single member is agreed with itself."""
@@ -321,7 +336,7 @@
     def tick(self):
         now = self.clock.now()
         self.asks = 0
-        self.board.forget(self.wall())
+        self.replicated_table.remove_expired(self.wall())
         super().tick()
         delegates = self.delegates()
         alone = (
@@ -400,7 +415,7 @@
     def on_entry(self, name, phase, started):
         self.own[name] = phase, started
         if phase is not Phase.GONE:
-            record = self.board.list_says(
+            record = self.server_records.update_from_list(
                 self.wall(), name, phase is Phase.DRAINING, started
             )
             if record is not None:
@@ -408,10 +423,10 @@
         return self.holds(name, phase, started), self.latest(name, started)
 
     def latest(self, name, started):
-        return self.board.start(name, started)
+        return self.server_records.latest_start_ms(name, started)
 
     def drained(self, name, started):
-        return self.board.drains(name, started)
+        return self.server_records.is_draining(name, started)
 
     # Operators
 
@@ -447,7 +462,7 @@
             "region_state": self.zones.region_state(self.state()).value,
             "fleet_state": self.zones.fleet_state(self.state()).value,
             "zones": rows,
-            "board": len(self.board.records),
+            "board": len(self.replicated_table.records),
         }
 
     def differs(self, now):
--- a/wheathill/peers/zones.py
+++ b/wheathill/peers/zones.py
@@ -11,7 +11,6 @@
 
 import hashlib
 
-from wheathill.peers.board import version
 from wheathill.peers.cluster_view import ViewState
 
 STATES = tuple(ViewState)
@@ -45,6 +44,16 @@
             raise ValueError("no delegate")
 
 
+def decode_summary(value):
+    """Raises ValueError or TypeError where `value` is no summary."""
+    check(value)
+    return value
+
+
+def encode_summary(summary):
+    return summary
+
+
 class Zones:
     """`layout`: a `config.peers.ZoneLayout`; `own`: the name of this member's zone; `writer`: a name that no other process
     has; `period`: ms; `shuffle` and `choice`: of a random.Random."""
@@ -57,11 +66,11 @@
         64,
     )  # periods between two summaries; the most, for one that is overwritten
 
-    def __init__(self, now, layout, own, writer, board, period, shuffle, choice):
-        self.layout, self.writer, self.board, self.period = (
+    def __init__(self, now, layout, own, writer, table, period, shuffle, choice):
+        self.layout, self.writer, self.table, self.period = (
             layout,
             writer,
-            board,
+            table,
             period,
         )
         self.shuffle, self.choice = shuffle, choice
@@ -78,8 +87,8 @@
 
     def said(self, zone, what, nothing=None):
         """One word of a zone's summary, as far as it is known; `nothing` where none was said."""
-        held = self.board.summary(zone)
-        return nothing if held is None else held[4][what]
+        held = self.table.summary(zone)
+        return nothing if held is None else held.value[what]
 
     # Delegates
 
@@ -118,7 +127,7 @@
         """One of them. Where nothing is heard each is tried in turn: its delegates may be gone."""
         addresses = self.addresses(zone)
         if (
-            self.board.summary(zone) is None
+            self.table.summary(zone) is None
             or now - self.heard[zone] > self.LATE * self.period
         ):
             self.tried += 1
@@ -145,9 +154,9 @@
     def write(self, now, value):
         """The record that tells a new summary, or None where the one that is held says the same, or this one has been
         overwritten by another that takes itself for first, and waits."""
-        held = self.board.summary(self.own.name)
-        last = held and version(held)
-        if held is not None and held[4] == value:
+        held = self.table.summary(self.own.name)
+        last = held and held.version
+        if held is not None and held.value == value:
             if last == self.wrote and now - self.write_at > 30 * self.period:
                 self.wait = self.APART * self.period
             return None
@@ -155,8 +164,8 @@
             return None
         if None not in (self.wrote, last) and last != self.wrote:
             self.wait = min(self.PATIENCE * self.period, 2 * self.wait)
-        record = self.board.write_summary(self.own.name, self.writer, value)
-        self.wrote, self.write_at = version(record), now + self.wait
+        record = self.table.write_summary(self.own.name, self.writer, value)
+        self.wrote, self.write_at = record.version, now + self.wait
         return record
 
     # Limits
