--- a/wheathill/config/operator.py
+++ b/wheathill/config/operator.py
@@ -19,7 +19,7 @@
     peers,
     surroundings,
 )
-from wheathill.config.peer_tables import PeersTable
+from wheathill.config.peer_tables import Peers
 from wheathill.config.tables import (
     Address,
     Count,
@@ -116,7 +116,7 @@
     fleet: Fleet = field(default_factory=Fleet)
     prices: Prices = field(default_factory=Prices)
     goal: Goal = field(default_factory=Goal)
-    peers: PeersTable | None = None
+    peers: Peers | None = None
 
 
 REPEATS = {"repeatable": "retryable", "referenced": "dedup", "once-only": "fragile"}
--- a/wheathill/config/peer_tables.py
+++ b/wheathill/config/peer_tables.py
@@ -1,6 +1,7 @@
 """The tables of an operator's file that describe the cluster.
 
-Names of fields are the keys of the file.
+Names of fields are the keys of the file. Names and descriptions of the classes are part
+of what `wheathill schema` prints.
 """
 
 from typing import Annotated
@@ -11,7 +12,7 @@
 
 
 class ZoneTable(Table, frozen=True):
-    """One entry of `peers.zones`, the same in the files of all proxies."""
+    """One zone of a fleet of several, told alike to all instances."""
 
     name: Name
     proxies: Count
@@ -21,8 +22,8 @@
     was: Share | None = None  # its part by the layout before this one
 
 
-class PeersTable(Table, frozen=True):
-    """The `[peers]` table, of a proxy that takes part in a cluster."""
+class Peers(Table, frozen=True):
+    """The other instances, where this one is to know them."""
 
     cluster: Name
     listen: Address
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -10,7 +10,8 @@
 
 # The tables need msgspec, which a reader of settings alone does without.
 if TYPE_CHECKING:
-    from wheathill.config.peer_tables import PeersTable, ZoneTable
+    from wheathill.config.peer_tables import Peers as PeersTable
+    from wheathill.config.peer_tables import ZoneTable
 
 # Bytes of a shared key. Frames carry 16 bytes of HMAC-SHA256, which a shorter key would
 # weaken; past the longest the path is more likely that of the wrong file.
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -18,7 +18,8 @@
 import msgspec
 import orjson
 
-from wheathill.config.peer_tables import PeersTable, ZoneTable
+from wheathill.config.peer_tables import Peers as PeersTable
+from wheathill.config.peer_tables import ZoneTable
 from wheathill.lab.judging.mutated import program
 from wheathill.lab.worlds.outside import Outside, parts_of
 from wheathill.lab.worlds.relay import Relay
