--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,7 +20,7 @@
 import time
 from collections import Counter
 
-from wheathill.model import Listener, ListKind, Outcome, Phase, Server, Session
+from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
 from wheathill.policy.balancer import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
@@ -92,7 +92,7 @@
 
     def answer(self, server):
         load = self.loads.get(server.name)
-        answer = Outcome.OVERDUE if load is None else Outcome.COMPLETED
+        answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
         self.balancer.on_probed(self.now, server, answer, [load])
 
     def follow_list(self, on):
@@ -104,7 +104,7 @@
     def log(self, text):
         self.say(f"log: {text}")
 
-    def list(self, *entries, kind=ListKind.CHANGES):
+    def list(self, *entries, kind=UpdateKind.DELTA):
         """Entries are a name, or (name, phase), or (name, when it started)."""
         found = []
         for entry in entries:
@@ -132,7 +132,7 @@
 
     def accept(self, name, **more):
         sess = self.session(name, **more)
-        if not sess.ended:
+        if not sess.has_ended:
             self.balancer.on_accepted(self.now, sess)
         return sess
 
@@ -157,13 +157,15 @@
             self.until(min(then, self.now + 100.0))
             self.loud, loud = False, self.loud
             sess = self.session(f"passing {self.now:.0f}")
-            if not sess.ended:
+            if not sess.has_ended:
                 self.balancer.on_accepted(self.now, sess)
-                self.balancer.on_outcome(self.now, sess, Outcome.COMPLETED, True)
+                self.balancer.on_outcome(self.now, sess, AttemptOutcome.COMPLETED, True)
             self.loud = loud
 
     def ended(self, name):
-        return next(sess.ended for sess, known in self.names.items() if known == name)
+        return next(
+            sess.has_ended for sess, known in self.names.items() if known == name
+        )
 
     def shares(self):
         table = self.balancer.table
--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -45,7 +45,7 @@
 
 def set_health(fleet: "RecordedFleet", name: str, server: str, well: bool) -> None:
     """Lets a member find a server well or not, by its own calls."""
-    fleet.proxies[name].servers[server].results.append((fleet.clock.now(), well))
+    fleet.proxies[name].servers[server].recent_results.append((fleet.clock.now(), well))
 
 
 def list_server(
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -53,7 +53,7 @@
     def session(self, process):
         self.sessions += 1
         sess = process.accept(f"{self.sessions}")
-        if sess.dials and sess.server.name == "d":
+        if sess.attempts and sess.server.name == "d":
             self.dials.append(self.now)
         return sess
 
@@ -65,7 +65,7 @@
             (process,) = self.rng.choices(self.processes, self.weights)
             process.until(self.now)
             sess = self.session(process)
-            if sess.accepted is not None:
+            if sess.accepted_ms is not None:
                 held[sess.server.name] += 1
                 self.loads[sess.server.name] = held[sess.server.name] / self.borne
         self.sleep(until + 2000.0)
@@ -184,10 +184,10 @@
         budget.number, budget.proxies = number, count
     for _ in range(300):
         server, part, now = (
-            Server("s", started=0.0),
+            Server("s", started_ms=0.0),
             rng.uniform(0.0, 0.5),
             rng.uniform(0.0, COLD_FOR),
         )
-        server.draws = [rng.getrandbits(32)]
+        server.hash_draws = [rng.getrandbits(32)]
         having = sum(budget.turn(now, server) < part for budget in budgets)
         assert abs(having - count * part) < 3.0
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -43,7 +43,7 @@
         first = self.proxy.balancer.first
         first.window, first.next_at = self.window, -math.inf
         for server in self.proxy.servers.values():
-            server.results.clear()
+            server.recent_results.clear()
         self.number += 1
         return self.turns.open(f"k{self.number}", **values)
 
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -220,15 +220,23 @@
     balancer, servers = proxy.balancer, proxy.servers
     for number, server in enumerate(servers.values()):
         since = 60_000.125 + 100 * number
-        server.told, server.late, server.heard = since, since + 1, since + 2
-        server.shift_after, server.move_after = since + 3, since + 4
-        server.asked = since + 5
-        server.silent = number % 3
-        server.samples.extend([(69_000.0 + number, 0.25), (69_500.5, 0.5 + number)])
-        server.results.extend([(69_100.0, True), (69_200.0 + number, False)])
-        server.dialled.extend([69_300.0, 69_400.75 + number])
-    servers["c"].doubted, servers["c"].weight = True, 2.5
-    servers["a"].late = servers["b"].heard = servers["a"].asked = float("-inf")
+        (
+            server.leaving_since_ms,
+            server.last_late_message_ms,
+            server.last_received_ms,
+        ) = since, since + 1, since + 2
+        server.next_shift_ms, server.next_migration_ms = since + 3, since + 4
+        server.last_probe_ms = since + 5
+        server.unanswered_probes = number % 3
+        server.load_samples.extend(
+            [(69_000.0 + number, 0.25), (69_500.5, 0.5 + number)]
+        )
+        server.recent_results.extend([(69_100.0, True), (69_200.0 + number, False)])
+        server.attempt_times_ms.extend([69_300.0, 69_400.75 + number])
+    servers["c"].is_removal_unconfirmed, servers["c"].weight = True, 2.5
+    servers["a"].last_late_message_ms = servers["b"].last_received_ms = servers[
+        "a"
+    ].last_probe_ms = float("-inf")
     table = balancer.table
     for place in range(3):
         slot = [
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -19,7 +19,7 @@
 from wheathill.handover import talk
 from wheathill.handover.state import VERSION, Told, tell
 from wheathill.handover.talk import Giver
-from wheathill.model import ListKind, Session
+from wheathill.model import UpdateKind, Session
 from wheathill.net import bans
 from wheathill.net.admin import Call, No
 from wheathill.net.operators import OperatorsDoor
@@ -246,12 +246,12 @@
                 )
             ],
         },
-        ListKind.FULL,
+        UpdateKind.SNAPSHOT,
     )
     old.balancer.on_hand(70_000.0, "d", True, old.servers["d"])
     for number in range(5):
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
-        sess.accepted = 70_000.0
+        sess.accepted_ms = 70_000.0
         old.balancer.on_carried(70_000.0, sess, old.servers["a"])
         old.ids[f"id {number}"] = sess
     old.balancer.levels.sample(70_000.0, old.servers["a"], [0.5])
@@ -310,7 +310,7 @@
     proxy = balanced(node)
     proxy.clock.from_wall = lambda wall: wall
     if servers:
-        proxy.listed(list_of(servers), ListKind.FULL)
+        proxy.listed(list_of(servers), UpdateKind.SNAPSHOT)
     return proxy
 
 
@@ -368,7 +368,7 @@
     names = [f"server-{number}.of-some-length.example" for number in range(8000)]
     old, new = (large(names if place == 0 else (), memory_mb=32) for place in range(2))
     for server in old.servers.values():
-        server.dialled.extend(70_000.0 + place / 7 for place in range(128))
+        server.attempt_times_ms.extend(70_000.0 + place / 7 for place in range(128))
     parts = told_parts(old)
     assert max(len(orjson.dumps(part)) for part in parts) < old.limits.list_line
     assert (
@@ -378,7 +378,8 @@
     taken(new, parts)
     assert (
         list(new.servers) == names
-        and new.servers[names[-1]].dialled == old.servers[names[-1]].dialled
+        and new.servers[names[-1]].attempt_times_ms
+        == old.servers[names[-1]].attempt_times_ms
     )
 
 
@@ -401,15 +402,15 @@
     """Their drains are remembered against an agent that is behind, beside as many that are listed."""
     names = [[f"{release}-{number}" for number in range(8000)] for release in "ab"]
     proxy = large(names[0])
-    proxy.listed(list_of(names[1], seq=2), ListKind.FULL)
+    proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
     assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.names)
-    proxy.listed(list_of(names[0][:1], seq=1), ListKind.CHANGES)
+    proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
     assert names[0][0] not in {server.name for server in proxy.balancer.roster.servers}
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
         proxy.listed(
             list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
-            ListKind.FULL,
+            UpdateKind.SNAPSHOT,
         )
     assert len(proxy.names) == 8000 + proxy.limits.names
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,14 +8,21 @@
 from drive import Drive, kept
 
 from wheathill.drill.__main__ import main
-from wheathill.model import Listener, ListKind, Outcome, Phase, Repeat, Session
+from wheathill.model import (
+    Listener,
+    UpdateKind,
+    AttemptOutcome,
+    Phase,
+    Idempotency,
+    Session,
+)
 
 FLEET = ("a", "b", "c", "d")
 
 
 def ordinary_path():
     d = Drive(loads=dict.fromkeys(FLEET, 0.3))
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.shares()
     d.loud = False
     held = [d.accept(f"s{i}") for i in range(80)]
@@ -49,7 +56,7 @@
 
 def join_and_leave():
     d = Drive(loads=dict.fromkeys("abcde", 0.3))
-    d.list(*reversed(FLEET), kind=ListKind.FULL)
+    d.list(*reversed(FLEET), kind=UpdateKind.SNAPSHOT)
     before = list(d.balancer.table.current)
     d.list("e")
     d.shares()
@@ -60,7 +67,7 @@
     )
     d.list(("e", Phase.GONE))
     d.say(f"table as before: {before == table.current}")
-    d.list("a", "b", "c", kind=ListKind.FULL)
+    d.list("a", "b", "c", kind=UpdateKind.SNAPSHOT)
     d.shares()
     d.say("one list with a leave and a join:")
     d.list(("a", Phase.GONE), "f")
@@ -70,7 +77,7 @@
 
 def drain():
     d = Drive()
-    d.list("a", "b", "c", kind=ListKind.CACHED)
+    d.list("a", "b", "c", kind=UpdateKind.CACHED)
     held = next(s for s in map(d.accept, "0123456789") if s.server is d.servers["a"])
     d.list(("a", Phase.DRAINING))
     d.loud = False
@@ -94,43 +101,43 @@
 
 def repeats():
     d = Drive(most_dials=6)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     for listener in (
         Listener("repeatable"),
-        Listener("once-only", Repeat.ONCE_ONLY, "all", 500.0),
-        Listener("referenced, all", Repeat.REFERENCED, "all", 500.0),
-        Listener("referenced, zone", Repeat.REFERENCED, "zone", 500.0),
+        Listener("once-only", Idempotency.NON_IDEMPOTENT, "all", 500.0),
+        Listener("referenced, all", Idempotency.KEYED, "all", 500.0),
+        Listener("referenced, zone", Idempotency.KEYED, "zone", 500.0),
     ):
-        for outcome in (Outcome.CONNECT_FAILED, Outcome.ERROR):
+        for outcome in (AttemptOutcome.CONNECT_FAILED, AttemptOutcome.ERROR):
             d.now += 60_000.0
             sess = d.session(f"{listener.name}/{outcome.value}", listener)
-            while not sess.ended:
+            while not sess.has_ended:
                 d.now += 200.0
                 d.outcome(sess, outcome)
     d.say("after the window:")
     d.now += 60_000.0
     sess = d.session(
-        "late", Listener("referenced, all", Repeat.REFERENCED, "all", 500.0)
+        "late", Listener("referenced, all", Idempotency.KEYED, "all", 500.0)
     )
     d.now += 600.0
-    d.outcome(sess, Outcome.OVERDUE)
+    d.outcome(sess, AttemptOutcome.TIMED_OUT)
     return d.lines
 
 
 def quick_failures():
     d = Drive(loads={"a": 0.0, "b": 0.6, "c": 0.6, "d": 0.6})
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     to_a = 0
     for i in range(400):
         d.until(d.now + 25.0)
         sess = d.session(f"s{i}")
-        while sess.server is d.servers["a"] and not sess.ended:
+        while sess.server is d.servers["a"] and not sess.has_ended:
             to_a += 1
-            d.outcome(sess, Outcome.ERROR)
-        if not sess.ended:
+            d.outcome(sess, AttemptOutcome.ERROR)
+        if not sess.has_ended:
             d.balancer.on_accepted(d.now, sess)
-            d.outcome(sess, Outcome.COMPLETED, closed=True)
+            d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
     d.loud = True
     d.say(f"of 400 sessions, dials to the failing server: {to_a}")
     d.shares()
@@ -143,11 +150,11 @@
             loads={f"s{i}": 0.3 + 0.4 * (i % 2) for i in range(count)}, proxies=proxies
         )
         d.loud = False
-        d.list(*d.loads, kind=ListKind.FULL)
+        d.list(*d.loads, kind=UpdateKind.SNAPSHOT)
         d.pass_time(15_000.0)
         d.list("cold", ("cold", d.now))
         d.pass_time(30_000.0)
-        d.list(kind=ListKind.FULL)
+        d.list(kind=UpdateKind.SNAPSHOT)
         d.session("nobody left")
         d.loud = True
         d.say(
@@ -159,7 +166,7 @@
 def few_figures():
     """Unlike loads, but most servers are unknown: nothing says that the level seen is a high one."""
     d = Drive(loads={"a": 0.7, "b": 0.3})
-    d.list(*FLEET, "e", kind=ListKind.CACHED)
+    d.list(*FLEET, "e", kind=UpdateKind.CACHED)
     d.pass_time(3000.0)
     d.loads["c"] = 0.3
     d.say("now three of five answer:")
@@ -170,7 +177,7 @@
 def cold_start():
     d = Drive(loads=dict.fromkeys(FLEET, 0.2))
     d.now = 60_000.0
-    d.list("a", "b", "c", ("d", 60_000.0), kind=ListKind.CACHED)
+    d.list("a", "b", "c", ("d", 60_000.0), kind=UpdateKind.CACHED)
     d.loud = False
     for second in range(12):
         to_d = 0
@@ -191,7 +198,7 @@
     ]
     dialled = [0] * 10
     for number, d in enumerate(drives):
-        d.list("a", "b", "c", kind=ListKind.CACHED)
+        d.list("a", "b", "c", kind=UpdateKind.CACHED)
         d.loud = False
         for i in range(4):
             d.accept(f"held {i}")
@@ -210,7 +217,7 @@
 
 def overload():
     d = Drive(loads=dict.fromkeys(FLEET, 0.5))
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     for i in range(40):
         d.accept(f"s{i}", key=f"k{i}")
@@ -228,12 +235,12 @@
 
 def without_probes():
     d = Drive(may_probe=False, report_names=[])
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     held = [d.accept(f"s{i}") for i in range(80)]
     for sess in held:
         if sess.server is not d.servers["a"]:
-            d.outcome(sess, Outcome.COMPLETED, closed=True)
+            d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
     d.loud = True
     d.until(2500.0)
     d.shares()
@@ -243,7 +250,7 @@
 
 def groups_meet():
     d = Drive(loads=dict.fromkeys(FLEET, 0.4))
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.until(1500.0)
     for i in range(2):
         d.accept(f"s{i}", group="line 7")
@@ -261,15 +268,17 @@
 def told_late():
     """Messages late at a server that this proxy cannot afford to probe: it is relieved and avoided."""
     d = Drive(loads=dict.fromkeys(FLEET, 0.4), proxies=300)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     held = [d.accept(f"s{i}") for i in range(12)]
     d.answers = False
     d.until(8000.0)
     late = held[0].server
-    d.balancer.on_notice(d.now, held[0], message_ms=held[0].listener.message_target)
+    d.balancer.on_notice(d.now, held[0], message_ms=held[0].listener.message_target_ms)
     d.say("just in time; then late:")
     d.until(9000.0)
-    d.balancer.on_notice(d.now, held[0], message_ms=3 * held[0].listener.message_target)
+    d.balancer.on_notice(
+        d.now, held[0], message_ms=3 * held[0].listener.message_target_ms
+    )
     d.until(10_000.0)
     d.answers = True
     sess = d.session("comes now", key=held[0].key)
@@ -280,7 +289,7 @@
 
 def asked_first():
     d = Drive(loads={"a": 0.9, "b": 0.9, "c": None, "d": 0.2}, proxies=300)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     for i in range(6):
         probes = d.probes
         d.session(f"s{i}")
@@ -300,13 +309,13 @@
 
 def store_swamped():
     d = Drive(most_dials=6)
-    d.list(*FLEET, "e", "f", kind=ListKind.CACHED)
+    d.list(*FLEET, "e", "f", kind=UpdateKind.CACHED)
     for i in range(4):
         d.now += 300.0
         sess = d.session(f"s{i}")
-        while not sess.ended:
+        while not sess.has_ended:
             d.now += 50.0
-            d.outcome(sess, Outcome.ERROR)
+            d.outcome(sess, AttemptOutcome.ERROR)
     return d.lines
 
 
@@ -314,7 +323,7 @@
     """Three of ten servers die with all that they hold. What is reset was set up well, and the seven others go on taking
     set-ups, as many at once as before."""
     d = Drive()
-    d.list(*(f"s{i}" for i in range(10)), kind=ListKind.CACHED)
+    d.list(*(f"s{i}" for i in range(10)), kind=UpdateKind.CACHED)
     d.loud = False
     placed = []
     for i in range(60):
@@ -324,7 +333,7 @@
     lost = [sess for sess in placed if sess.server.name in ("s0", "s1", "s2")]
     for sess in lost:
         d.now += 0.1
-        d.outcome(sess, Outcome.RESET)
+        d.outcome(sess, AttemptOutcome.RESET)
     d.say(f"{len(lost)} of 60 were reset; {d.balancer.first.window:g} set-ups at once")
     return d.lines
 
@@ -332,7 +341,7 @@
 def store_sheds():
     """What all set-ups depend on is swamped, and those that it let up are reset soon after, at all servers."""
     d = Drive()
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     placed = []
     for i in range(8):
@@ -341,19 +350,19 @@
     d.loud = True
     for sess in placed:
         d.now += 200.0
-        d.outcome(sess, Outcome.RESET)
+        d.outcome(sess, AttemptOutcome.RESET)
     return d.lines
 
 
 def store_swamped_among_many():
     """One proxy of hundreds: two failures in a row at unlike servers are all that it sees."""
     d = Drive(loads=dict.fromkeys(FLEET, 0.3), proxies=300, most_dials=6)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     for i in range(3):
         sess = d.session(f"s{i}")
-        while not sess.ended:
+        while not sess.has_ended:
             d.now += 600.0
-            d.outcome(sess, Outcome.ERROR)
+            d.outcome(sess, AttemptOutcome.ERROR)
         d.session("meanwhile")
         d.now += 4000.0
     for i in range(4):
@@ -364,11 +373,11 @@
 
 def list_out_of_reach():
     d = Drive(must_ask=True)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     for _ in range(3):
-        d.list(kind=ListKind.FAILED)
+        d.list(kind=UpdateKind.FAILED)
         d.until(d.now + 20_000.0)
-    d.list(kind=ListKind.CHANGES)
+    d.list(kind=UpdateKind.DELTA)
     d.session("served from the old list")
     return d.lines
 
@@ -376,17 +385,17 @@
 def odd_input():
     d = Drive()
     d.session("no list yet")
-    d.list("a", "a", kind=ListKind.FULL)
+    d.list("a", "a", kind=UpdateKind.SNAPSHOT)
     d.session("no time left", left=0.0)
-    d.accept("no handshake target", listener=Listener("any", handshake_target=0.0))
+    d.accept("no handshake target", listener=Listener("any", handshake_target_ms=0.0))
     for figure in (-1.0, None, float("nan")):
-        d.balancer.on_probed(d.now, d.servers["a"], Outcome.COMPLETED, [figure])
-    d.balancer.on_probed(d.now, d.servers["a"], Outcome.COMPLETED, None)
-    d.say(f"figures taken from broken reports: {len(d.servers['a'].samples)}")
+        d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, [figure])
+    d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, None)
+    d.say(f"figures taken from broken reports: {len(d.servers['a'].load_samples)}")
     sess = d.session("a server that left")
-    d.list(kind=ListKind.FULL)
-    d.outcome(sess, Outcome.RESET)
-    d.balancer.on_probed(d.now, d.servers["a"], Outcome.COMPLETED, [0.5])
+    d.list(kind=UpdateKind.SNAPSHOT)
+    d.outcome(sess, AttemptOutcome.RESET)
+    d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, [0.5])
     return d.lines
 
 
@@ -408,7 +417,7 @@
             for sess in held
             if any(f"{d.names[sess]} moved" in line for line in moved)
         ]:
-            d.balancer.on_outcome(d.now, sess, Outcome.CANCELLED, True)
+            d.balancer.on_outcome(d.now, sess, AttemptOutcome.CANCELLED, True)
         yield f"tick {number}: {len(moved)} of {len(held)} moved"
 
 
@@ -441,7 +450,7 @@
         d.list("a", "b")
         d.loud = False
         for number in range(9):
-            d.session(f"s{number}", mid_flow=mid_flow, repeat=True)
+            d.session(f"s{number}", mid_flow=mid_flow, is_client_retry=True)
         d.probes = 0
         d.until(2000.0)
         yield f"mid-flow {mid_flow}: {d.probes} probes"
@@ -450,7 +459,7 @@
 def out_by_hand():
     """Told once, whatever the lists say; back as a server that has just started, until told of a start."""
     d = Drive(passes_through=False)
-    d.list("a", "b", ("c", 40_000.0), kind=ListKind.CACHED)
+    d.list("a", "b", ("c", 40_000.0), kind=UpdateKind.CACHED)
     d.now = 60_000.0
     for i in range(9):
         d.accept(f"held {i}")
@@ -467,7 +476,7 @@
             f"{step}: may be dialled {d.balancer.roster.may_dial(d.now, d.servers['a'], False)}, "
             f"mid-flow {d.balancer.roster.may_dial(d.now, d.servers['a'], True)}"
         )
-    d.list("a", "b", "c", kind=ListKind.FULL)
+    d.list("a", "b", "c", kind=UpdateKind.SNAPSHOT)
     d.loud = False
     d.until(64_000.0)
     for when, listed in ((70_000.0, None), (80_000.0, 20_000.0), (81_000.0, 62_000.0)):
@@ -481,8 +490,8 @@
             d.list(("a", listed))
         a = d.servers["a"]
         d.say(
-            f"a listed with start {listed}: counts as started {a.started}, cold {d.balancer.cold.cold(d.now, a)}, "
-            f"load known {bool(a.samples)}, ready {a in d.balancer.roster.servers}"
+            f"a listed with start {listed}: counts as started {a.started_ms}, cold {d.balancer.cold.cold(d.now, a)}, "
+            f"load known {bool(a.load_samples)}, ready {a in d.balancer.roster.servers}"
         )
     d.hand("a", True)
     d.list(("a", Phase.DRAINING))
@@ -496,33 +505,36 @@
     d.servers.pop("b")  # gone from the list, and forgotten
     d.hand("b", False)
     d.list("b")
-    d.say(f"put back while unlisted: counts as started {d.servers['b'].started}")
+    d.say(f"put back while unlisted: counts as started {d.servers['b'].started_ms}")
     return d.lines
 
 
 def budget_of_dials():
     d = Drive(most_dials=6, budget=(2.0, 0.25, 1000.0))
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.say(
         "two further dials are free, four sessions allow one more; a packet of an open connection counts alike:"
     )
     held = [d.session(f"s{i}", key=f"key {i}", mid_flow=i == 3) for i in range(4)]
     for sess in held:
-        d.outcome(sess, Outcome.CONNECT_FAILED)
+        d.outcome(sess, AttemptOutcome.CONNECT_FAILED)
     d.say("one that was never sent does not count:")
-    d.outcome(held[0], Outcome.NEVER_SENT)
-    d.outcome(held[1], Outcome.CONNECT_FAILED)
+    d.outcome(held[0], AttemptOutcome.NEVER_SENT)
+    d.outcome(held[1], AttemptOutcome.CONNECT_FAILED)
     d.now += 1000.0
     d.say("sessions leave the window at its edge, and dials only after it:")
     held = [d.session(f"later s{i}", key=f"key {i}") for i in range(2)]
-    d.outcome(held[0], Outcome.CONNECT_FAILED)
+    d.outcome(held[0], AttemptOutcome.CONNECT_FAILED)
     d.now += 2.0
-    d.outcome(held[1], Outcome.CONNECT_FAILED)
+    d.outcome(held[1], AttemptOutcome.CONNECT_FAILED)
     d.now += 60_000.0
     d.say(
         "a dear session found none left: the next cheap one leaves what a dear one would need"
     )
-    listeners = {"dear": Listener("dear", utility=5.0), "cheap": Listener("cheap")}
+    listeners = {
+        "dear": Listener("dear", priority_weight=5.0),
+        "cheap": Listener("cheap"),
+    }
     for wait, whose in (
         (0.0, ("dear",) * 3),
         (500.0, ("cheap",) * 6),
@@ -533,15 +545,15 @@
             d.session(f"{who} {place}", listeners[who])
             for place, who in enumerate(whose)
         ]:
-            d.outcome(sess, Outcome.CONNECT_FAILED)
+            d.outcome(sess, AttemptOutcome.CONNECT_FAILED)
     return d.lines
 
 
 def gone_does_not_bind():
     d = Drive(loads=dict.fromkeys(FLEET, 0.3), gone_binds=False)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.list(("a", Phase.GONE), ("b", Phase.DRAINING))
-    d.list("c", kind=ListKind.FULL)
+    d.list("c", kind=UpdateKind.SNAPSHOT)
     d.shares()
     d.say(
         "a draining one never comes back by a list that leaves it out; the others give no answer or give one:"
@@ -557,7 +569,7 @@
 
 def full_and_unknown():
     d = Drive(loads=dict.fromkeys("abcdefgh", 0.9))
-    d.list(*d.loads, kind=ListKind.CACHED)
+    d.list(*d.loads, kind=UpdateKind.CACHED)
     d.say("four were asked and are full, of the others nothing is known:")
     d.session("any")
     d.loads = dict.fromkeys(d.loads, 0.66)
@@ -577,7 +589,7 @@
 
 def slow_way():
     d = Drive(loads=dict.fromkeys("abcdefgh", 0.3))
-    d.list(*d.loads, kind=ListKind.CACHED)
+    d.list(*d.loads, kind=UpdateKind.CACHED)
     far = [name for name in d.loads if d.servers[name].zone == 1]
     d.say(f"the way to {' '.join(far)} takes longer than a message may:")
     d.delays = dict.fromkeys(far, 150.0)
@@ -609,7 +621,7 @@
 
 def untrue_reports():
     d = Drive(loads=dict.fromkeys(FLEET, 0.4), tells_late=True)
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     held = [d.accept(f"s{i}") for i in range(24)]
     d.pass_time(2000.0)
@@ -624,10 +636,10 @@
         d.loud = False
         new = [d.session(f"{text} {i}", key=f"{i}") for i in range(40)]
         d.loud = True
-        counts = Counter(sess.server.name for sess in new if not sess.ended)
+        counts = Counter(sess.server.name for sess in new if not sess.has_ended)
         d.say(
             f"{text}: of 40 sessions {' '.join(f'{name} {counts[name]}' for name in FLEET)}; "
-            f"reports times {d.servers['a'].doubt:.2f}, {d.servers['b'].doubt:.2f}"
+            f"reports times {d.servers['a'].report_correction:.2f}, {d.servers['b'].report_correction:.2f}"
         )
         for sess in new:
             d.balancer.on_hang_up(d.now, sess)
@@ -650,17 +662,17 @@
 
 def fails_by_turns():
     d = Drive(loads=dict.fromkeys(FLEET, 0.3))
-    d.list(*FLEET, kind=ListKind.CACHED)
+    d.list(*FLEET, kind=UpdateKind.CACHED)
     a = d.servers["a"]
     for turn in range(3):
         d.loud = False
         held = [d.accept(f"turn {turn} s{i}") for i in range(60)]
         d.until(d.now + 1000.0)
-        broken = [sess for sess in held if sess.server is a and not sess.ended]
+        broken = [sess for sess in held if sess.server is a and not sess.has_ended]
         for sess in held:
             d.outcome(
                 sess,
-                Outcome.RESET if sess.server is a else Outcome.COMPLETED,
+                AttemptOutcome.RESET if sess.server is a else AttemptOutcome.COMPLETED,
                 closed=True,
             )
         since = d.now
@@ -670,7 +682,7 @@
             ]
         ) or not [sess for sess in tries if sess.server is a]:
             for sess in tries:
-                d.outcome(sess, Outcome.COMPLETED, closed=True)
+                d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
             d.until(d.now + 250.0)
         d.loud = True
         d.say(
@@ -679,20 +691,20 @@
         )
         d.loud = False
         for sess in tries:
-            d.outcome(sess, Outcome.COMPLETED, closed=True)
+            d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
         d.until(d.now + 2500.0)
         tries = [d.accept(f"turn {turn} u{i}", key=f"t{i}") for i in range(20)]
         d.loud = True
         d.say(f"2.5 s later {sum(sess.server is a for sess in tries)} go there")
         d.loud = False
         for sess in tries:
-            d.outcome(sess, Outcome.COMPLETED, closed=True)
+            d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
     return d.lines
 
 
 def few_servers_fail():
     d = Drive()
-    d.list(*"abcdefgh", kind=ListKind.CACHED)
+    d.list(*"abcdefgh", kind=UpdateKind.CACHED)
     health = d.balancer.health
     for said, ends in (
         ("two servers of five fail, with most dials", "c+ d+ e+ a- b- a- b- a-"),
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -270,7 +270,7 @@
         turns.hears(first)
         first.say("ERR")
         (sess,) = turns.proxy.clients
-        turns.until(lambda: len(sess.dials) == 2)
+        turns.until(lambda: len(sess.attempts) == 2)
         turns.turn()
         time.sleep(0.35)  # this process stands still meanwhile
         turns.hears(client)
@@ -325,7 +325,7 @@
         server = turns.taken()
         turns.hears(server)
         (sess,) = turns.proxy.clients
-        stale = sess.dials[-1]
+        stale = sess.attempts[-1]
         server.say("BUSY")
         second = turns.taken()
         turns.hears(second)
@@ -351,22 +351,22 @@
             turns.hears(link)
             link.say("PONG x0=0.2")
             turns.until(lambda: not turns.proxy.links[server].asked)
-            server.probed = turns.proxy.now()
+            server.probe_sent_ms = turns.proxy.now()
             turns.proxy.probe(server)
             getattr(link, ends)()
             again = turns.taken()
             turns.hears(again)
-            turns.lines.append(f"held against the server: {server.silent}")
+            turns.lines.append(f"held against the server: {server.unanswered_probes}")
             again.say("PONG x0=0.3")
-            turns.until(lambda: server.probed is None)
-            turns.lines.append(f"answered: {server.samples[-1][1]}")
+            turns.until(lambda: server.probe_sent_ms is None)
+            turns.lines.append(f"answered: {server.load_samples[-1][1]}")
             turns.proxy.links[server].end(None)
             again.finish()
         # One that never answered is another thing.
         turns.proxy.probe(server)
         turns.taken().finish()
-        turns.until(lambda: server.silent)
-        turns.lines.append(f"closed without an answer: {server.silent}")
+        turns.until(lambda: server.unanswered_probes)
+        turns.lines.append(f"closed without an answer: {server.unanswered_probes}")
         return turns.lines
 
 
@@ -383,7 +383,9 @@
         turns.servers["a"] = listener()
         turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
         turns.hears(turns.taken())
-        turns.lines.append(f"held against it: {turns.proxy.servers['a'].silent}")
+        turns.lines.append(
+            f"held against it: {turns.proxy.servers['a'].unanswered_probes}"
+        )
         del client
         return turns.lines
 
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -40,7 +40,9 @@
 def first_claim(server, slot, size):
     draws = slot_draws(server.name, 40 * size)
     k = next(k for k in range(40 * size) if draws[3 * k] % size == slot)
-    return (k + draws[3 * k + 1] / 2**16 + draws[3 * k + 2] / 2**32) / server.pull
+    return (
+        k + draws[3 * k + 1] / 2**16 + draws[3 * k + 2] / 2**32
+    ) / server.effective_weight
 
 
 def test_each_slot_is_whose_claim_comes_first():
@@ -89,7 +91,7 @@
     some = servers(count)
     found = filled(size, some)
     assert None not in found.home
-    assert sum(len(server.draws) // 3 for server in some) < 25 * size + 40 * count
+    assert sum(len(server.hash_draws) // 3 for server in some) < 25 * size + 40 * count
     another = Server("another")
     found.update(0.0, [another], {}, dict.fromkeys([*some, another]))
-    assert len(another.draws) // 3 < 25 * size / count + 40
+    assert len(another.hash_draws) // 3 < 25 * size / count + 40
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,7 +18,7 @@
 
 from drive import Drive, Peer, Rig, free_port
 from turns import Turns
-from wheathill.model import ListKind
+from wheathill.model import UpdateKind
 from wheathill.net.carried import NEWCOMERS
 
 TOLD = 6000.0  # a change that discovery has and can be reached for counts as told so many ms later
@@ -300,7 +300,7 @@
             before = len(asked)
             while len(asked) == before:
                 d.until(d.now + 5.0)
-            d.list(kind=ListKind.FAILED)
+            d.list(kind=UpdateKind.FAILED)
         first.append(asked[0])
         gaps += [later - earlier for earlier, later in zip(asked, asked[1:])]
     assert max(first) < TOLD / 2 and max(gaps) < TOLD / 2 - 200
@@ -605,7 +605,9 @@
             turns.hears(link)
             link.say("PONG x0=0.1")
             turns.until(
-                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
+                lambda name=name: (
+                    not turns.proxy.links[turns.proxy.servers[name]].last_probe_ms
+                )
             )
         assert turns.carrier.free <= 7
         for number in range(10):
@@ -677,10 +679,14 @@
         turns.watched("a", "b")
         server = turns.proxy.servers["a"]
         turns.carrier.lent = turns.carrier.free + turns.node().limits.spare_sockets
-        server.probed = turns.proxy.now()
+        server.probe_sent_ms = turns.proxy.now()
         turns.proxy.probe(server)
         turns.turn(2)
-        assert not turns.dialled() and server.probed is None and not server.silent
+        assert (
+            not turns.dialled()
+            and server.probe_sent_ms is None
+            and not server.unanswered_probes
+        )
 
 
 # Starts
--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -10,12 +10,12 @@
 import socket
 from dataclasses import dataclass
 
-from wheathill.model import LIST_CALL, LIST_LONGEST, Listener, Repeat
+from wheathill.model import LIST_CALL_MS, LIST_POLL_MAX_MS, Listener, Idempotency
 
 REPEATS = {
-    "retryable": Repeat.REPEATABLE,
-    "dedup": Repeat.REFERENCED,
-    "fragile": Repeat.ONCE_ONLY,
+    "retryable": Idempotency.IDEMPOTENT,
+    "dedup": Idempotency.KEYED,
+    "fragile": Idempotency.NON_IDEMPOTENT,
 }
 SCOPES = {scope: scope for scope in ("all", "zone", "cell")}
 # The figures of a load report: the settings' words -> the design's.
@@ -112,19 +112,19 @@
     listeners = [
         Listener(
             name=item.text("name", ""),
-            repeat=item.choice("repeat", REPEATS, "fragile"),
-            scope=item.choice("dedupScope", SCOPES, "cell"),
-            window=item.ms("windowS", 0.0),
-            handshake_target=item.ms("handshakeTargetS", 500.0),
-            dial_timeout=item.ms("dialTimeoutS", 2000.0),
-            utility=item.number("utility", 1.0),
+            idempotency=item.choice("repeat", REPEATS, "fragile"),
+            dedup_scope=item.choice("dedupScope", SCOPES, "cell"),
+            dedup_window_ms=item.ms("windowS", 0.0),
+            handshake_target_ms=item.ms("handshakeTargetS", 500.0),
+            dial_timeout_ms=item.ms("dialTimeoutS", 2000.0),
+            priority_weight=item.number("utility", 1.0),
         )
         for item in settings.parts("listeners")
     ]
     for listener, target in zip(
         listeners, settings.part("familyInfo").numbers("messageAimS")
     ):
-        listener.message_target = target * 1000
+        listener.message_target_ms = target * 1000
     return listeners
 
 
@@ -257,7 +257,7 @@
     list_spread: float = 0.0  # where one service answers all proxies: the first wait after a failure, doubled
     # by each further one, up to list_longest; half of it is drawn by chance
     list_longest: float = (
-        LIST_LONGEST  # two within the 6 s after which a change counts as told
+        LIST_POLL_MAX_MS  # two within the 6 s after which a change counts as told
     )
     list_again: float = 250.0  # until another is asked beside one that has not answered
     unanswered: float = 500.0  # a line without an answer is reported from then on
@@ -432,7 +432,7 @@
         # Not an agent beside each proxy: what refuses calls that come too often would never be left alone.
         list_again = Limits.list_longest
         list_spread = min(
-            Limits.list_longest, max(500.0, balancer["proxies"] * LIST_CALL / 2)
+            Limits.list_longest, max(500.0, balancer["proxies"] * LIST_CALL_MS / 2)
         )
     where = {
         key: None
@@ -459,7 +459,7 @@
             list_spread=list_spread,
             # None is stated by 0 as well: no connection would ever come up in it.
             connect=settings.part("limits").ms("connectTimeoutS", 1000.0) or 1000.0,
-            longest_dial=max(listener.dial_timeout for listener in listeners),
+            longest_dial=max(listener.dial_timeout_ms for listener in listeners),
             idle=settings.part("limits").ms("idleCloseS", 30_000.0) or 30_000.0,
         ),
         known=top.part("known").values,
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -8,25 +8,33 @@
 import sys
 
 from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
-from wheathill.model import Listener, ListKind, Outcome, Phase, Repeat, Server, Session
+from wheathill.model import (
+    Listener,
+    UpdateKind,
+    AttemptOutcome,
+    Phase,
+    Idempotency,
+    Server,
+    Session,
+)
 from wheathill.policy.balancer import Balancer
 
 PHASES = {3: Phase.READY, 0: Phase.DRAINING, 2: Phase.GONE}
 LIST_KINDS = {
-    0: ListKind.CHANGES,
-    1: ListKind.FULL,
-    2: ListKind.CACHED,
-    3: ListKind.FAILED,
+    0: UpdateKind.DELTA,
+    1: UpdateKind.SNAPSHOT,
+    2: UpdateKind.CACHED,
+    3: UpdateKind.FAILED,
 }
 OUTCOMES = {
-    "completed": Outcome.COMPLETED,
-    "errored": Outcome.ERROR,
-    "saturated": Outcome.FULL,
-    "overdue": Outcome.OVERDUE,
-    "refused_conn": Outcome.CONNECT_FAILED,
-    "severed": Outcome.RESET,
-    "recalled": Outcome.CANCELLED,
-    "superseded": Outcome.NEVER_SENT,
+    "completed": AttemptOutcome.COMPLETED,
+    "errored": AttemptOutcome.ERROR,
+    "saturated": AttemptOutcome.AT_CAPACITY,
+    "overdue": AttemptOutcome.TIMED_OUT,
+    "refused_conn": AttemptOutcome.CONNECT_FAILED,
+    "severed": AttemptOutcome.RESET,
+    "recalled": AttemptOutcome.CANCELLED,
+    "superseded": AttemptOutcome.NEVER_SENT,
 }
 HINTED, REPEAT, MID_FLOW, RETURNING = 1, 2, 8, 16
 LOAD_NOTICE, SLOW_NOTICE = 1, 2
@@ -79,15 +87,15 @@
         sess = Session(
             listener=self.listeners[listener]
             if known
-            else Listener("", Repeat.ONCE_ONLY),
+            else Listener("", Idempotency.NON_IDEMPOTENT),
             key=key or handle,
-            deadline=now + (left or 0.0) * 1000,
+            deadline_ms=now + (left or 0.0) * 1000,
             tenant=tenant or 0,
             group=group,
             load=load if marks & HINTED else None,
             mid_flow=bool(marks & MID_FLOW),
             returning=bool(marks & RETURNING),
-            repeat=bool(marks & REPEAT),
+            is_client_retry=bool(marks & REPEAT),
         )
         self.sessions[handle] = sess
         self.handles[sess] = handle
@@ -114,7 +122,7 @@
             if closed:
                 self.forget(sess)
             self.balancer.on_outcome(
-                now, sess, OUTCOMES.get(code, Outcome.ERROR), bool(closed)
+                now, sess, OUTCOMES.get(code, AttemptOutcome.ERROR), bool(closed)
             )
 
     def hang_up(self, now, handle):
@@ -132,7 +140,10 @@
     def probed(self, now, name, code, _spent, report):
         if name in self.servers:
             self.balancer.on_probed(
-                now, self.servers[name], OUTCOMES.get(code, Outcome.ERROR), report
+                now,
+                self.servers[name],
+                OUTCOMES.get(code, AttemptOutcome.ERROR),
+                report,
             )
 
     def peer(self, now, peer, message):
--- a/wheathill/handover/state.py
+++ b/wheathill/handover/state.py
@@ -12,16 +12,22 @@
 CHUNK = 1000  # keys, ids or names in one message: none takes the loop for long
 SHORTEST = 40  # bytes of an entry of a list that can be read
 
-SERVER_TIMES = (
-    "started",
-    "told",
-    "late",
-    "heard",
-    "shift_after",
-    "move_after",
-    "asked",
-)
-SERVER_FIGURES = ("weight",)
+# Name on the wire -> field of `Session`.
+SESSION_FLAGS = {
+    "mid_flow": "mid_flow",
+    "returning": "returning",
+    "repeat": "is_client_retry",
+}
+# Name on the wire -> field of `Server`.
+SERVER_TIMES = {
+    "started": "started_ms",
+    "told": "leaving_since_ms",
+    "late": "last_late_message_ms",
+    "heard": "last_received_ms",
+    "shift_after": "next_shift_ms",
+    "move_after": "next_migration_ms",
+    "asked": "last_probe_ms",
+}
 
 
 def tell(proxy):
@@ -108,13 +114,14 @@
         "zone": server.zone,
         "cell": server.cell,
         "phase": server.phase.value,
-        "listed": server.listed.value,
-        "silent": server.silent,
-        "doubted": server.doubted,
-        "samples": list(server.samples),
-        "results": list(server.results),
-        "dialled": list(server.dialled),
-        **{name: getattr(server, name) for name in SERVER_TIMES + SERVER_FIGURES},
+        "listed": server.listed_phase.value,
+        "silent": server.unanswered_probes,
+        "doubted": server.is_removal_unconfirmed,
+        "samples": list(server.load_samples),
+        "results": list(server.recent_results),
+        "dialled": list(server.attempt_times_ms),
+        **{name: getattr(server, field) for name, field in SERVER_TIMES.items()},
+        "weight": server.weight,
     }
 
 
@@ -282,24 +289,23 @@
         zone=expect(told["zone"], int),
         cell=whole(told["cell"]),
         phase=Phase(told["phase"]),
-        listed=Phase(told["listed"]),
+        listed_phase=Phase(told["listed"]),
     )
-    for name in SERVER_TIMES:
+    for name, field in SERVER_TIMES.items():
         if told[name] is not None:
-            setattr(server, name, number(told[name]))
+            setattr(server, field, number(told[name]))
         elif name != "started":
-            setattr(server, name, -math.inf)
+            setattr(server, field, -math.inf)
     server.weight = number(told["weight"], 1e-9, 1e9)
-    server.silent = whole(told["silent"])
-    server.doubted = expect(told.get("doubted", False), bool)
-    for name, read in (
-        ("samples", number),
-        ("results", lambda well: expect(well, bool)),
-    ):
-        getattr(server, name).extend(
-            (number(when), read(what)) for when, what in told[name]
-        )
-    server.dialled.extend(map(number, told["dialled"]))
+    server.unanswered_probes = whole(told["silent"])
+    server.is_removal_unconfirmed = expect(told.get("doubted", False), bool)
+    server.load_samples.extend(
+        (number(when), number(load)) for when, load in told["samples"]
+    )
+    server.recent_results.extend(
+        (number(when), expect(well, bool)) for when, well in told["results"]
+    )
+    server.attempt_times_ms.extend(map(number, told["dialled"]))
     return server
 
 
@@ -318,8 +324,8 @@
         "load": sess.load,
         "mid_flow": sess.mid_flow,
         "returning": sess.returning,
-        "repeat": sess.repeat,
-        "accepted": sess.accepted,
+        "repeat": sess.is_client_retry,
+        "accepted": sess.accepted_ms,
         "came": client.came,
         "asked": client.asked,
         "server": dial.server.name,
@@ -335,16 +341,15 @@
         sess = Session(
             listener=listeners.get(name) or Listener(name),
             key=expect(told["key"], str),
-            deadline=number(told["accepted"]),
+            deadline_ms=number(told["accepted"]),
             tenant=whole(told["tenant"]),
             group=None if told["group"] is None else expect(told["group"], str),
             load=None if told["load"] is None else number(told["load"]),
             **{
-                flag: expect(told[flag], bool)
-                for flag in ("mid_flow", "returning", "repeat")
+                field: expect(told[flag], bool) for flag, field in SESSION_FLAGS.items()
             },
         )
-        sess.accepted = number(told["accepted"])
+        sess.accepted_ms = number(told["accepted"])
         return (
             expect(told["line"], str).encode(),
             sess,
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -29,14 +29,14 @@
     def list(self, peers, name, draining, started):
         """Its own list says so."""
         server = self.servers.setdefault(name, Server(name))
-        phase, server.started = peers.on_entry(
+        phase, server.started_ms = peers.on_entry(
             name, Phase.DRAINING if draining else Phase.READY, started
         )
-        server.listed = phase
+        server.listed_phase = phase
 
     def told_by_peers(self, server, phase, born):
-        if server.listed is not phase:
-            server.listed = phase
+        if server.listed_phase is not phase:
+            server.listed_phase = phase
             self.told.setdefault((server.name, phase.value), self.clock.now())
 
 
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -6,7 +6,7 @@
 
 from functools import partial
 
-from wheathill.model import Outcome
+from wheathill.model import AttemptOutcome
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.retry_rules import may_reject, may_retry
 from wheathill.policy.stage import Stage
@@ -25,7 +25,7 @@
         self.go(now, sess)
 
     def go(self, now, sess):
-        tried = [dial.server for dial in sess.dials]
+        tried = [dial.server for dial in sess.attempts]
         able = [
             server
             for server in self.balancer.roster.servers
@@ -44,18 +44,18 @@
 
     def back(self, now, sess, outcome):
         if (
-            len(sess.dials) < self.most_dials
-            and sess.deadline > now
-            and outcome is not Outcome.CANCELLED
+            len(sess.attempts) < self.most_dials
+            and sess.deadline_ms > now
+            and outcome is not AttemptOutcome.CANCELLED
         ):
             self.go(now, sess)
         else:
             self.give_up(sess)
 
     def give_up(self, sess):
-        sess.ended = True
+        sess.has_ended = True
         if may_reject(sess):
-            self.balancer.actions.refuse(sess, sess.listener.handshake_target)
+            self.balancer.actions.refuse(sess, sess.listener.handshake_target_ms)
         else:
             self.balancer.actions.tear_down(sess)
 
@@ -79,7 +79,7 @@
             if server.phase.value == "draining":
                 self.send_away(
                     list(server.sessions),
-                    max(1, 3 - int((now - server.told) / self.TICK)),
+                    max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
                 )
 
 
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -19,7 +19,7 @@
 
     def refuse(self, sess, come_back_after):
         self.clients[sess].timer.cancel()
-        self.clock.at(sess.deadline + 200.0, self.refuse_late, sess, come_back_after)
+        self.clock.at(sess.deadline_ms + 200.0, self.refuse_late, sess, come_back_after)
 
     def refuse_late(self, sess, come_back_after):
         if sess in self.clients:
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -15,7 +15,7 @@
 
 from wheathill.config import node_of
 from wheathill.lab.scale import fit
-from wheathill.model import Listener, ListKind, Outcome, Phase, Server, Session
+from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
@@ -185,7 +185,7 @@
         "join_ms": timed(table.update, 0.0, servers, {}, servers),
     }
     found["draws_bytes_a_server"] = fmean(
-        len(server.draws) * server.draws.itemsize for server in servers
+        len(server.hash_draws) * server.hash_draws.itemsize for server in servers
     )
     held = Counter(table.current)
     found |= {
@@ -240,7 +240,7 @@
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
     made.on_list(
-        0.0, ListKind.FULL, [(server, Phase.READY, 1.0, None) for server in servers]
+        0.0, UpdateKind.SNAPSHOT, [(server, Phase.READY, 1.0, None) for server in servers]
     )
     return made, actions, servers
 
@@ -252,7 +252,7 @@
     found = {"tick_ms": timed(made.tick, 2000.0)}
     for place, server in enumerate(servers):
         made.levels.sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
-        server.asked = 0.0
+        server.last_probe_ms = 0.0
     made.probes.earned = float(count)
     found["tick_probing_ms"] = timed(made.tick, 3000.0)
     return found
@@ -286,11 +286,11 @@
 def answer(made, actions, now):
     """All that were asked, with a load that leaves room; all that were dialled come up, and end."""
     while actions.probed:
-        made.on_probed(now, actions.probed.pop(), Outcome.COMPLETED, [0.3])
+        made.on_probed(now, actions.probed.pop(), AttemptOutcome.COMPLETED, [0.3])
     while actions.dialled:
         sess = actions.dialled.pop()
         made.on_accepted(now, sess)
-        made.on_outcome(now, sess, Outcome.COMPLETED, True)
+        made.on_outcome(now, sess, AttemptOutcome.COMPLETED, True)
 
 
 SLOPES = (
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -3,7 +3,7 @@
 
 from itertools import islice
 
-from wheathill.model import Outcome, Session
+from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
 from wheathill.net.server import Dialled, ProbeLink
@@ -86,9 +86,9 @@
         if listener is None:
             raise Malformed("c names no listener")
         client.listener = listener
-        left = min(head.number("d", listener.dial_timeout), listener.dial_timeout) - (
-            now - came
-        )
+        left = min(
+            head.number("d", listener.dial_timeout_ms), listener.dial_timeout_ms
+        ) - (now - came)
         if left < -self.limits.too_late:
             return self.give_up(client)
         tenant = head.values.get("t")
@@ -101,13 +101,13 @@
         sess = Session(
             listener=listener,
             key=head.key,
-            deadline=now + left - self.limits.answer_margin,
+            deadline_ms=now + left - self.limits.answer_margin,
             tenant=self.tenants.get(tenant, 0),
             group=head.values.get("g") if self.node.groups else None,
             load=head.number("h"),
             mid_flow=head.flag("mid"),
             returning=head.flag("again"),
-            repeat=head.flag("r"),
+            is_client_retry=head.flag("r"),
         )
         self.note_id(head, sess)
         if not self.make_room():
@@ -115,7 +115,7 @@
             self.answer(client, self.come_back(listener))
         elif "at" in head.values:
             client.sess = sess
-            sess.deadline = now + self.limits.standing
+            sess.deadline_ms = now + self.limits.standing
             self.stand(client, sess)
         else:
             self.clients[sess] = client
@@ -182,7 +182,7 @@
         now = self.now()
         self.stood_still(now)
         behind = (
-            now - client.sess.deadline - self.limits.answer_margin
+            now - client.sess.deadline_ms - self.limits.answer_margin
             if client.sess
             else 0.0
         )
@@ -216,7 +216,9 @@
                 self.answer_alone(client)
 
     def come_back(self, listener):
-        return busy(min(listener.handshake_target, self.node.balancer["longest_wait"]))
+        return busy(
+            min(listener.handshake_target_ms, self.node.balancer["longest_wait"])
+        )
 
     def answer(self, client, line):
         """A session's final answer where it isn't UP: the one place where it is given, and counted for the
@@ -258,27 +260,27 @@
         client = self.clients.pop(sess)
         self.asking.pop(client, None)
         client.sess = None
-        sess.choices = (
+        sess.candidates = (
             None  # a generator that holds its session: a cycle, and of no use any more
         )
         self.ids[client.head.id] = None
         self.figures.count(how)
         now = self.now()
-        lasted = None if sess.accepted is None else round(now - sess.accepted)
+        lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
             "session",
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
             waited=round(now - client.came - (lasted or 0), 1),
-            dials=len(sess.dials),
+            dials=len(sess.attempts),
             server=sess.server and sess.server.name,
             came="mid-flow"
             if sess.mid_flow
             else "back"
             if sess.returning
             else "repeat"
-            if sess.repeat
+            if sess.is_client_retry
             else "first",
         )
         return client
@@ -293,7 +295,7 @@
 
     def message_took(self, client, spent):
         self.asking.pop(client, None)
-        if client.sess is not None and spent > client.sess.listener.message_target:
+        if client.sess is not None and spent > client.sess.listener.message_target_ms:
             self.figures.count("late messages")
             self.balancer.on_notice(self.now(), client.sess, message_ms=spent)
 
@@ -333,12 +335,12 @@
         name, now = client.head.values["at"], self.now()
         if client.sess is not sess or not client.wire.open:
             pass
-        elif now >= sess.deadline:
+        elif now >= sess.deadline_ms:
             self.log_event("lost standing", server=name)
             self.answer(client, b"ERR")
         elif name in self.servers:
             sess.server = self.servers[name]
-            self.connect(client, sess.server, sess.deadline - now)
+            self.connect(client, sess.server, sess.deadline_ms - now)
         else:
             self.clock.after(self.limits.sweep, self.stand, client, sess)
 
@@ -393,8 +395,8 @@
 
     def connect(self, client, server, time_out):
         client.dial = dial = Dialled(client, server, self, self.limits, self.clock)
-        if client.sess.dials:
-            client.sess.dials[-1].may_have_run = False  # until its line leaves
+        if client.sess.attempts:
+            client.sess.attempts[-1].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
         dial.start(
             self.carrier.connect(dial, dial.address), time_out, self.limits.connect
@@ -421,7 +423,7 @@
             now, dial.server, sess.mid_flow
         ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
-        sess.dials[-1].may_have_run = may
+        sess.attempts[-1].may_have_executed = may
         return may
 
     def dial_sent(self, dial):
@@ -429,7 +431,7 @@
 
     def dial_up(self, dial, line):
         client, sess, now = dial.client, dial.client.sess, self.now()
-        if sess in self.clients and now > sess.deadline + self.limits.answer_margin:
+        if sess in self.clients and now > sess.deadline_ms + self.limits.answer_margin:
             # This process stood still over the dial timeout, and what its server said waited to be read before the
             # alarm that was due: UP is not said any more.
             return self.late(client)
@@ -437,7 +439,7 @@
         client.serve(dial, line)
         self.heard(dial.server)
         if sess in self.clients:
-            sess.choices = None  # nobody else is to be tried
+            sess.candidates = None  # nobody else is to be tried
             self.balancer.on_accepted(now, sess)
         else:
             self.clients[sess] = client
@@ -463,7 +465,7 @@
         elif dial.up:
             self.over(sess, outcome.value)
             self.balancer.on_outcome(now, sess, outcome, True)
-        elif outcome is Outcome.COMPLETED:
+        elif outcome is AttemptOutcome.COMPLETED:
             # Served to its end before it was ever up: the client is told what its server said.
             self.answer(self.over(sess, outcome.value), b"BYE")
             self.balancer.on_outcome(now, sess, outcome, True)
@@ -482,17 +484,19 @@
 
     def dial(self, sess, server, time_out):
         client = self.clients[sess]
-        if len(sess.dials) > 1:
+        if len(sess.attempts) > 1:
             self.figures.count("further dials")
         if not self.spare(DIALS):
-            self.clock.soon(self.no_socket, sess, sess.dials[-1])
+            self.clock.soon(self.no_socket, sess, sess.attempts[-1])
         else:
             self.connect(client, server, time_out)
 
     def no_socket(self, sess, dial):
         """Of that very dial: another one may be out by now."""
-        if sess in self.clients and sess.dials[-1] is dial:
-            self.balancer.on_outcome(self.now(), sess, Outcome.CONNECT_FAILED, False)
+        if sess in self.clients and sess.attempts[-1] is dial:
+            self.balancer.on_outcome(
+                self.now(), sess, AttemptOutcome.CONNECT_FAILED, False
+            )
 
     def refuse(self, sess, come_back_after):
         self.answer(self.over(sess, "refused"), busy(come_back_after))
@@ -514,7 +518,7 @@
             self.clock.soon(self.moved, sess)
 
     def moved(self, sess):
-        self.balancer.on_outcome(self.now(), sess, Outcome.CANCELLED, True)
+        self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
     def alarm(self, name, at):
         self.clock.at(at, self.ring, name)
@@ -541,7 +545,7 @@
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
-        self.balancer.on_probed(self.now(), server, Outcome.FULL, None)
+        self.balancer.on_probed(self.now(), server, AttemptOutcome.AT_CAPACITY, None)
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
@@ -555,7 +559,7 @@
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
-            self.balancer.on_probed(self.now(), server, Outcome.RESET, None)
+            self.balancer.on_probed(self.now(), server, AttemptOutcome.RESET, None)
 
     def close_link(self):
         for link in list(self.links.values()):
@@ -568,6 +572,6 @@
 
     def probed(self, link, outcome, text):
         figures = report(text, self.node.report_fields)
-        if outcome is Outcome.COMPLETED:
+        if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
         self.balancer.on_probed(self.now(), link.server, outcome, figures)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -1,6 +1,6 @@
 """A client's connection: its first line, the wait for an answer, then lines in both directions."""
 
-from wheathill.model import Repeat
+from wheathill.model import Idempotency
 from wheathill.net.lines import END, Head, Malformed
 from wheathill.net.machine import Machine
 
@@ -98,7 +98,10 @@
     @property
     def repeats(self):
         """Its session may be sent again whatever became of it."""
-        return self.listener is not None and self.listener.repeat is Repeat.REPEATABLE
+        return (
+            self.listener is not None
+            and self.listener.idempotency is Idempotency.IDEMPOTENT
+        )
 
     def answered(self):
         """The server has sent a line back."""
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from wheathill.model import ListKind, Phase
+from wheathill.model import UpdateKind, Phase
 from wheathill.net.carried import Carried
 from wheathill.net.figures import Figures
 from wheathill.net.told import Told
@@ -70,7 +70,7 @@
         known, self.node = self.node.known, replace(self.node, known={})
         if known and not taken:
             self.listed(
-                known, ListKind.CACHED if self.node.discovery else ListKind.FULL
+                known, UpdateKind.CACHED if self.node.discovery else UpdateKind.SNAPSHOT
             )
         if taken or not self.node.discovery:
             self.first_list_over()
@@ -197,9 +197,9 @@
             "servers": len(self.balancer.roster.servers),
             "left_out": self.left_out(self.now()),
             "doubted": {
-                server.name: round(server.doubt, 2)
+                server.name: round(server.report_correction, 2)
                 for server in self.balancer.roster.servers
-                if server.doubt != 1.0
+                if server.report_correction != 1.0
             },
             "further_withheld": self.balancer.budget.withheld,
             **({"peers": self.peers.figures()} if self.peers else {}),
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -1,16 +1,16 @@
 """A server's side: the connection of one dial, and the link for probes."""
 
-from wheathill.model import Outcome
+from wheathill.model import AttemptOutcome
 from wheathill.net.lines import END, Malformed
 from wheathill.net.machine import Machine
 
 FIRST_WORDS = {
-    b"BUSY": Outcome.FULL,
-    b"ERR": Outcome.ERROR,
-    b"BYE": Outcome.COMPLETED,
-    b"MOVE": Outcome.CANCELLED,
+    b"BUSY": AttemptOutcome.AT_CAPACITY,
+    b"ERR": AttemptOutcome.ERROR,
+    b"BYE": AttemptOutcome.COMPLETED,
+    b"MOVE": AttemptOutcome.CANCELLED,
 }
-LAST_WORDS = {b"BYE": Outcome.COMPLETED, b"MOVE": Outcome.CANCELLED}
+LAST_WORDS = {b"BYE": AttemptOutcome.COMPLETED, b"MOVE": AttemptOutcome.CANCELLED}
 
 
 class Dialled(Machine):
@@ -26,14 +26,16 @@
         self.up = False
         self.over = False
         self.rest = b""  # of an unfinished line to the client
-        self.outcome = Outcome.RESET
+        self.outcome = AttemptOutcome.RESET
         self.address = None  # where it was dialled
         self.turned = False  # away, and waits whether the server says more
 
     def start(self, wire, time_out, connect):
         self.wire = wire
         self.until = self.started + time_out
-        self.set_timer(min(time_out, connect), self.give_up, Outcome.CONNECT_FAILED)
+        self.set_timer(
+            min(time_out, connect), self.give_up, AttemptOutcome.CONNECT_FAILED
+        )
 
     @property
     def held_back(self):
@@ -52,7 +54,7 @@
         left = self.until - self.clock.now()
         # With nothing left it would be sent in vain, and might have run.
         if left < 1.0 or not self.door.may_send(self):
-            return self.give_up(Outcome.CONNECT_FAILED)
+            return self.give_up(AttemptOutcome.CONNECT_FAILED)
         self.set_timer(left, self.overdue)
         self.wire.send(*self.client.head.parts(left))
         if self.wire.drained:
@@ -67,7 +69,9 @@
             self.door.dial_sent(self)
 
     def overdue(self):
-        self.give_up(Outcome.OVERDUE if self.sent else Outcome.CONNECT_FAILED)
+        self.give_up(
+            AttemptOutcome.TIMED_OUT if self.sent else AttemptOutcome.CONNECT_FAILED
+        )
 
     def give_up(self, outcome):
         """Closed before anyone is told: no other dial may go out while this one is."""
@@ -87,14 +91,14 @@
             return
         if self.turned:
             # It says more than BUSY: what was turned away may have run all the same.
-            return self.give_up(Outcome.ERROR)
+            return self.give_up(AttemptOutcome.ERROR)
         self.lines.feed(data)
         try:
             line = self.lines.next()
             while line is not None and line.startswith(b"LOAD "):
                 line = self.lines.next()
         except Malformed:
-            return self.give_up(Outcome.ERROR)
+            return self.give_up(AttemptOutcome.ERROR)
         if line is None:
             return
         word, _, rest = line.partition(b" ")
@@ -108,11 +112,11 @@
         self.door.reported(self.server, rest)
         if word not in FIRST_WORDS:
             self.door.odd_answer(self, line)
-        outcome = FIRST_WORDS.get(word, Outcome.ERROR)
-        if outcome is not Outcome.FULL:
+        outcome = FIRST_WORDS.get(word, AttemptOutcome.ERROR)
+        if outcome is not AttemptOutcome.AT_CAPACITY:
             self.give_up(outcome)
         elif self.lines.rest:
-            self.give_up(Outcome.ERROR)
+            self.give_up(AttemptOutcome.ERROR)
         elif not self.sent or self.client.repeats:
             self.give_up(outcome)
         else:
@@ -168,11 +172,11 @@
     def broken(self):
         """What it means that the connection is gone before UP."""
         return (
-            Outcome.FULL
+            AttemptOutcome.AT_CAPACITY
             if self.turned
-            else Outcome.RESET
+            else AttemptOutcome.RESET
             if self.sent
-            else Outcome.CONNECT_FAILED
+            else AttemptOutcome.CONNECT_FAILED
         )
 
     def close(self):
@@ -194,7 +198,7 @@
         self.wire.abort(reset=True)
         if self.up:
             self.client.wire.abort(reset=True)
-        self.tell_over(Outcome.ERROR)
+        self.tell_over(AttemptOutcome.ERROR)
 
 
 class ProbeLink(Machine):
@@ -209,7 +213,7 @@
 
     def ask(self, until):
         self.asked, self.until = True, until
-        self.set_timer(until - self.clock.now(), self.end, Outcome.OVERDUE)
+        self.set_timer(until - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT)
         if self.wire.open:
             self.wire.send(b"STATS", END)
 
@@ -221,21 +225,25 @@
         try:
             line = self.lines.next()
         except Malformed:
-            return self.end(Outcome.ERROR)
+            return self.end(AttemptOutcome.ERROR)
         if line is None:
             return
         word, _, rest = line.partition(b" ")
         if not self.asked or self.lines.rest or word != b"PONG":
-            return self.end(Outcome.FULL if word == b"BUSY" else Outcome.ERROR)
+            return self.end(
+                AttemptOutcome.AT_CAPACITY if word == b"BUSY" else AttemptOutcome.ERROR
+            )
         self.asked, self.used = False, True
         self.set_timer(0.8 * self.limits.idle, self.end, None)
-        self.door.probed(self, Outcome.COMPLETED, rest)
+        self.door.probed(self, AttemptOutcome.COMPLETED, rest)
 
     def ended(self):
-        self.gone(Outcome.RESET)
+        self.gone(AttemptOutcome.RESET)
 
     def lost(self, reset):
-        self.gone(Outcome.RESET if self.wire.reached else Outcome.CONNECT_FAILED)
+        self.gone(
+            AttemptOutcome.RESET if self.wire.reached else AttemptOutcome.CONNECT_FAILED
+        )
 
     def gone(self, outcome):
         """Servers close links that lie idle, also in the moment in which one is asked again: without a byte of an
@@ -248,7 +256,7 @@
             self.end(outcome)
 
     def fault(self):
-        self.end(Outcome.ERROR)
+        self.end(AttemptOutcome.ERROR)
 
     def end(self, outcome):
         asked, self.asked = self.asked, False
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
-from wheathill.model import ListKind, Outcome, Phase, Server
+from wheathill.model import UpdateKind, AttemptOutcome, Phase, Server
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
 
@@ -32,7 +32,7 @@
         self.log_event("reloaded", needs_restart=changed, **self.beliefs())
         if node.discovery is None:
             self.leave_watch()
-            self.listed(node.known, ListKind.FULL)
+            self.listed(node.known, UpdateKind.SNAPSHOT)
         elif node.discovery != old.discovery:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
             self.seen = 0
@@ -161,14 +161,14 @@
         self.clock.soon(self.followed)
 
     def followed(self):
-        self.balancer.on_list(self.now(), ListKind.CHANGES, [])
+        self.balancer.on_list(self.now(), UpdateKind.DELTA, [])
 
     def listed(self, found, kind=None):
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
             return self.log_event("bad input", what="a list without hosts")
-        kind = kind or (ListKind.FULL if found.get("whole") else ListKind.CHANGES)
+        kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
         version = found.get("seq") if isinstance(found.get("seq"), int) else None
         entries, moved, unread = [], [], 0
         for host in found["hosts"]:
@@ -180,7 +180,7 @@
                 entries += self.what_is_left(host)
         if unread and not entries:
             kind = (
-                ListKind.CHANGES
+                UpdateKind.DELTA
             )  # nothing of it could be read: it is no list of nobody
         before = dict(self.balancer.roster.servers)
         try:
@@ -194,15 +194,15 @@
         for server in moved:
             # Nothing is held against one that has another address now. Later: whoever waits for the answer is dialled.
             if server in self.links:
-                self.links[server].end(Outcome.FULL)
+                self.links[server].end(AttemptOutcome.AT_CAPACITY)
         self.forget_gone()
-        if kind is not ListKind.CACHED:
+        if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
                 self.log_event("watch back")
             self.watch_why = None
             self.first_list_over()
             self.get_ready()
-        if unread and kind is not ListKind.CACHED and self.watch:
+        if unread and kind is not UpdateKind.CACHED and self.watch:
             self.find_out(self.watch)
         elif version is not None and not self.gap and not unread:
             self.seen, self.gaps = version, 0
@@ -223,10 +223,10 @@
             self.names[server.name] = (
                 None if phase is Phase.READY else (version, started)
             )
-        if kind is ListKind.FULL:
+        if kind is UpdateKind.SNAPSHOT:
             for server in self.servers.values():
                 if server.phase is Phase.GONE and self.names.get(server.name) is None:
-                    self.names[server.name] = version, server.started
+                    self.names[server.name] = version, server.started_ms
 
     def forget_gone(self):
         """Names may be new with every release: those that left would add up. One that comes back is new."""
@@ -238,7 +238,7 @@
                 and not server.sessions
             ):
                 if server in self.links:
-                    self.links[server].end(Outcome.RESET)
+                    self.links[server].end(AttemptOutcome.RESET)
                 del self.servers[name]
                 self.addresses.pop(server, None)
                 if self.peers:
@@ -256,10 +256,14 @@
     def told_by_peers(self, server, phase, born):
         """Others were told of a drain, that it is over, or of a new start, which this proxy's list doesn't say."""
         started = self.clock.from_wall(born) if born else None
-        if server.listed is not phase or (server.started or 0.0) < (started or 0.0):
+        if server.listed_phase is not phase or (server.started_ms or 0.0) < (
+            started or 0.0
+        ):
             self.log_event("told by a peer", server=server.name, phase=phase.value)
             self.balancer.on_list(
-                self.now(), ListKind.BY_HAND, [(server, phase, server.weight, started)]
+                self.now(),
+                UpdateKind.MAINTENANCE,
+                [(server, phase, server.weight, started)],
             )
 
     def entry(self, host, version, moved):
@@ -295,7 +299,7 @@
             # come back by an older one, unless it has started since.
             self.log_event("older list", server=name, version=version, newer=left)
             phase, started = (
-                server.listed if name in self.servers else Phase.GONE,
+                server.listed_phase if name in self.servers else Phase.GONE,
                 since,
             )
         if where is not None:
@@ -321,8 +325,8 @@
         return [
             (
                 server,
-                PHASES[phase] if leaves else server.listed,
+                PHASES[phase] if leaves else server.listed_phase,
                 server.weight,
-                server.started,
+                server.started_ms,
             )
         ]
--- a/wheathill/peers/instance.py
+++ b/wheathill/peers/instance.py
@@ -289,15 +289,15 @@
         """server -> (BAD or WELL, when), the last that this proxy has seen of each itself."""
         found = {}
         for name, server in self.proxy.servers.items():
-            seen = [(server.heard, WELL)]
-            if server.samples:
-                seen.append((server.samples[-1][0], WELL))
-            if server.results:
+            seen = [(server.last_received_ms, WELL)]
+            if server.load_samples:
+                seen.append((server.load_samples[-1][0], WELL))
+            if server.recent_results:
                 seen.append(
-                    (server.results[-1][0], WELL if server.results[-1][1] else BAD)
+                    (server.recent_results[-1][0], WELL if server.recent_results[-1][1] else BAD)
                 )
-            if server.silent >= 2:
-                seen.append((server.asked, BAD))
+            if server.unanswered_probes >= 2:
+                seen.append((server.last_probe_ms, BAD))
             when, how = max(seen)
             if now - when < self.FRESH:
                 found[name] = how, when
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -2,7 +2,7 @@
 
 import math
 
-from wheathill.model import Outcome
+from wheathill.model import AttemptOutcome
 from wheathill.policy.retry_rules import may_reject
 from wheathill.policy.stage import Stage
 
@@ -43,7 +43,7 @@
 
     def enter(self, now, sess):
         full = len(self.under_way) >= max(1.0, self.window) or now < self.next_at
-        if sess.deadline <= now or not sess.mid_flow and full:
+        if sess.deadline_ms <= now or not sess.mid_flow and full:
             return self.back(now, sess, None)
         self.under_way[sess] = None
         self.space(now)
@@ -71,11 +71,11 @@
 
     def back(self, now, sess, outcome):
         self.under_way.pop(sess, None)
-        if outcome in (Outcome.ERROR, Outcome.OVERDUE):
+        if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMED_OUT):
             self.failed(now)
-        sess.ended = True
+        sess.has_ended = True
         if may_reject(sess):
-            wait = max(sess.listener.handshake_target, self.next_at - now)
+            wait = max(sess.listener.handshake_target_ms, self.next_at - now)
             self.actions.refuse(sess, min(self.longest_wait, wait))
         else:
             self.actions.tear_down(sess)
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -1,6 +1,6 @@
 """Makes the attempts of a session, one at a time, and judges how each ended."""
 
-from wheathill.model import Dial, Outcome
+from wheathill.model import Attempt, AttemptOutcome
 from wheathill.policy.stage import Stage
 
 
@@ -20,29 +20,33 @@
         if not self.budget.allows(now, sess):
             return self.before.back(now, sess, None)
         self.budget.dialled(now, sess)
-        sess.dials.append(Dial(sess.server, now))
+        sess.attempts.append(Attempt(sess.server, now))
         self.cold.dialled(now, sess.server)
-        left = sess.deadline - now
+        left = sess.deadline_ms - now
         # A silent server must not hold a session until its client gives up, and a slow shared
         # store must not be asked twice: most of the time goes to the first dial, not all of it.
         # One that has just answered a probe is not silent.
         alive = self.levels.age(now, sess.server) < self.alive
         self.actions.dial(
-            sess, sess.server, left if alive or len(sess.dials) > 1 else left * 0.6
+            sess, sess.server, left if alive or len(sess.attempts) > 1 else left * 0.6
         )
 
     def accepted(self, now, sess):
         self.before.accepted(now, sess)
-        sess.accepted = now
+        sess.accepted_ms = now
         sess.server.sessions[sess] = None
         self.table.accepted(now, sess)
         self.health.dialled(now, sess.server, True)
 
     def back(self, now, sess, outcome):
-        dial = sess.dials[-1]
-        dial.may_have_run = not outcome.never_ran
-        if outcome is Outcome.NEVER_SENT:
+        dial = sess.attempts[-1]
+        dial.may_have_executed = not outcome.never_executed
+        if outcome is AttemptOutcome.NEVER_SENT:
             self.budget.never_sent(sess)
-        if outcome in (Outcome.ERROR, Outcome.CONNECT_FAILED, Outcome.OVERDUE):
+        if outcome in (
+            AttemptOutcome.ERROR,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.TIMED_OUT,
+        ):
             self.health.dialled(now, dial.server, False)
         self.before.back(now, sess, outcome)
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -2,7 +2,7 @@
 
 One `Balancer` decides for one proxy. Whoever carries the sessions calls its `on_*` methods,
 one for each thing that happened, with the time in milliseconds first; it answers by calling the
-`Actions` of `wheathill/model.py`, where its interface (Server, Session, Listener, Outcome) is
+`Actions` of `wheathill/model.py`, where its interface (Server, Session, Listener, AttemptOutcome) is
 defined. Nothing here reads a clock, a file or a socket, and no name is ever looked at: a
 server's name is only hashed. The mechanism is that of docs/design.md: a slot table after INCAB
 (arXiv paper "In-network Congestion-aware Load Balancing at Transport Layer").
@@ -12,7 +12,14 @@
 from collections import deque
 from itertools import chain
 
-from wheathill.model import LIST_CALL, LIST_LONGEST, Dial, ListKind, Outcome, Phase
+from wheathill.model import (
+    LIST_CALL_MS,
+    LIST_POLL_MAX_MS,
+    Attempt,
+    UpdateKind,
+    AttemptOutcome,
+    Phase,
+)
 from wheathill.policy.admission import AdmissionControl
 from wheathill.policy.attempts import AttemptRunner
 from wheathill.policy.endpoint_list import EndpointList
@@ -90,11 +97,11 @@
             late_for=1.5 * self.TICK,
             tells_late=tells_late,
         )
-        self.longest_spread = min(ask_every / 2, LIST_LONGEST)
+        self.longest_spread = min(ask_every / 2, LIST_POLL_MAX_MS)
         self.roster = EndpointList(
             actions,
             must_ask,
-            min(self.longest_spread, proxies * LIST_CALL),
+            min(self.longest_spread, proxies * LIST_CALL_MS),
             drain_grace,
             sized,
             rng.uniform,
@@ -185,7 +192,7 @@
         self.table.update(now, joined, dict.fromkeys(left), self.roster.servers)
         for server in joined:
             # In unlike order at each proxy, or all would probe the same servers first.
-            server.asked = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
+            server.last_probe_ms = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
         for what, servers in (("joined", joined), ("left", left)):
             if servers:
                 self.actions.log(
@@ -203,21 +210,21 @@
         if server is not None and (server.phase is Phase.READY) is out:
             self.on_list(
                 now,
-                ListKind.BY_HAND,
-                [(server, server.listed, server.weight, server.started)],
+                UpdateKind.MAINTENANCE,
+                [(server, server.listed_phase, server.weight, server.started_ms)],
             )
 
     def on_fleet(self, now, share):
         """This proxy's part of what all may do together, as far as it knows who is there."""
         self.levels.take_share(share)
-        self.roster.spread = min(self.longest_spread, LIST_CALL / max(share, 1e-6))
+        self.roster.spread = min(self.longest_spread, LIST_CALL_MS / max(share, 1e-6))
 
     def on_witnesses(self, now, failing, here):
         """Other proxies' sight: `failing` ones fail for them all and are tried by one session at a time, like
         those that failed here; of those that fail `here` alone the way is to blame, and nothing shared."""
         for server in failing:
             if not self.health.ill(now, server):
-                server.results.extend([(now, False)] * 2)
+                server.recent_results.extend([(now, False)] * 2)
         self.health.dials = deque(
             (dial for dial in self.health.dials if dial[1] not in here),
             maxlen=self.health.dials.maxlen,
@@ -227,21 +234,21 @@
         # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
         # connections pay: a proxy that takes over from another knows little of what it is handed.
         self.budget.took(now)
-        if sess.mid_flow or not (sess.repeat or sess.returning):
+        if sess.mid_flow or not (sess.is_client_retry or sess.returning):
             self.probes.session(self.roster.servers)
         self.first.enter(now, sess)
 
     def on_open_session(self, now, sess, server):
         sess.slot = self.table.slot(sess)
         sess.server = server
-        sess.dials.append(Dial(server, now))
+        sess.attempts.append(Attempt(server, now))
         self.dialling.accepted(now, sess)
 
     def on_carried(self, now, sess, server):
         """A session that another process of this proxy set up."""
         sess.slot = self.table.slot(sess)
         sess.server = server
-        sess.dials.append(Dial(server, sess.accepted))
+        sess.attempts.append(Attempt(server, sess.accepted_ms))
         server.sessions[sess] = None
         self.table.accepted(now, sess)
 
@@ -250,19 +257,19 @@
 
     def on_outcome(self, now, sess, outcome, closed):
         self.forget(sess)
-        if outcome is Outcome.RESET and sess.accepted is not None:
-            self.health.broke(now, sess.server, sess.accepted)
-            if now - sess.accepted < self.EARLY:
+        if outcome is AttemptOutcome.RESET and sess.accepted_ms is not None:
+            self.health.broke(now, sess.server, sess.accepted_ms)
+            if now - sess.accepted_ms < self.EARLY:
                 self.first.failed(now)
-        if closed or sess.ended:
+        if closed or sess.has_ended:
             self.on_hang_up(now, sess)
         else:
-            if outcome is Outcome.CONNECT_FAILED:
+            if outcome is AttemptOutcome.CONNECT_FAILED:
                 self.second_witness(now, sess.server)
             self.dialling.back(now, sess, outcome)
 
     def on_hang_up(self, now, sess):
-        sess.ended = True
+        sess.has_ended = True
         self.first.under_way.pop(sess, None)
         self.forget(sess)
 
@@ -276,34 +283,36 @@
             sess.load = load
         if (
             message_ms is not None
-            and message_ms > sess.listener.message_target
+            and message_ms > sess.listener.message_target_ms
             and sess.server
         ):
             # Where the way alone takes so long the server is not to blame.
-            far = self.ways.slow(now, sess.server, sess.listener.message_target)
+            far = self.ways.slow(now, sess.server, sess.listener.message_target_ms)
             self.levels.told_late(
                 now,
                 sess.server,
-                0.0 if far else message_ms / sess.listener.message_target,
+                0.0 if far else message_ms / sess.listener.message_target_ms,
             )
 
     def on_probed(self, now, server, outcome, report):
-        sent, server.probed = server.probed, None
-        if outcome is Outcome.COMPLETED:
+        sent, server.probe_sent_ms = server.probe_sent_ms, None
+        if outcome is AttemptOutcome.COMPLETED:
             if sent is not None:
                 self.ways.took(now, server, now - sent)
-            server.silent = 0
+            server.unanswered_probes = 0
             self.levels.sample(now, server, report)
-        elif outcome is not Outcome.FULL:
+        elif outcome is not AttemptOutcome.AT_CAPACITY:
             # One that has too many probes to answer is not a silent one.
-            server.silent += 1
+            server.unanswered_probes += 1
             self.second_witness(now, server)
         self.placement.answered(
-            now, server, outcome in (Outcome.COMPLETED, Outcome.FULL)
+            now,
+            server,
+            outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY),
         )
 
     def second_witness(self, now, server):
-        if server.doubted:
+        if server.is_removal_unconfirmed:
             left = {}
             self.roster.lose(now, server, Phase.GONE, left)
             self.roster.keep_ready()
@@ -319,16 +328,19 @@
         server = sess.server
         if waited >= self.SILENCE:
             self.actions.move(sess)
-        elif now - server.heard >= self.QUIET and server.unheard not in (None, sess):
-            server.silent = 2 if self.probes.allowed else 0
+        elif (
+            now - server.last_received_ms >= self.QUIET
+            and server.unanswered_session not in (None, sess)
+        ):
+            server.unanswered_probes = 2 if self.probes.allowed else 0
             self.actions.log(
                 f"move: {len(server.sessions)} connections off a server that says nothing"
             )
             self.send_away(list(server.sessions), 1)
-        server.unheard = sess
+        server.unanswered_session = sess
 
     def on_heard(self, now, server):
-        server.heard, server.unheard = now, None
+        server.last_received_ms, server.unanswered_session = now, None
 
     def on_stop(self, now, last):
         """Asked again and again until the end, so that those accepted meanwhile are sent away as well. Where
@@ -387,7 +399,8 @@
         ]:
             # In three ticks: servers were seen to end 3.2 s after this proxy was told.
             self.send_away(
-                list(server.sessions), max(1, 3 - int((now - server.told) / self.TICK))
+                list(server.sessions),
+                max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
             )
         due = self.probes.due(
             now, self.roster.servers, self.levels.figures(now, self.roster.servers)
@@ -416,7 +429,10 @@
         ]
         for server in dict.fromkeys(chain(loads, late)):
             load = loads.get(server, 1.0)
-            if load < (self.MOVE_FROM if room else 1.0) or now < server.move_after:
+            if (
+                load < (self.MOVE_FROM if room else 1.0)
+                or now < server.next_migration_ms
+            ):
                 continue
             excess = 1 - (0.75 if room else 1.0) * full / load
             # By chance in proportion: rounded up by hundreds of proxies that hold one each, all would go.
@@ -431,7 +447,7 @@
             )[:count]:
                 self.actions.move(sess)
             if count:
-                server.move_after = now + 2 * self.TICK
+                server.next_migration_ms = now + 2 * self.TICK
                 self.actions.log(
                     f"move: {count} connections off a server at {load:.1f} of its capacity"
                 )
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -2,7 +2,7 @@
 
 import math
 
-from wheathill.model import LIST_LONGEST, ListKind, Phase
+from wheathill.model import LIST_POLL_MAX_MS, UpdateKind, Phase
 
 
 class EndpointList:
@@ -36,21 +36,22 @@
 
     def update(self, now, kind, entries):
         """Entries are (server, phase, weight, started). Returns (joined, left)."""
-        if kind is ListKind.FAILED:
+        if kind is UpdateKind.FAILED:
             # Every proxy meets the failure at once; asking again together would keep the list
             # service down, so the wait doubles and is spread.
             self.following, self.asked, self.failures = False, None, self.failures + 1
             wait = min(
-                LIST_LONGEST, max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5)
+                LIST_POLL_MAX_MS,
+                max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5),
             )
             self.actions.alarm("follow", now + wait * self.uniform(0.5, 1.0))
             return [], []
-        if kind in (ListKind.CHANGES, ListKind.FULL) and self.asked is not None:
+        if kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT) and self.asked is not None:
             self.following, self.asked, self.failures = True, None, 0
         joined, left, listed = {}, {}, {}
         for server, phase, weight, started in entries:
             listed[server] = None
-            server.listed, server.doubted = phase, False
+            server.listed_phase, server.is_removal_unconfirmed = phase, False
             if phase is Phase.READY and server.name in self.out:
                 phase = Phase.DRAINING
             since, until = self.back.get(server.name, (-math.inf, None))
@@ -63,30 +64,34 @@
                 started = until  # that it was restarted meanwhile may not be told yet
             restarted = started is not None and (
                 server in self.servers
-                if server.started is None
-                else started > server.started
+                if server.started_ms is None
+                else started > server.started_ms
             )
             # Only a registered size is the same at every proxy; a live weight would tear tables apart.
             server.weight = weight if self.sized and weight and weight > 0 else 1.0
-            server.started = started
+            server.started_ms = started
             if phase is Phase.READY:
                 if server not in self.servers or restarted:
                     joined[server] = None
                     # A new process knows nothing of what the old one was judged by.
                     for known in (
-                        server.samples,
-                        server.took,
-                        server.results,
-                        server.dialled,
+                        server.load_samples,
+                        server.probe_latencies,
+                        server.recent_results,
+                        server.attempt_times_ms,
                     ):
                         known.clear()
-                    server.silent, server.probed, server.doubt = 0, None, 1.0
+                    (
+                        server.unanswered_probes,
+                        server.probe_sent_ms,
+                        server.report_correction,
+                    ) = 0, None, 1.0
                 server.phase = Phase.READY
             elif server.phase is Phase.READY or server in self.servers:
                 self.miss(now, server, phase, left)
             else:
                 server.phase = phase
-        if kind not in (ListKind.CHANGES, ListKind.BY_HAND):
+        if kind not in (UpdateKind.DELTA, UpdateKind.MAINTENANCE):
             for server in [server for server in self.servers if server not in listed]:
                 self.miss(now, server, Phase.GONE, left)
         self.servers.update(joined)
@@ -104,14 +109,14 @@
         """Where only draining binds, a list without a server is one witness: it leaves when it also gives no
         answer. One that was seen draining is never ready here, so no silence of a list brings it back."""
         if phase is Phase.GONE and not self.gone_binds:
-            server.doubted = True
+            server.is_removal_unconfirmed = True
         else:
             self.lose(now, server, phase, left)
 
     @staticmethod
     def lose(now, server, phase, left):
         server.phase = phase
-        server.told = now
+        server.leaving_since_ms = now
         left[server] = None
 
     def may_dial(self, now, server, mid_flow):
@@ -121,5 +126,5 @@
         return (
             mid_flow
             and server.phase is Phase.DRAINING
-            and now < server.told + self.drain_grace / 2
+            and now < server.leaving_since_ms + self.drain_grace / 2
         )
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -41,19 +41,19 @@
             if (
                 figure := report[self.names.index(self.source)]
             ) is not None and 0 <= figure < math.inf:
-                server.samples.append((now, figure))
+                server.load_samples.append((now, figure))
 
     def figure(self, now, server):
         # Smoothed over two that lie close together: an older one says how it was before the rush.
         samples = (
-            server.samples
+            server.load_samples
         )  # two at most: asked for of dozens of servers a session
         if not samples or samples[-1][0] <= now - self.fresh:
             return None
         (earlier, first), (when, last) = samples[0], samples[-1]
         return (
             (first + last) / 2 if earlier > when - self.together else last
-        ) * server.doubt
+        ) * server.report_correction
 
     def figures(self, now, servers):
         """Of those that have one: with hundreds of proxies each sees few servers at a time."""
@@ -72,7 +72,7 @@
             if self.of_capacity and self.age(now, server) < self.together
         ]
         loads = [
-            load / min(1.0, server.doubt)
+            load / min(1.0, server.report_correction)
             for server, load in self.figures(now, fresh).items()
         ]
         held = sum(len(server.sessions) for server in warm) / max(1, len(warm))
@@ -106,8 +106,8 @@
         figure = self.figure(now, server) if self.of_capacity else None
         if figure is None:
             return 0.0
-        since = server.samples[-1][0] - self.late
-        return figure + sum(when > since for when in server.dialled) / max(
+        since = server.load_samples[-1][0] - self.late
+        return figure + sum(when > since for when in server.attempt_times_ms) / max(
             self.floor, self.bearable
         )
 
@@ -115,47 +115,48 @@
         """Evidence before belief: where messages miss their target a server is near full at least, whatever
         it reports; so late as `times` the target, and again within 3 s. Each second without such a notice
         takes a part of the doubt back, more where connections of this proxy stand there to tell."""
-        again = now - server.late < 2 * self.late_for
-        server.late = now
+        again = now - server.last_late_message_ms < 2 * self.late_for
+        server.last_late_message_ms = now
         figure = self.figure(now, server) if self.of_capacity else None
         if figure and times and again:
-            server.doubt = min(
-                8.0, server.doubt * max(1.0, 0.95 * min(1.0, times) / figure)
+            server.report_correction = min(
+                8.0,
+                server.report_correction * max(1.0, 0.95 * min(1.0, times) / figure),
             )
 
     def believe(self, now, servers):
         """Also the other way: one that says it is past its capacity while this proxy's connections there
         hear nothing late says too much. Where late ones are not told, nothing speaks against it."""
         for server in servers:
-            if server.doubt > 1.0 and not self.late_now(now, server):
-                server.doubt = max(
-                    1.0, server.doubt * (0.85 if server.sessions else 0.93)
+            if server.report_correction > 1.0 and not self.late_now(now, server):
+                server.report_correction = max(
+                    1.0, server.report_correction * (0.85 if server.sessions else 0.93)
                 )
             elif (
                 self.tells_late
-                and now - server.late > self.fresh
-                and server.doubt <= 1.0
+                and now - server.last_late_message_ms > self.fresh
+                and server.report_correction <= 1.0
             ):
                 first = next(iter(server.sessions), None)
-                over = (self.figure(now, server) or 0.0) >= server.doubt
+                over = (self.figure(now, server) or 0.0) >= server.report_correction
                 if (
                     not over
                     or first
-                    and first.accepted is not None
-                    and now - first.accepted > self.fresh
+                    and first.accepted_ms is not None
+                    and now - first.accepted_ms > self.fresh
                 ):
-                    server.doubt = (
-                        max(0.5, server.doubt * 0.9)
+                    server.report_correction = (
+                        max(0.5, server.report_correction * 0.9)
                         if over
-                        else min(1.0, server.doubt * 1.01)
+                        else min(1.0, server.report_correction * 1.01)
                     )
 
     def late_now(self, now, server):
         """Told, free of any probe, that messages there miss their target: it is full, by how much unknown."""
-        return now - server.late < self.late_for
+        return now - server.last_late_message_ms < self.late_for
 
     def age(self, now, server):
-        return now - server.samples[-1][0] if server.samples else math.inf
+        return now - server.load_samples[-1][0] if server.load_samples else math.inf
 
     def level(self, figure):
         return 0 if figure < self.base else 1 + int(math.log2(figure / self.base))
--- a/wheathill/policy/outlier_detection.py
+++ b/wheathill/policy/outlier_detection.py
@@ -14,12 +14,12 @@
 
     def dialled(self, now, server, well):
         self.dials.append((now, server, well))
-        server.results.append((now, well))
+        server.recent_results.append((now, well))
 
     def broke(self, now, server, accepted):
         """A session was reset that had been set up. If its set-up is among the last few, that is what failed, and
         no other one: all sessions of a server that dies are reset at once, and are one server's trouble."""
-        server.results.append((now, False))
+        server.recent_results.append((now, False))
         if (accepted, server, True) in self.dials:
             self.dials[self.dials.index((accepted, server, True))] = (
                 accepted,
@@ -28,13 +28,15 @@
             )
 
     def silent(self, server):
-        return server.silent >= 2
+        return server.unanswered_probes >= 2
 
     def failing(self, now, server):
         """No fixed time stands for its return: one session at a time tries it, and until that one has stood
         a while nothing else goes there; each failure among the last few doubles the wait for the next try."""
         recent = [
-            (when, well) for when, well in server.results if when > now - self.memory
+            (when, well)
+            for when, well in server.recent_results
+            if when > now - self.memory
         ]
         bad = [when for when, well in recent if not well]
         if len(bad) < 2 or 3 * len(bad) < len(recent):
@@ -42,7 +44,10 @@
         tries = [when for when, well in recent if well and when > bad[-1]]
         if tries:
             return now - tries[0] < self.stood
-        trial = server.dialled and bad[-1] < server.dialled[-1] > now - self.pause * 2
+        trial = (
+            server.attempt_times_ms
+            and bad[-1] < server.attempt_times_ms[-1] > now - self.pause * 2
+        )
         # What breaks together failed once.
         failed = 1 + sum(
             later - earlier > self.pause for earlier, later in zip(bad, bad[1:])
--- a/wheathill/policy/path_latency.py
+++ b/wheathill/policy/path_latency.py
@@ -16,11 +16,11 @@
         self.zones = {}  # zone -> the last few (when, ms) of its servers
 
     def took(self, now, server, ms):
-        server.took.append((now, ms))
+        server.probe_latencies.append((now, ms))
         self.zones.setdefault(server.zone, deque(maxlen=8)).append((now, ms))
 
     def slow(self, now, server, target):
-        took, since = server.took, now - self.fresh
+        took, since = server.probe_latencies, now - self.fresh
         if took and took[-1][0] > since:
             return took[-1][1] > target and (took[0][1] > target or took[0][0] <= since)
         alike = [ms for when, ms in self.zones.get(server.zone, ()) if when > since]
--- a/wheathill/policy/probing.py
+++ b/wheathill/policy/probing.py
@@ -15,8 +15,8 @@
         self.earned = min(self.earned + self.a_session, float(len(servers)))
 
     def send(self, now, server):
-        if server.probed is None:
-            server.probed = server.asked = now
+        if server.probe_sent_ms is None:
+            server.probe_sent_ms = server.last_probe_ms = now
             self.earned -= 1.0
             self.actions.probe(server)
 
@@ -32,8 +32,8 @@
         due = [
             server
             for server in servers
-            if server.probed is None and now - server.asked >= self.every
-        ]
-        return sorted(due, key=lambda server: (server not in near, server.asked))[
-            : int(self.earned)
+            if server.probe_sent_ms is None and now - server.last_probe_ms >= self.every
         ]
+        return sorted(
+            due, key=lambda server: (server not in near, server.last_probe_ms)
+        )[: int(self.earned)]
--- a/wheathill/policy/retry_budget.py
+++ b/wheathill/policy/retry_budget.py
@@ -18,7 +18,7 @@
         self.withheld = 0
 
     def wanted(self, now, sess):
-        self.asked.append((now, sess.listener.utility))
+        self.asked.append((now, sess.listener.priority_weight))
         return self.allows(now, sess)
 
     def took(self, now):
@@ -34,10 +34,10 @@
                 kept.popleft()
 
     def allows(self, now, sess):
-        if not self.span or not sess.dials:
+        if not self.span or not sess.attempts:
             return True
         self.forget(now)
-        utility = sess.listener.utility
+        utility = sess.listener.priority_weight
         dearer = [
             sum(other > utility for _, other in kept)
             for kept in (self.asked, self.spent)
@@ -52,10 +52,10 @@
         return room >= 1.0
 
     def dialled(self, now, sess):
-        if sess.dials:
-            self.spent.append((now, sess.listener.utility))
+        if sess.attempts:
+            self.spent.append((now, sess.listener.priority_weight))
 
     def never_sent(self, sess):
-        mark = (sess.dials[-1].sent, sess.listener.utility)
-        if len(sess.dials) > 1 and mark in self.spent:
+        mark = (sess.attempts[-1].sent_ms, sess.listener.priority_weight)
+        if len(sess.attempts) > 1 and mark in self.spent:
             self.spent.remove(mark)
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -2,7 +2,7 @@
 
 from itertools import chain
 
-from wheathill.model import Outcome
+from wheathill.model import AttemptOutcome
 from wheathill.policy.retry_rules import may_retry
 from wheathill.policy.stage import Stage
 
@@ -59,7 +59,7 @@
                 and self.cold.allows(now, server)
             ):
                 return self.dial(now, sess, server)
-        sess.choices = self.choices(now, sess)
+        sess.candidates = self.choices(now, sess)
         self.go(now, sess)
 
     def choices(self, now, sess):
@@ -67,7 +67,7 @@
         those of the slots after its own. They act only for ill, tried and leaving servers, for cold ones
         past their budget, and for overdriven ones: halving comes too late for those."""
         first = self.table.place(now, sess.key, sess.slot)
-        seen = {dial.server: None for dial in sess.dials}
+        seen = {dial.server: None for dial in sess.attempts}
         holding = list(self.table.holders.get(sess.group, ()))
         for server in chain((first,), holding, self.table.others(sess.slot)):
             if server is not None and server not in seen:
@@ -77,28 +77,33 @@
     def go(self, now, sess, asked=None):
         """With no server left the session is refused: past that load messages are late, so one more
         costs those placed more than it gains."""
-        for server in sess.choices if asked is None else chain((asked,), sess.choices):
+        for server in (
+            sess.candidates if asked is None else chain((asked,), sess.candidates)
+        ):
             if not self.usable(now, sess, server):
                 continue
-            slow = self.ways.slow(now, server, sess.listener.message_target)
+            slow = self.ways.slow(now, server, sess.listener.message_target_ms)
             if self.health.ill(now, server):
                 # When most look ill the cause is shared, and crowding the rest would not cure it.
-                if sess.spare is None and not self.health.silent(server):
-                    sess.spare = server
+                if sess.unhealthy_candidate is None and not self.health.silent(server):
+                    sess.unhealthy_candidate = server
                 continue
-            sess.home = sess.home or (None if slow else server)
-            sess.place += not slow and server is not asked
+            sess.preferred_server = sess.preferred_server or (None if slow else server)
+            sess.candidates_passed += not slow and server is not asked
             if server is not asked and not slow and self.should_ask(now, sess, server):
                 return self.ask(now, sess, server)
             if not self.has_room(now, sess, server):
-                sess.met_full = True
+                sess.met_full_server = True
             elif not slow:
                 return self.dial(now, sess, server)
-            elif sess.far is None:
-                sess.far = server
-        for server in (sess.far, None if sess.met_full else sess.spare):
+            elif sess.distant_candidate is None:
+                sess.distant_candidate = server
+        for server in (
+            sess.distant_candidate,
+            None if sess.met_full_server else sess.unhealthy_candidate,
+        ):
             if server is not None and self.usable(now, sess, server):
-                sess.far = sess.spare = None
+                sess.distant_candidate = sess.unhealthy_candidate = None
                 return self.dial(now, sess, server)
         self.before.back(now, sess, None)
 
@@ -108,7 +113,7 @@
         so what the others sent meanwhile would be met blindly; a server that went silent shows as well.
         Not with little time left, and only a few a session: with none left, unknown ones are dialled."""
         if (
-            sess.asked >= self.most_asked
+            sess.probes_requested >= self.most_asked
             or not self.probes.allowed
             or not self.levels.of_capacity
         ):
@@ -119,15 +124,15 @@
             age > self.recent
             and not self.levels.late_now(now, server)
             and (age > 4 * self.recent or self.has_room(now, sess, server))
-            and sess.deadline - now > sess.listener.dial_timeout / 2
+            and sess.deadline_ms - now > sess.listener.dial_timeout_ms / 2
         )
 
     def ask(self, now, sess, server):
-        sess.asked += 1
+        sess.probes_requested += 1
         self.waiting.setdefault(server, {})[sess] = None
         self.waits += 1
         self.patience[self.waits] = sess, server
-        patience = min(sess.listener.handshake_target, sess.deadline - now) / 4
+        patience = min(sess.listener.handshake_target_ms, sess.deadline_ms - now) / 4
         self.actions.alarm(f"wait {self.waits}", now + patience)
         self.probes.send(now, server)
 
@@ -141,10 +146,10 @@
             self.resume(now, sess, server, False)
 
     def resume(self, now, sess, server, well):
-        if sess.ended:
+        if sess.has_ended:
             return
-        if not well and sess.spare is None:
-            sess.spare = server
+        if not well and sess.unhealthy_candidate is None:
+            sess.unhealthy_candidate = server
         self.go(now, sess, server if well else None)
 
     def usable(self, now, sess, server):
@@ -161,12 +166,12 @@
         part = (
             1.0
             if sess.group is None or server in holders
-            else max(0.45, 0.85 - 0.07 * (sess.place - 1))
+            else max(0.45, 0.85 - 0.07 * (sess.candidates_passed - 1))
         )
         # Of whom nothing is told after others were full, the same is to be expected: dialled unseen they took
         # what no other had room for, and each new holder of a group added its cost to a full fleet.
         known = (
-            server is sess.home
+            server is sess.preferred_server
             or not self.probes.allowed
             or not self.levels.of_capacity
             or self.levels.figure(now, server) is not None
@@ -182,16 +187,17 @@
         self.next.enter(now, sess)
 
     def back(self, now, sess, outcome):
-        sensible = outcome is Outcome.CONNECT_FAILED or not self.health.shared_trouble(
-            now
+        sensible = (
+            outcome is AttemptOutcome.CONNECT_FAILED
+            or not self.health.shared_trouble(now)
         )
         possible = (
-            len(sess.dials) < self.most_dials
-            and sess.deadline > now
-            and outcome not in (None, Outcome.CANCELLED)
+            len(sess.attempts) < self.most_dials
+            and sess.deadline_ms > now
+            and outcome not in (None, AttemptOutcome.CANCELLED)
         )
         if sensible and possible and self.budget.wanted(now, sess):
-            sess.choices = sess.choices or self.choices(now, sess)
+            sess.candidates = sess.candidates or self.choices(now, sess)
             self.go(now, sess)
         else:
             self.before.back(now, sess, outcome)
--- a/wheathill/policy/slot_table.py
+++ b/wheathill/policy/slot_table.py
@@ -107,8 +107,10 @@
     def weigh(self, server):
         """What a server's hash counts for: its registered size. Exception: where crossing to another zone
         has a price, servers of the own zone weigh more; all proxies of a zone still fill alike."""
-        server.draws = server.draws or slot_draws(server.name, 16)
-        server.pull = server.weight * (self.near if server.zone == self.zone else 1.0)
+        server.hash_draws = server.hash_draws or slot_draws(server.name, 16)
+        server.effective_weight = server.weight * (
+            self.near if server.zone == self.zone else 1.0
+        )
 
     def others(self, slot):
         """Whom the slots after this one lead to, for where its own server will not do. Every proxy finds the
@@ -133,9 +135,9 @@
                 )
             )
             for server, pull in pulls.items():
-                if len(server.draws) < 3 * upto:
-                    server.draws = slot_draws(server.name, upto)
-                draws = server.draws
+                if len(server.hash_draws) < 3 * upto:
+                    server.hash_draws = slot_draws(server.name, upto)
+                draws = server.hash_draws
                 for k, slot in enumerate(draws[3 * at : 3 * upto : 3], at):
                     if k / pull < when[slot & mask]:
                         claimed = (
@@ -147,7 +149,10 @@
 
     def settle(self, slots, servers):
         self.claim(
-            slots, self.lowest, self.home, {server: server.pull for server in servers}
+            slots,
+            self.lowest,
+            self.home,
+            {server: server.effective_weight for server in servers},
         )
 
     def stand(self, servers, slots, opened, known):
@@ -210,7 +215,7 @@
         tops = [
             server
             for server, level in levels.items()
-            if level == top and server.shift_after <= now
+            if level == top and server.next_shift_ms <= now
         ]
         lower = [
             server for server, level in levels.items() if level < top and usable(server)
@@ -227,7 +232,7 @@
         count = min(len(free) // 2, len(free) - self.least, room)
         if count <= 0:
             return None
-        server.shift_after = now + wait
+        server.next_shift_ms = now + wait
         # Which slots go, and where to, is settled by hash, so that proxies which see the same levels
         # shift alike and a connection that arrives mid-flow at another proxy still finds its server.
         free.sort(key=lambda slot: (self.home[slot] is server, -self.lowest[slot]))
@@ -238,7 +243,10 @@
             free[:count],
             when,
             whom,
-            {other: other.pull * 2.0 ** (top - levels[other]) for other in lower},
+            {
+                other: other.effective_weight * 2.0 ** (top - levels[other])
+                for other in lower
+            },
         )
         for slot in free[:count]:
             self.redirect(now, slot, whom[slot])
--- a/wheathill/policy/slow_start.py
+++ b/wheathill/policy/slow_start.py
@@ -26,16 +26,16 @@
         self.rights = None  # where proxies know each other: (server, dials for each borne) -> own dials
 
     def cold(self, now, server):
-        return server.started is not None and now < server.started + self.cold_for
+        return server.started_ms is not None and now < server.started_ms + self.cold_for
 
     def turn(self, now, server):
         """Between 0 and 1, anew each window, which no two proxies begin together. Multiples of the golden
         ratio fill the circle evenly (Steinhaus's three gaps): below a part lies that part of the proxies."""
         window = (
-            max(0.0, now - server.started) / self.window + self.number / self.proxies
+            max(0.0, now - server.started_ms) / self.window + self.number / self.proxies
         )
         return (
-            (self.number + int(window)) * self.GOLDEN + server.draws[0] / 2**16
+            (self.number + int(window)) * self.GOLDEN + server.hash_draws[0] / 2**16
         ) % 1.0
 
     def allows(self, now, server):
@@ -43,7 +43,7 @@
             return True
         ready = (
             self.start_share
-            + (1 - self.start_share) * max(0.0, now - server.started) / self.cold_for
+            + (1 - self.start_share) * max(0.0, now - server.started_ms) / self.cold_for
         )
         # A server fills over its warm-up at the fastest; a quarter is left for repeats, probes, handshakes.
         unit = 0.75 * ready * self.multiple * self.window / self.cold_for
@@ -52,8 +52,8 @@
             if self.rights is None
             else self.rights(server.name, unit)
         )
-        server.cold_dials[:] = [
-            when for when in server.cold_dials if when > now - self.window
+        server.warmup_attempt_times_ms[:] = [
+            when for when in server.warmup_attempt_times_ms if when > now - self.window
         ]
         whole, rest = divmod(part, 1.0)
         # Two turns that follow one another fall into one window of the server's: each has half of the part. But
@@ -63,9 +63,12 @@
             allowed / 4 + 2 * math.sqrt(allowed) + 2
         )
         most = whole + (self.turn(now, server) < (rest if few else rest / 2))
-        return len(server.cold_dials) < most and now >= self.since + self.window
+        return (
+            len(server.warmup_attempt_times_ms) < most
+            and now >= self.since + self.window
+        )
 
     def dialled(self, now, server):
-        server.dialled.append(now)
+        server.attempt_times_ms.append(now)
         if self.cold(now, server):
-            server.cold_dials.append(now)
+            server.warmup_attempt_times_ms.append(now)
