--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -63,7 +63,7 @@
         self.log_event("out by hand" if out else "put back", server=name, out=len(held))
         self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
-            self.upgrade.hand(name, out, told)
+            self.upgrade.forward_maintenance(name, out, told)
         return bool(path)
 
     def read_bans(self):
@@ -286,7 +286,8 @@
         if where is None and phase is not Phase.GONE:
             raise ValueError("no address")
         if self.peers:
-            phase, born = self.peers.on_entry(name, phase, born)
+            listed = self.peers.record_list_entry(name, phase, born)
+            phase, born = listed.phase, listed.process_start_ms
         started = self.clock.from_wall(born) if born else None
         left, since = self.names.get(name) or (None, None)
         if (
