--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -114,13 +114,13 @@
 
 
 def _last_observation(server: Server) -> HealthObservation:
-    seen = [(server.heard, ServerHealth.SERVING)]
-    if server.samples:
-        seen.append((server.samples[-1][0], ServerHealth.SERVING))
-    if server.results:
-        seen_at_ms, is_success = server.results[-1]
+    seen = [(server.last_received_ms, ServerHealth.SERVING)]
+    if server.load_samples:
+        seen.append((server.load_samples[-1][0], ServerHealth.SERVING))
+    if server.recent_results:
+        seen_at_ms, is_success = server.recent_results[-1]
         seen.append((seen_at_ms, ServerHealth(bool(is_success))))
-    if server.silent >= UNANSWERED_PROBES:
-        seen.append((server.asked, ServerHealth.FAILING))
+    if server.unanswered_probes >= UNANSWERED_PROBES:
+        seen.append((server.last_probe_ms, ServerHealth.FAILING))
     last_seen_at_ms, health = max(seen)
     return HealthObservation(health, last_seen_at_ms)
