--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -140,21 +140,21 @@
         zone=record.zone,
         cell=record.cell,
         weight=record.weight,
-        started=record.started_at_ms,
+        started_ms=record.started_at_ms,
         phase=record.phase,
-        listed=record.listed_phase,
+        listed_phase=record.listed_phase,
     )
-    server.silent = record.unanswered_probes
-    server.doubted = record.is_leaving_unconfirmed
-    server.samples.extend(record.load_samples)
-    server.results.extend(record.results)
-    server.dialled.extend(record.attempt_times_ms)
-    server.told = record.left_at_ms
-    server.late = record.missed_target_at_ms
-    server.heard = record.last_received_at_ms
-    server.shift_after = record.next_shift_at_ms
-    server.move_after = record.next_migration_at_ms
-    server.asked = record.last_probe_at_ms
+    server.unanswered_probes = record.unanswered_probes
+    server.is_removal_unconfirmed = record.is_leaving_unconfirmed
+    server.load_samples.extend(record.load_samples)
+    server.recent_results.extend(record.results)
+    server.attempt_times_ms.extend(record.attempt_times_ms)
+    server.leaving_since_ms = record.left_at_ms
+    server.last_late_message_ms = record.missed_target_at_ms
+    server.last_received_ms = record.last_received_at_ms
+    server.next_shift_ms = record.next_shift_at_ms
+    server.next_migration_ms = record.next_migration_at_ms
+    server.last_probe_ms = record.last_probe_at_ms
     return server
 
 
@@ -166,15 +166,15 @@
     session = Session(
         listener=listeners.get(record.listener_name) or Listener(record.listener_name),
         key=record.key,
-        deadline=record.accepted_at_ms,
+        deadline_ms=record.accepted_at_ms,
         tenant=record.tenant,
         group=record.group,
         load=record.load,
         mid_flow=record.is_mid_flow,
         returning=record.is_returning,
-        repeat=record.is_repeat,
+        is_client_retry=record.is_repeat,
     )
-    session.accepted = record.accepted_at_ms
+    session.accepted_ms = record.accepted_at_ms
     return session
 
 
