--- a/tests/drive.py
+++ b/tests/drive.py
@@ -93,7 +93,7 @@
     def answer(self, server):
         load = self.loads.get(server.name)
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
-        self.balancer.on_probed(self.now, server, answer, [load])
+        self.balancer.on_probe_result(self.now, server, answer, [load])
 
     def follow_list(self, on):
         self.say(f"follows the list: {on}")
@@ -116,11 +116,11 @@
                 name, Server(name, zone=len(self.servers) % 2)
             )
             found.append((server, phase, 1.0, started))
-        self.balancer.on_list(self.now, kind, found)
+        self.balancer.on_endpoint_update(self.now, kind, found)
 
     def hand(self, name, out):
         self.say(f"{name} {'out by hand' if out else 'put back'}")
-        self.balancer.on_hand(self.now, name, out, self.servers.get(name))
+        self.balancer.set_maintenance(self.now, name, out, self.servers.get(name))
 
     def session(self, name, listener=None, key=None, left=2000.0, **more):
         sess = Session(
@@ -133,7 +133,7 @@
     def accept(self, name, **more):
         sess = self.session(name, **more)
         if not sess.has_ended:
-            self.balancer.on_accepted(self.now, sess)
+            self.balancer.on_session_accepted(self.now, sess)
         return sess
 
     def outcome(self, sess, outcome, closed=False):
@@ -148,7 +148,7 @@
             if isinstance(alarm[2], Server):
                 self.answer(alarm[2])
             else:
-                self.balancer.on_alarm(self.now, alarm[2])
+                self.balancer.on_timer(self.now, alarm[2])
         self.now = then
 
     def pass_time(self, then):
@@ -158,7 +158,7 @@
             self.loud, loud = False, self.loud
             sess = self.session(f"passing {self.now:.0f}")
             if not sess.has_ended:
-                self.balancer.on_accepted(self.now, sess)
+                self.balancer.on_session_accepted(self.now, sess)
                 self.balancer.on_outcome(self.now, sess, AttemptOutcome.COMPLETED, True)
             self.loud = loud
 
@@ -168,7 +168,7 @@
         )
 
     def shares(self):
-        table = self.balancer.table
+        table = self.balancer.slot_table
         for name, server in sorted(self.servers.items()):
             self.say(
                 f"{name}: {table.current.count(server)} slots, {table.new.count(server)} to come"
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -181,9 +181,9 @@
 def test_turns_are_spread_evenly_over_the_processes(count):
     """As many have a turn as the part says, to two or three, at any moment and for any server."""
     rng = random.Random(1)
-    budgets = [Drive(proxies=1).balancer.cold for _ in range(count)]
+    budgets = [Drive(proxies=1).balancer.slow_start for _ in range(count)]
     for number, budget in enumerate(budgets):
-        budget.number, budget.proxies = number, count
+        budget.proxy_index, budget.proxy_count = number, count
     for _ in range(300):
         server, part, now = (
             Server("s", started_ms=0.0),
@@ -191,5 +191,5 @@
             rng.uniform(0.0, COLD_FOR),
         )
         server.hash_draws = [rng.getrandbits(32)]
-        having = sum(budget.turn(now, server) < part for budget in budgets)
+        having = sum(budget.rotation_position(now, server) < part for budget in budgets)
         assert abs(having - count * part) < 3.0
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -239,19 +239,25 @@
     servers["a"].last_late_message_ms = servers["b"].last_received_ms = servers[
         "a"
     ].last_probe_ms = float("-inf")
-    table = balancer.table
+    table = balancer.slot_table
     for place in range(3):
         slot = [
             slot for slot, server in enumerate(table.current) if server is servers["b"]
         ][10 * place]
-        table.new[slot], table.opened[slot] = servers["a"], 69_000.0 + place
-    for number, known in enumerate((table.moved, table.exceptions)):
+        table.new[slot], table.transition_started_ms[slot] = (
+            servers["a"],
+            69_000.0 + place,
+        )
+    for number, known in enumerate((table.moved_keys, table.exception_keys)):
         known["key é"] = servers["ab"[number]], 69_600.5
         known["second"] = servers["ba"[number]], 69_700.0
-    balancer.levels.bearable, balancer.probes.earned = 12.75, 3.5
-    balancer.first.window, balancer.first.next_at = 17.5, 69_999.0
-    balancer.budget.spent.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
-    balancer.health.dials.extend(
+    balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.earned = (
+        12.75,
+        3.5,
+    )
+    balancer.admission.window, balancer.admission.next_at = 17.5, 69_999.0
+    balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
+    balancer.outlier_detector.dials.extend(
         [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
     )
     proxy.ids.update({"id-over": None, "id ü": None})
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -315,7 +315,7 @@
             )
             unusable = [
                 server
-                for server in seat.proxy.balancer.roster.servers
+                for server in seat.proxy.balancer.endpoint_list.servers
                 if server.name in seat.proxy.left_out(world.clock.now())
             ]
             assert figures["members_unavailable"] >= len(unusable)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -213,7 +213,7 @@
         Hand("clock", []),
         lambda *_, **__: None,
     )
-    proxy.balancer.actions = Hand("", [])
+    proxy.balancer.effects = Hand("", [])
     proxy.now = lambda: 70_000.0
     return proxy
 
@@ -251,19 +251,19 @@
         },
         UpdateKind.SNAPSHOT,
     )
-    old.balancer.on_hand(70_000.0, "d", True, old.servers["d"])
+    old.balancer.set_maintenance(70_000.0, "d", True, old.servers["d"])
     for number in range(5):
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
         sess.accepted_ms = 70_000.0
-        old.balancer.on_carried(70_000.0, sess, old.servers["a"])
+        old.balancer.on_session_handed_over(70_000.0, sess, old.servers["a"])
         old.ids[f"id {number}"] = sess
-    old.balancer.levels.sample(70_000.0, old.servers["a"], [0.5])
-    old.balancer.health.dialled(70_000.0, old.servers["a"], False)
-    table = old.balancer.table
+    old.balancer.load_estimator.record_sample(70_000.0, old.servers["a"], [0.5])
+    old.balancer.outlier_detector.dialled(70_000.0, old.servers["a"], False)
+    table = old.balancer.slot_table
     slot = table.current.index(old.servers["b"])
     table.sessions[slot][sess] = None
-    table.redirect(70_000.0, slot, old.servers["a"])
-    table.place(70_000.0, "moved", slot)
+    table.redirect_slot(70_000.0, slot, old.servers["a"])
+    table.assign(70_000.0, "moved", slot)
     parts = state_messages(old)
 
     def took(proxy, parts):
@@ -272,7 +272,7 @@
 
     assert took(new, parts) == parts
     assert (
-        not new.balancer.roster.may_dial(70_000.0, new.servers["d"], False)
+        not new.balancer.endpoint_list.may_attempt(70_000.0, new.servers["d"], False)
         and new.seen == 7
     )
     before = encoded_state(third)
@@ -356,11 +356,11 @@
         table[name] = table[name][:512]
     table["new"][3], table["opened"] = 0, [[3, 70_000.0]]
     apply_state(new, parts)
-    mine, theirs = new.balancer.table, old.balancer.table
+    mine, theirs = new.balancer.slot_table, old.balancer.slot_table
     assert [server.name for server in mine.current] == [
         server.name for server in theirs.current
     ]
-    assert mine.size == 4096 and not any(mine.new) and not mine.opened
+    assert mine.size == 4096 and not any(mine.new) and not mine.transition_started_ms
     table["new"] = table["new"][:-1]
     with pytest.raises(ValueError):
         apply_state(large(), parts)
@@ -416,7 +416,9 @@
     proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
     assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.names)
     proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
-    assert names[0][0] not in {server.name for server in proxy.balancer.roster.servers}
+    assert names[0][0] not in {
+        server.name for server in proxy.balancer.endpoint_list.servers
+    }
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
         proxy.listed(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,12 +30,12 @@
     d.loads.update(a=0.9, b=0.1)
     d.pass_time(2500.0)
     d.shares()
-    moved = next(s for s in held if d.balancer.table.new[s.slot] is not None)
+    moved = next(s for s in held if d.balancer.slot_table.new[s.slot] is not None)
     d.say("a new key on a shifted slot, then the same and an old key mid-flow:")
     key = next(
         k
         for k in map(str, range(9999))
-        if d.balancer.table.new[_slot(d, k)] is not None
+        if d.balancer.slot_table.new[_slot(d, k)] is not None
     )
     d.session("new", key=key)
     d.session("again", key=key, mid_flow=True)
@@ -49,18 +49,18 @@
 
 
 def _slot(d, key):
-    from wheathill.policy.slot_table import slot_of
+    from wheathill.policy.slot_table import slot_of_key
 
-    return slot_of(key, d.balancer.table.size)
+    return slot_of_key(key, d.balancer.slot_table.size)
 
 
 def join_and_leave():
     d = Drive(loads=dict.fromkeys("abcde", 0.3))
     d.list(*reversed(FLEET), kind=UpdateKind.SNAPSHOT)
-    before = list(d.balancer.table.current)
+    before = list(d.balancer.slot_table.current)
     d.list("e")
     d.shares()
-    table = d.balancer.table
+    table = d.balancer.slot_table
     d.say(
         f"slots that changed without going to e: "
         f"{sum(x is not y and y is not d.servers['e'] for x, y in zip(before, table.current))}"
@@ -86,8 +86,8 @@
     d.say(
         f"new sessions to a draining server: {sum(s.server is d.servers['a'] for s in later)}"
     )
-    table = d.balancer.table
-    table.exceptions[held.key] = (d.servers["a"], d.now)
+    table = d.balancer.slot_table
+    table.exception_keys[held.key] = (d.servers["a"], d.now)
     d.session("mid-flow at once", key=held.key, mid_flow=True)
     d.now += 600.0
     d.session("mid-flow after the grace", key=held.key, mid_flow=True)
@@ -136,7 +136,7 @@
             to_a += 1
             d.outcome(sess, AttemptOutcome.ERROR)
         if not sess.has_ended:
-            d.balancer.on_accepted(d.now, sess)
+            d.balancer.on_session_accepted(d.now, sess)
             d.outcome(sess, AttemptOutcome.COMPLETED, closed=True)
     d.loud = True
     d.say(f"of 400 sessions, dials to the failing server: {to_a}")
@@ -257,7 +257,7 @@
     full = next(iter(d.names)).server
     d.loads = {name: 0.9 if name == full.name else 0.4 for name in FLEET}
     d.until(4500.0)
-    d.balancer.on_open_session(
+    d.balancer.on_session_taken_over(
         d.now, Session(Listener("any"), "open", d.now, group="line 7"), d.servers["c"]
     )
     for i in range(2, 4):
@@ -273,11 +273,11 @@
     d.answers = False
     d.until(8000.0)
     late = held[0].server
-    d.balancer.on_notice(d.now, held[0], message_ms=held[0].listener.message_target_ms)
+    d.balancer.on_message_latency(d.now, held[0], held[0].listener.message_target_ms)
     d.say("just in time; then late:")
     d.until(9000.0)
-    d.balancer.on_notice(
-        d.now, held[0], message_ms=3 * held[0].listener.message_target_ms
+    d.balancer.on_message_latency(
+        d.now, held[0], 3 * held[0].listener.message_target_ms
     )
     d.until(10_000.0)
     d.answers = True
@@ -301,7 +301,7 @@
     d.until(d.now + 1000.0)
     d.session("little time left", left=500.0)
     d.session("its client hangs up meanwhile")
-    d.balancer.on_hang_up(d.now, list(d.names)[-1])
+    d.balancer.on_client_left(d.now, list(d.names)[-1])
     d.until(d.now + 10_000.0)
     d.say(f"probes without further sessions: {d.probes}")
     return d.lines
@@ -334,7 +334,9 @@
     for sess in lost:
         d.now += 0.1
         d.outcome(sess, AttemptOutcome.RESET)
-    d.say(f"{len(lost)} of 60 were reset; {d.balancer.first.window:g} set-ups at once")
+    d.say(
+        f"{len(lost)} of 60 were reset; {d.balancer.admission.window:g} set-ups at once"
+    )
     return d.lines
 
 
@@ -389,13 +391,15 @@
     d.session("no time left", left=0.0)
     d.accept("no handshake target", listener=Listener("any", handshake_target_ms=0.0))
     for figure in (-1.0, None, float("nan")):
-        d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, [figure])
-    d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, None)
+        d.balancer.on_probe_result(
+            d.now, d.servers["a"], AttemptOutcome.COMPLETED, [figure]
+        )
+    d.balancer.on_probe_result(d.now, d.servers["a"], AttemptOutcome.COMPLETED, None)
     d.say(f"figures taken from broken reports: {len(d.servers['a'].load_samples)}")
     sess = d.session("a server that left")
     d.list(kind=UpdateKind.SNAPSHOT)
     d.outcome(sess, AttemptOutcome.RESET)
-    d.balancer.on_probed(d.now, d.servers["a"], AttemptOutcome.COMPLETED, [0.5])
+    d.balancer.on_probe_result(d.now, d.servers["a"], AttemptOutcome.COMPLETED, [0.5])
     return d.lines
 
 
@@ -429,18 +433,18 @@
         for sess in (d.accept(f"s{number}") for number in range(9))
         if sess.server is d.servers["a"]
     ]
-    d.balancer.on_heard(d.now, d.servers["a"])
+    d.balancer.on_server_activity(d.now, d.servers["a"])
     d.say("one waits, then another, but something came meanwhile")
     d.until(800.0)
-    d.balancer.on_unanswered(d.now, held[0], 700.0)
-    d.balancer.on_heard(d.now, d.servers["a"])
-    d.balancer.on_unanswered(d.now, held[1], 600.0)
+    d.balancer.on_message_unanswered(d.now, held[0], 700.0)
+    d.balancer.on_server_activity(d.now, d.servers["a"])
+    d.balancer.on_message_unanswered(d.now, held[1], 600.0)
     d.say("one waits and says so again")
     d.until(1400.0)
-    d.balancer.on_unanswered(d.now, held[1], 1200.0)
+    d.balancer.on_message_unanswered(d.now, held[1], 1200.0)
     d.say("a second one does")
-    d.balancer.on_unanswered(d.now, held[0], 500.0)
-    d.say(f"left out: {d.balancer.health.silent(d.servers['a'])}")
+    d.balancer.on_message_unanswered(d.now, held[0], 500.0)
+    d.say(f"left out: {d.balancer.outlier_detector.silent(d.servers['a'])}")
     return [line for line in d.lines if "shift" not in line]
 
 
@@ -473,8 +477,8 @@
     ):
         d.list(*entries)
         d.say(
-            f"{step}: may be dialled {d.balancer.roster.may_dial(d.now, d.servers['a'], False)}, "
-            f"mid-flow {d.balancer.roster.may_dial(d.now, d.servers['a'], True)}"
+            f"{step}: may be dialled {d.balancer.endpoint_list.may_attempt(d.now, d.servers['a'], False)}, "
+            f"mid-flow {d.balancer.endpoint_list.may_attempt(d.now, d.servers['a'], True)}"
         )
     d.list("a", "b", "c", kind=UpdateKind.SNAPSHOT)
     d.loud = False
@@ -483,22 +487,22 @@
         d.until(when)
         d.loud = True
         if when < 80_000.0:
-            d.balancer.levels.sample(d.now, d.servers["a"], [0.9])
+            d.balancer.load_estimator.record_sample(d.now, d.servers["a"], [0.9])
             d.hand("a", False)
             d.hand("a", False)
         else:
             d.list(("a", listed))
         a = d.servers["a"]
         d.say(
-            f"a listed with start {listed}: counts as started {a.started_ms}, cold {d.balancer.cold.cold(d.now, a)}, "
-            f"load known {bool(a.load_samples)}, ready {a in d.balancer.roster.servers}"
+            f"a listed with start {listed}: counts as started {a.started_ms}, cold {d.balancer.slow_start.is_warming(d.now, a)}, "
+            f"load known {bool(a.load_samples)}, ready {a in d.balancer.endpoint_list.servers}"
         )
     d.hand("a", True)
     d.list(("a", Phase.DRAINING))
     d.hand("a", False)
-    d.say(f"put back while it drains: ready {a in d.balancer.roster.servers}")
+    d.say(f"put back while it drains: ready {a in d.balancer.endpoint_list.servers}")
     d.list("a")
-    d.say(f"when that ends: ready {a in d.balancer.roster.servers}")
+    d.say(f"when that ends: ready {a in d.balancer.endpoint_list.servers}")
     for name in "abc":
         d.hand(name, True)
     d.session("with all out")
@@ -560,7 +564,7 @@
     )
     d.loads["a"] = None
     for server in "abd":
-        d.balancer.probes.send(d.now, d.servers[server])
+        d.balancer.probe_scheduler.send(d.now, d.servers[server])
     d.shares()
     d.list(("a", 0.0))
     d.shares()
@@ -577,10 +581,11 @@
     group = next(
         str(name)
         for name in range(99)
-        if d.balancer.table.home[_slot(d, str(name))] is d.servers["a"]
+        if d.balancer.slot_table.preferred_servers[_slot(d, str(name))]
+        is d.servers["a"]
     )
     held = d.session("held elsewhere", group=group)
-    d.balancer.on_open_session(d.now, held, d.servers["b"])
+    d.balancer.on_session_taken_over(d.now, held, d.servers["b"])
     d.until(3000.0)
     d.say("home keeps its room for a group that is held elsewhere too:")
     d.session("member", group=group)
@@ -594,7 +599,7 @@
     d.say(f"the way to {' '.join(far)} takes longer than a message may:")
     d.delays = dict.fromkeys(far, 150.0)
     for name in far[:3]:
-        d.balancer.probes.send(d.now, d.servers[name])
+        d.balancer.probe_scheduler.send(d.now, d.servers[name])
     d.until(400.0)
     d.loud = False
     held = [d.session(f"s{i}") for i in range(40)]
@@ -642,11 +647,11 @@
             f"reports times {d.servers['a'].report_correction:.2f}, {d.servers['b'].report_correction:.2f}"
         )
         for sess in new:
-            d.balancer.on_hang_up(d.now, sess)
+            d.balancer.on_client_left(d.now, sess)
 
     placed("all report 0.4")
     for _ in range(3):
-        d.balancer.on_notice(d.now, on["a"][0], message_ms=400.0)
+        d.balancer.on_message_latency(d.now, on["a"][0], 400.0)
         d.pass_time(d.now + 1000.0)
     d.pass_time(d.now + 1000.0)
     placed("messages to a were late, 1 s ago the last")
@@ -705,7 +710,7 @@
 def few_servers_fail():
     d = Drive()
     d.list(*"abcdefgh", kind=UpdateKind.CACHED)
-    health = d.balancer.health
+    health = d.balancer.outlier_detector
     for said, ends in (
         ("two servers of five fail, with most dials", "c+ d+ e+ a- b- a- b- a-"),
         ("all fail but one dial", "c- d- e+ a- b- f- g-"),
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -15,7 +15,7 @@
 
 
 def ready(turns):
-    return sorted(server.name for server in turns.proxy.balancer.roster.servers)
+    return sorted(server.name for server in turns.proxy.balancer.endpoint_list.servers)
 
 
 def list_indented_and_in_pieces():
@@ -131,13 +131,13 @@
     """Not noted as told: the next watch asks for it again, and it changes the slots as if it had not come."""
     with Turns(("a", "b", "c")) as turns:
         watch = turns.watched("a", "b")
-        table = turns.proxy.balancer.table
+        table = turns.proxy.balancer.slot_table
         update, table.update = table.update, None
         found = turns.list("a", "c", whole=False)
         found["hosts"][0]["health"] = "draining"
         turns.chunk(watch, json.dumps(found) + "\n")
         watch, request = turns.watch()
-        may = turns.proxy.balancer.roster.may_dial(
+        may = turns.proxy.balancer.endpoint_list.may_attempt(
             turns.proxy.now(), turns.proxy.servers["a"], False
         )
         turns.lines.append(f"{request}, a may be dialled: {may}")
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -146,7 +146,8 @@
         return self.until(
             lambda: (
                 sorted(
-                    server.name for server in self.turns.proxy.balancer.roster.servers
+                    server.name
+                    for server in self.turns.proxy.balancer.endpoint_list.servers
                 )
                 == sorted(names)
             ),
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -80,7 +80,7 @@
         proxy.sweep()
         assert proxy.clients.walks == 0
         told = []
-        proxy.balancer.on_unanswered = lambda now, sess, waited: told.append(
+        proxy.balancer.on_message_unanswered = lambda now, sess, waited: told.append(
             (sess, waited)
         )
         client = next(iter(dict(proxy.clients).values()))
@@ -106,12 +106,12 @@
     drive = Drive()
     drive.list("a", "b")
     sessions = [drive.accept(f"s{number}") for number in range(20)]
-    table = drive.balancer.table
+    table = drive.balancer.slot_table
     table.sessions = Slots(table.sessions)
     drive.balancer.tick(1000.0)
     assert table.sessions.walks == 0
-    assert {server.name for server in table.serving} == {"a", "b"}
+    assert {server.name for server in table.active_servers} == {"a", "b"}
     for sess in sessions:
-        drive.balancer.on_hang_up(1500.0, sess)
+        drive.balancer.on_client_left(1500.0, sess)
     drive.balancer.tick(2000.0)
-    assert not table.serving
+    assert not table.active_servers
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -77,7 +77,7 @@
             server.zone, server.cell = zone, cell
             since = started * 1000 if started else None
             entries.append((server, PHASES.get(phase, Phase.GONE), weight, since))
-        self.balancer.on_list(now, LIST_KINDS[scope], entries)
+        self.balancer.on_endpoint_update(now, LIST_KINDS[scope], entries)
 
     def make_session(
         self, now, handle, listener, tenant, key, left, load, group, marks
@@ -108,15 +108,17 @@
         server = self.servers.get(fields[-1]) or self.servers.setdefault(
             fields[-1], Server(fields[-1])
         )
-        self.balancer.on_open_session(now, self.make_session(now, *fields[:-1]), server)
+        self.balancer.on_session_taken_over(
+            now, self.make_session(now, *fields[:-1]), server
+        )
 
     def accepted(self, now, handle, _server, _dial, _spent):
         if handle in self.sessions:
-            self.balancer.on_accepted(now, self.sessions[handle])
+            self.balancer.on_session_accepted(now, self.sessions[handle])
 
     def outcome(self, now, handle, _dial, name, code, _spent, closed, report):
         if report and name in self.servers:
-            self.balancer.on_report(now, self.servers[name], report)
+            self.balancer.on_load_report(now, self.servers[name], report)
         sess = self.sessions.get(handle)
         if sess is not None:
             if closed:
@@ -129,17 +131,17 @@
         sess = self.sessions.get(handle)
         if sess is not None:
             self.forget(sess)
-            self.balancer.on_hang_up(now, sess)
+            self.balancer.on_client_left(now, sess)
 
     def notice(self, now, handle, _dial, _server, topic, level):
         if handle in self.sessions and topic == LOAD_NOTICE:
-            self.balancer.on_notice(now, self.sessions[handle], load=level)
+            self.balancer.on_load_declared(now, self.sessions[handle], level)
         elif handle in self.sessions and topic == SLOW_NOTICE:
-            self.balancer.on_notice(now, self.sessions[handle], message_ms=level)
+            self.balancer.on_message_latency(now, self.sessions[handle], level)
 
     def probed(self, now, name, code, _spent, report):
         if name in self.servers:
-            self.balancer.on_probed(
+            self.balancer.on_probe_result(
                 now,
                 self.servers[name],
                 OUTCOMES.get(code, AttemptOutcome.ERROR),
@@ -150,7 +152,7 @@
         """Nothing is told to other proxies yet, so nothing can be heard."""
 
     def alarm_rang(self, now, name):
-        self.balancer.on_alarm(now, name)
+        self.balancer.on_timer(now, name)
 
     def forget(self, sess):
         handle = self.handles.pop(sess, None)
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -126,10 +126,16 @@
 
         The new process was sent them whole: none of it stays here.
         """
-        slow_start = self._proxy.balancer.cold
-        self._slow_start_since_ms, slow_start.since = slow_start.since, math.inf
-        retry_budget = self._proxy.balancer.budget
-        self._free_retries, retry_budget.free = retry_budget.free, -math.inf
+        slow_start = self._proxy.balancer.slow_start
+        self._slow_start_since_ms, slow_start.process_started_ms = (
+            slow_start.process_started_ms,
+            math.inf,
+        )
+        retry_budget = self._proxy.balancer.retry_budget
+        self._free_retries, retry_budget.free_retries = (
+            retry_budget.free_retries,
+            -math.inf,
+        )
 
     def on_state_taken(self, with_state: bool) -> None:
         """Leave the place to the new process, which accepts from now on."""
@@ -156,8 +162,10 @@
 
     def _take_budgets_back(self) -> None:
         if self._slow_start_since_ms is not None:
-            self._proxy.balancer.cold.since = self._slow_start_since_ms
-            self._proxy.balancer.budget.free = self._free_retries
+            self._proxy.balancer.slow_start.process_started_ms = (
+                self._slow_start_since_ms
+            )
+            self._proxy.balancer.retry_budget.free_retries = self._free_retries
 
     # Both
 
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -102,33 +102,33 @@
             proxy.seen = self.decisions.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
-        endpoint_list = proxy.balancer.roster
+        endpoint_list = proxy.balancer.endpoint_list
         endpoint_list.servers.update(self.ready_servers)
-        endpoint_list.out.update(self.decisions.maintenance_since_ms)
-        endpoint_list.back.update(self.decisions.maintenance_ended_ms)
+        endpoint_list.maintenance_since_ms.update(self.decisions.maintenance_since_ms)
+        endpoint_list.maintenance_ended_ms.update(self.decisions.maintenance_ended_ms)
 
     def _apply_slots(self, proxy: Proxy) -> None:
-        table = proxy.balancer.table
+        table = proxy.balancer.slot_table
         routes = {"moved": self.moved_keys, "exceptions": self.exception_keys}
         slots, transitions = {}, {}
         if len(self.slots.current) == table.size:
             slots = {"current": self.slots.current, "new": self.slots.new}
             transitions = self.slots.transition_started_ms
         # Of a build with fewer or more slots: filled anew, as by a list.
-        table.stand(list(self.ready_servers), slots, transitions, routes)
+        table.restore(list(self.ready_servers), slots, transitions, routes)
 
     def _apply_estimates(self, proxy: Proxy) -> None:
         balancer, decisions = proxy.balancer, self.decisions
-        balancer.levels.bearable = decisions.capacity_estimate
+        balancer.load_estimator.capacity_estimate = decisions.capacity_estimate
         # What comes over comes fast, and was reported long ago.
-        balancer.levels.held = decisions.capacity_estimate
-        balancer.probes.earned = decisions.probe_credit
-        admission = balancer.first
+        balancer.load_estimator.previous_mean_sessions = decisions.capacity_estimate
+        balancer.probe_scheduler.earned = decisions.probe_credit
+        admission = balancer.admission
         admission.window = decisions.set_up_window
         admission.cut_at = decisions.window_cut_at_ms
         admission.next_at = decisions.next_set_up_at_ms
-        balancer.health.dials.extend(self.attempts)
-        balancer.budget.spent.extend(
+        balancer.outlier_detector.dials.extend(self.attempts)
+        balancer.retry_budget.retries.extend(
             (retry.at_ms, retry.utility) for retry in decisions.retries
         )
 
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -30,9 +30,9 @@
         servers=[
             collect_server(server, proxy.addresses.get(server)) for server in servers
         ],
-        slots=collect_slot_table(balancer.table, indexes),
-        moved_keys=_collect_key_routes(balancer.table.moved, indexes),
-        exception_keys=_collect_key_routes(balancer.table.exceptions, indexes),
+        slots=collect_slot_table(balancer.slot_table, indexes),
+        moved_keys=_collect_key_routes(balancer.slot_table.moved_keys, indexes),
+        exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
         session_ids=list(proxy.ids),
         server_names=list(proxy.names),
         decisions=collect_decisions(
@@ -69,10 +69,10 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred=[indexes.get(server) for server in table.home],
+        preferred=[indexes.get(server) for server in table.preferred_servers],
         current=[indexes.get(server) for server in table.current],
         new=[indexes.get(server) for server in table.new],
-        transition_started_ms=dict(table.opened),
+        transition_started_ms=dict(table.transition_started_ms),
     )
 
 
@@ -94,21 +94,24 @@
     discovery_address: tuple[str, int] | None,
 ) -> DecisionsRecord:
     """Return the record of what belongs to no single server or slot."""
-    admission = balancer.first
+    admission = balancer.admission
     return DecisionsRecord(
         list_version=list_version,
         discovery_address=discovery_address,
-        maintenance_since_ms=dict(balancer.roster.out),
-        maintenance_ended_ms=dict(balancer.roster.back),
-        capacity_estimate=balancer.levels.bearable,
-        probe_credit=balancer.probes.earned,
+        maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
+        maintenance_ended_ms=dict(balancer.endpoint_list.maintenance_ended_ms),
+        capacity_estimate=balancer.load_estimator.capacity_estimate,
+        probe_credit=balancer.probe_scheduler.earned,
         set_up_window=admission.window,
         window_cut_at_ms=admission.cut_at,
         next_set_up_at_ms=admission.next_at,
-        retries=[RetryRecord(when, utility) for when, utility in balancer.budget.spent],
+        retries=[
+            RetryRecord(when, utility)
+            for when, utility in balancer.retry_budget.retries
+        ],
         attempts=[
             AttemptRecord(when, indexes[server], well)
-            for when, server, well in balancer.health.dials
+            for when, server, well in balancer.outlier_detector.dials
             if server in indexes
         ],
     )
--- a/wheathill/lab/cast/sessionless.py
+++ b/wheathill/lab/cast/sessionless.py
@@ -4,16 +4,16 @@
 class Sessionless:
     """Its servers by name, and what a server bears of its connections, as it finds."""
 
-    rights = None  # set by its peers
+    external_permits = None  # set by its peers
 
     def __init__(self, servers, borne):
-        self.servers, self.borne = servers, borne
-        self.balancer = self.cold = self.levels = self
+        self.servers, self.warm_up_capacity_estimate = servers, borne
+        self.balancer = self.slow_start = self.load_estimator = self
 
-    def on_fleet(self, now, share):
+    def on_quota_changed(self, now, share):
         pass
 
-    def on_witnesses(self, now, failing, here):
+    def on_peer_health_reports(self, now, failing, here):
         pass
 
     def told_by_peers(self, server, phase, born):
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -21,16 +21,16 @@
         self.most_dials = most_dials
 
     def enter(self, now, sess):
-        sess.slot = self.balancer.table.slot(sess)
+        sess.slot = self.balancer.slot_table.slot_of(sess)
         self.go(now, sess)
 
     def go(self, now, sess):
         tried = [dial.server for dial in sess.attempts]
         able = [
             server
-            for server in self.balancer.roster.servers
+            for server in self.balancer.endpoint_list.servers
             if server not in tried
-            and self.balancer.roster.may_dial(now, server, False)
+            and self.balancer.endpoint_list.may_attempt(now, server, False)
             and may_retry(now, sess, server)
         ]
         if able:
@@ -55,9 +55,9 @@
     def give_up(self, sess):
         sess.has_ended = True
         if may_reject(sess):
-            self.balancer.actions.refuse(sess, sess.listener.handshake_target_ms)
+            self.balancer.effects.refuse(sess, sess.listener.handshake_target_ms)
         else:
-            self.balancer.actions.tear_down(sess)
+            self.balancer.effects.tear_down(sess)
 
 
 class Baseline(Balancer):
@@ -66,15 +66,17 @@
     def __init__(self, pick, actions, rng, **settings):
         super().__init__(actions, rng, **settings)
         plain = Plain(self, partial(pick, rng), settings["most_dials"])
-        plain.next, self.dialling.before = self.dialling, plain
-        self.first = plain
+        plain.next, self.attempt_runner.before = self.attempt_runner, plain
+        self.admission = plain
         # What asks for figures of set-ups under way finds none.
         plain.under_way = {}
         plain.failed = lambda now: None
 
     def tick(self, now):
         for server in list(
-            dict.fromkeys(sess.server for held in self.table.sessions for sess in held)
+            dict.fromkeys(
+                sess.server for held in self.slot_table.sessions for sess in held
+            )
         ):
             if server.phase.value == "draining":
                 self.send_away(
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -37,7 +37,12 @@
     def connect(self, client, server, time_out):
         super().connect(client, server, time_out)
         other = next(
-            (each for each in self.balancer.roster.servers if each is not server), None
+            (
+                each
+                for each in self.balancer.endpoint_list.servers
+                if each is not server
+            ),
+            None,
         )
         if other is not None:
             second = Dialled(client, other, self, self.limits, self.clock)
@@ -61,8 +66,8 @@
 class FloodsCold(Proxy):
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.cold.allows = lambda now, server: True
-        self.balancer.levels.expected = lambda now, server: 0.0
+        self.balancer.slow_start.allows = lambda now, server: True
+        self.balancer.load_estimator.expected_load = lambda now, server: 0.0
 
 
 class Forgets(Proxy):
@@ -95,7 +100,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.placement.usable = lambda now, sess, server: (
+        self.balancer.server_selector.usable = lambda now, sess, server: (
             server.phase is Phase.READY
         )
 
@@ -108,7 +113,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.budget.free += 1
+        self.balancer.retry_budget.free_retries += 1
 
 
 class CountsFromTheStart(Proxy):
@@ -116,10 +121,12 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.budget.took = self.took
+        self.balancer.retry_budget.record_session = self.took
 
     def took(self, now):
-        self.balancer.budget.free += self.balancer.budget.share
+        self.balancer.retry_budget.free_retries += (
+            self.balancer.retry_budget.retries_per_session
+        )
 
 
 class ForgetsMidFlow(Proxy):
@@ -127,8 +134,8 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        count = self.balancer.budget.dialled
-        self.balancer.budget.dialled = lambda now, sess: (
+        count = self.balancer.retry_budget.record_attempt
+        self.balancer.retry_budget.record_attempt = lambda now, sess: (
             sess.mid_flow or count(now, sess)
         )
 
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -131,7 +131,7 @@
 
 def goes_by_the_file():
     """No mutant, but for comparison: the file's number decides, whoever is there."""
-    Balancer.on_fleet = lambda self, now, share: None
+    Balancer.on_quota_changed = lambda self, now, share: None
     ClusterView.permit = lambda self, server, bears, unit: unit * bears
 
 
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -82,10 +82,10 @@
         super().__init__(servers, 0.25)
         self.hollow = hollow
 
-    def on_fleet(self, now, share):
+    def on_quota_changed(self, now, share):
         self.hollow.takes(now, share)
 
-    def on_witnesses(self, now, failing, here):
+    def on_peer_health_reports(self, now, failing, here):
         self.hollow.crew.counts["witnesses said"] += 1
 
     def told_by_peers(self, server, phase, born):
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -53,9 +53,9 @@
 
     def join(self, create, told, environment, _birth, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
-        takes, told_by_peers = proxy.balancer.on_fleet, proxy.told_by_peers
+        takes, told_by_peers = proxy.balancer.on_quota_changed, proxy.told_by_peers
 
-        def on_fleet(now, share):
+        def on_quota_changed(now, share):
             self.takes(now, share)
             takes(now, share)
 
@@ -63,7 +63,7 @@
             self.told_of(server.name, phase, born)
             told_by_peers(server, phase, born)
 
-        proxy.balancer.on_fleet, proxy.told_by_peers = on_fleet, told_of
+        proxy.balancer.on_quota_changed, proxy.told_by_peers = on_quota_changed, told_of
         if crew.shape:
             carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
             environment = replace(environment, carrier=carrier)
--- a/wheathill/lab/scale/parts.py
+++ b/wheathill/lab/scale/parts.py
@@ -10,16 +10,23 @@
 import sys
 import time
 
-from wheathill import policy
 from wheathill.__main__ import main
 from wheathill.net.proxy import Proxy
+from wheathill.policy.balancer import Balancer
+from wheathill.policy.load_estimator import LoadEstimator
+from wheathill.policy.probing import ProbeScheduler
+from wheathill.policy.slot_table import SlotTable
 
 WRAPPED = {
     Proxy: ("sweep", "log_figures"),
-    policy.Balancer: ("tick", "relieve"),
-    policy.SlotTable: ("close", "halve"),
-    policy.LoadLevels: ("believe", "learn", "levels"),
-    policy.Probes: ("due",),
+    Balancer: ("tick", "relieve"),
+    SlotTable: ("finish_transitions", "shift_slots"),
+    LoadEstimator: (
+        "update_report_corrections",
+        "update_capacity_estimate",
+        "levels",
+    ),
+    ProbeScheduler: ("due",),
 }
 
 
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -160,7 +160,7 @@
     found = {"list_bytes": len(text), "list_longest": here.limits.list_line}
     with Timer() as first:
         take(pieces)
-    ready = len(here.balancer.roster.servers)
+    ready = len(here.balancer.endpoint_list.servers)
     found["list_ms"], found["list_taken"] = first.ms, ready == count
     found["list_again_ms"] = timed(take, pieces)
     drains = orjson.dumps(
@@ -178,10 +178,12 @@
 def slots(count, seed):
     """The table by itself: built, with one and with a fifteenth leaving, and what a slot is then."""
     here, loop = proxy()
-    table = here.balancer.table
+    table = here.balancer.slot_table
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
     found = {
-        "weigh_ms": sum(timed(table.weigh, server) for server in servers),
+        "weigh_ms": sum(
+            timed(table.set_effective_weight, server) for server in servers
+        ),
         "join_ms": timed(table.update, 0.0, servers, {}, servers),
     }
     found["draws_bytes_a_server"] = fmean(
@@ -193,10 +195,10 @@
         "with_slot": len(held),
         "most_slots": max(held.values()),
         "shards_a_slot": SHARDS / table.size,
-        "may_be_halved": sum(one > table.least + 1 for one in held.values()),
+        "may_be_halved": sum(one > table.min_slots + 1 for one in held.values()),
         # A group's members go to its slot's server, then to those of the slots that follow.
         "reach": fmean(
-            1 + len(set(table.others(slot)) - {table.current[slot]})
+            1 + len(set(table.following_servers(slot)) - {table.current[slot]})
             for slot in range(table.size)
         ),
     }
@@ -239,8 +241,10 @@
     made = Balancer(actions, random.Random(seed), **USUAL)
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
-    made.on_list(
-        0.0, UpdateKind.SNAPSHOT, [(server, Phase.READY, 1.0, None) for server in servers]
+    made.on_endpoint_update(
+        0.0,
+        UpdateKind.SNAPSHOT,
+        [(server, Phase.READY, 1.0, None) for server in servers],
     )
     return made, actions, servers
 
@@ -251,9 +255,9 @@
     made.tick(1000.0)
     found = {"tick_ms": timed(made.tick, 2000.0)}
     for place, server in enumerate(servers):
-        made.levels.sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
+        made.load_estimator.record_sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
         server.last_probe_ms = 0.0
-    made.probes.earned = float(count)
+    made.probe_scheduler.earned = float(count)
     found["tick_probing_ms"] = timed(made.tick, 3000.0)
     return found
 
@@ -274,8 +278,8 @@
                 answer(made, actions, now)
                 came += 1
             made.tick(1000.0 * second)
-            for _ in range(len(made.next_probes)):
-                made.on_alarm(1000.0 * second, "probe")
+            for _ in range(len(made.due_probes)):
+                made.on_timer(1000.0 * second, "probe")
             answer(made, actions, 1000.0 * second)
             if second == 10:
                 before = actions.sent
@@ -286,10 +290,10 @@
 def answer(made, actions, now):
     """All that were asked, with a load that leaves room; all that were dialled come up, and end."""
     while actions.probed:
-        made.on_probed(now, actions.probed.pop(), AttemptOutcome.COMPLETED, [0.3])
+        made.on_probe_result(now, actions.probed.pop(), AttemptOutcome.COMPLETED, [0.3])
     while actions.dialled:
         sess = actions.dialled.pop()
-        made.on_accepted(now, sess)
+        made.on_session_accepted(now, sess)
         made.on_outcome(now, sess, AttemptOutcome.COMPLETED, True)
 
 
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -287,7 +287,7 @@
         """Poll the endpoint list, and watch it from then on."""
 
     def alarm(self, name: str, at_ms: float) -> None:
-        """Call `Balancer.on_alarm` with this name at that time."""
+        """Call `Balancer.on_timer` with this name at that time."""
 
     def log(self, text: str) -> None:
         """Log a decision for operators."""
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -253,7 +253,7 @@
             client.dial.wire.abort()
         if sess in self.clients:
             self.over(sess, "hung up")
-            self.balancer.on_hang_up(self.now(), sess)
+            self.balancer.on_client_left(self.now(), sess)
         client.sess = None
 
     def over(self, sess, how):
@@ -286,7 +286,7 @@
         return client
 
     def heard(self, server):
-        self.balancer.on_heard(self.now(), server)
+        self.balancer.on_server_activity(self.now(), server)
 
     def asks(self, client):
         """A line of it went to its server."""
@@ -297,7 +297,7 @@
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
             self.figures.count("late messages")
-            self.balancer.on_notice(self.now(), client.sess, message_ms=spent)
+            self.balancer.on_message_latency(self.now(), client.sess, spent)
 
     def load_told(self, client, text):
         try:
@@ -305,7 +305,7 @@
         except ValueError:
             return self.log_event("bad input", what="LOAD without a number")
         if client.sess is not None:
-            self.balancer.on_notice(self.now(), client.sess, load=load)
+            self.balancer.on_load_declared(self.now(), client.sess, load)
 
     def sweep(self):
         self.clock.after(self.limits.sweep, self.sweep)
@@ -322,7 +322,9 @@
                 and not client.wire.full
                 and now - client.asked >= self.limits.unanswered
             ):
-                self.balancer.on_unanswered(now, client.sess, now - client.asked)
+                self.balancer.on_message_unanswered(
+                    now, client.sess, now - client.asked
+                )
                 if client.moving and now - client.asked >= self.limits.half_line:
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.dial.close()
@@ -363,7 +365,7 @@
         client.wire.abort()
         client.dial.wire.abort()
         self.over(sess, "handed over")
-        self.balancer.on_hang_up(self.now(), sess)
+        self.balancer.on_client_left(self.now(), sess)
         return handles
 
     def carry(self, line, sess, handles, came, asked, server, rest):
@@ -387,7 +389,7 @@
         self.clients[sess] = client
         self.ids[head.id] = sess
         self.figures.know([sess.listener.name])
-        self.balancer.on_carried(self.now(), sess, dial.server)
+        self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
             self.carrier.adopt(handle, machine)
 
@@ -419,7 +421,7 @@
         if sess not in self.clients:
             return True
         # The window of an earlier dial may have ended meanwhile as well.
-        may = self.balancer.roster.may_dial(
+        may = self.balancer.endpoint_list.may_attempt(
             now, dial.server, sess.mid_flow
         ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
@@ -440,10 +442,10 @@
         self.heard(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
-            self.balancer.on_accepted(now, sess)
+            self.balancer.on_session_accepted(now, sess)
         else:
             self.clients[sess] = client
-            self.balancer.on_open_session(now, sess, dial.server)
+            self.balancer.on_session_taken_over(now, sess, dial.server)
 
     def dial_over(self, dial, outcome):
         client, now = dial.client, self.now()
@@ -478,7 +480,7 @@
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
         if figures:
-            self.balancer.on_report(self.now(), server, figures)
+            self.balancer.on_load_report(self.now(), server, figures)
 
     # What the decisions call for
 
@@ -524,7 +526,7 @@
         self.clock.at(at, self.ring, name)
 
     def ring(self, name):
-        self.balancer.on_alarm(self.now(), name)
+        self.balancer.on_timer(self.now(), name)
 
     def log(self, text):
         self.log_event("decision", what=text)
@@ -545,7 +547,9 @@
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
-        self.balancer.on_probed(self.now(), server, AttemptOutcome.AT_CAPACITY, None)
+        self.balancer.on_probe_result(
+            self.now(), server, AttemptOutcome.AT_CAPACITY, None
+        )
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
@@ -559,7 +563,9 @@
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
-            self.balancer.on_probed(self.now(), server, AttemptOutcome.RESET, None)
+            self.balancer.on_probe_result(
+                self.now(), server, AttemptOutcome.RESET, None
+            )
 
     def close_link(self):
         for link in list(self.links.values()):
@@ -574,4 +580,4 @@
         figures = report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
-        self.balancer.on_probed(self.now(), link.server, outcome, figures)
+        self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -194,37 +194,41 @@
             "up": sum(client.up for client in self.clients.values()),
             "placed": sum(len(server.sessions) for server in self.servers.values()),
             "sockets": self.carrier.sockets,
-            "servers": len(self.balancer.roster.servers),
+            "servers": len(self.balancer.endpoint_list.servers),
             "left_out": self.left_out(self.now()),
             "doubted": {
                 server.name: round(server.report_correction, 2)
-                for server in self.balancer.roster.servers
+                for server in self.balancer.endpoint_list.servers
                 if server.report_correction != 1.0
             },
-            "further_withheld": self.balancer.budget.withheld,
+            "further_withheld": self.balancer.retry_budget.denied,
             **({"peers": self.peers.status.metrics()} if self.peers else {}),
         }
 
     def left_out(self, now):
         """The ready servers that nothing new goes to, by name, and why."""
         balancer = self.balancer
-        servers = list(balancer.roster.servers)
+        servers = list(balancer.endpoint_list.servers)
         return {
             server.name: why
             for why, test in (
                 (
                     "cold, past its budget",
-                    lambda server: not balancer.cold.allows(now, server),
+                    lambda server: not balancer.slow_start.allows(now, server),
                 ),
                 (
                     "full",
                     lambda server: (
-                        balancer.levels.expected(now, server) >= balancer.levels.full
+                        balancer.load_estimator.expected_load(now, server)
+                        >= balancer.load_estimator.overload_threshold
                     ),
                 ),
-                ("late", lambda server: balancer.levels.late_now(now, server)),
-                ("failing", lambda server: balancer.health.failing(now, server)),
-                ("silent", balancer.health.silent),
+                ("late", lambda server: balancer.load_estimator.is_late(now, server)),
+                (
+                    "failing",
+                    lambda server: balancer.outlier_detector.failing(now, server),
+                ),
+                ("silent", balancer.outlier_detector.silent),
             )
             for server in servers
             if test(server)
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -43,13 +43,15 @@
     def by_hand(self, name, out, told=None):
         """Kept first, then in force: whether it outlives this process. Raises OSError with nothing changed.
         `told`: the other process that said so."""
-        held = dict(self.balancer.roster.out)
+        held = dict(self.balancer.endpoint_list.maintenance_since_ms)
         if out:
             held.setdefault(name, self.now())
         else:
             held.pop(name, None)
         path = bans.path_of(self.node)
-        if path and list(held) != list(self.balancer.roster.out):
+        if path and list(held) != list(
+            self.balancer.endpoint_list.maintenance_since_ms
+        ):
             try:
                 bans.write(
                     path,
@@ -61,7 +63,7 @@
                 # The other process has kept it, and said yes: it counts here all the same.
                 self.log_event("bad bans", path=path, what=str(wrong))
         self.log_event("out by hand" if out else "put back", server=name, out=len(held))
-        self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
+        self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
             self.upgrade.forward_maintenance(name, out, told)
         return bool(path)
@@ -73,9 +75,13 @@
                 bans.read(path, self.limits.names).items() if path else ()
             ):
                 self.names[name] = None
-                self.balancer.roster.out.setdefault(name, self.clock.from_wall(since))
+                self.balancer.endpoint_list.maintenance_since_ms.setdefault(
+                    name, self.clock.from_wall(since)
+                )
                 self.log_event(
-                    "out by hand", server=name, out=len(self.balancer.roster.out)
+                    "out by hand",
+                    server=name,
+                    out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
         except (OSError, ValueError) as wrong:
             self.log_event("bad bans", path=path, what=str(wrong))
@@ -161,7 +167,7 @@
         self.clock.soon(self.followed)
 
     def followed(self):
-        self.balancer.on_list(self.now(), UpdateKind.DELTA, [])
+        self.balancer.on_endpoint_update(self.now(), UpdateKind.DELTA, [])
 
     def listed(self, found, kind=None):
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
@@ -182,13 +188,13 @@
             kind = (
                 UpdateKind.DELTA
             )  # nothing of it could be read: it is no list of nobody
-        before = dict(self.balancer.roster.servers)
+        before = dict(self.balancer.endpoint_list.servers)
         try:
-            self.balancer.on_list(self.now(), kind, entries)
+            self.balancer.on_endpoint_update(self.now(), kind, entries)
         except Exception:
             # Who leaves is not dialled any more. But asked for again, the list has to change the slots as well: whoever
             # joined or left by it does so once more.
-            self.balancer.roster.servers = before
+            self.balancer.endpoint_list.servers = before
             raise
         self.note_told(entries, kind, version)
         for server in moved:
@@ -230,7 +236,7 @@
 
     def forget_gone(self):
         """Names may be new with every release: those that left would add up. One that comes back is new."""
-        ready = self.balancer.roster.servers
+        ready = self.balancer.endpoint_list.servers
         for name, server in list(self.servers.items()):
             if (
                 server.phase is Phase.GONE
@@ -248,7 +254,8 @@
         gone = (
             old
             for old in self.names
-            if old not in self.servers and old not in self.balancer.roster.out
+            if old not in self.servers
+            and old not in self.balancer.endpoint_list.maintenance_since_ms
         )
         for old in list(islice(gone, max(0, over))):
             del self.names[old]
@@ -260,7 +267,7 @@
             started or 0.0
         ):
             self.log_event("told by a peer", server=server.name, phase=phase.value)
-            self.balancer.on_list(
+            self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
                 [(server, phase, server.weight, started)],
--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -102,7 +102,7 @@
             )
         if verdict:
             servers = self._proxy.servers
-            self._proxy.balancer.on_witnesses(
+            self._proxy.balancer.on_peer_health_reports(
                 now_ms,
                 [servers[name] for name in verdict.failing_for_all if name in servers],
                 [
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -163,7 +163,7 @@
             cluster=self.settings.cluster,
             seeds=len(self.settings.seeds),
         )
-        self.proxy.balancer.cold.rights = self.limits.permit
+        self.proxy.balancer.slow_start.external_permits = self.limits.permit
         self.membership.start(self.clock.now(), self.settings.seeds)
         self.tick()
 
@@ -218,7 +218,7 @@
 
     def capacity_estimate(self) -> float:
         """Return what a warm server bears of this proxy's connections, as it finds."""
-        return self.proxy.balancer.levels.borne
+        return self.proxy.balancer.load_estimator.warm_up_capacity_estimate
 
     # Sending
 
@@ -394,4 +394,4 @@
         quota = self.limits.quota(now_ms)
         if quota != self.quota_in_force:
             self.quota_in_force = quota
-            self.proxy.balancer.on_fleet(now_ms, quota)
+            self.proxy.balancer.on_quota_changed(now_ms, quota)
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -19,14 +19,14 @@
     def enter(self, now, sess):
         if not self.budget.allows(now, sess):
             return self.before.back(now, sess, None)
-        self.budget.dialled(now, sess)
+        self.budget.record_attempt(now, sess)
         sess.attempts.append(Attempt(sess.server, now))
-        self.cold.dialled(now, sess.server)
+        self.cold.record_attempt(now, sess.server)
         left = sess.deadline_ms - now
         # A silent server must not hold a session until its client gives up, and a slow shared
         # store must not be asked twice: most of the time goes to the first dial, not all of it.
         # One that has just answered a probe is not silent.
-        alive = self.levels.age(now, sess.server) < self.alive
+        alive = self.levels.sample_age_ms(now, sess.server) < self.alive
         self.actions.dial(
             sess, sess.server, left if alive or len(sess.attempts) > 1 else left * 0.6
         )
@@ -35,14 +35,14 @@
         self.before.accepted(now, sess)
         sess.accepted_ms = now
         sess.server.sessions[sess] = None
-        self.table.accepted(now, sess)
+        self.table.add_session(now, sess)
         self.health.dialled(now, sess.server, True)
 
     def back(self, now, sess, outcome):
         dial = sess.attempts[-1]
         dial.may_have_executed = not outcome.never_executed
         if outcome is AttemptOutcome.NEVER_SENT:
-            self.budget.never_sent(sess)
+            self.budget.refund_unsent(sess)
         if outcome in (
             AttemptOutcome.ERROR,
             AttemptOutcome.CONNECT_FAILED,
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -72,9 +72,9 @@
         number=None,
         slots=4096,
     ):
-        self.actions, self.passes_through = actions, passes_through
+        self.effects, self.passes_through = actions, passes_through
         self.uniform = rng.uniform
-        self.table = SlotTable(
+        self.slot_table = SlotTable(
             rng.choice,
             size=slots,
             least=4,
@@ -86,7 +86,7 @@
             near=self.nearness(crossing_price, move_price),
             reach=32,
         )
-        self.levels = LoadEstimator(
+        self.load_estimator = LoadEstimator(
             report_names,
             proxies,
             fresh=5 * self.TICK,
@@ -98,7 +98,7 @@
             tells_late=tells_late,
         )
         self.longest_spread = min(ask_every / 2, LIST_POLL_MAX_MS)
-        self.roster = EndpointList(
+        self.endpoint_list = EndpointList(
             actions,
             must_ask,
             min(self.longest_spread, proxies * LIST_CALL_MS),
@@ -107,15 +107,15 @@
             rng.uniform,
             gone_binds,
         )
-        self.health = OutlierDetector(
+        self.outlier_detector = OutlierDetector(
             pause=250.0,
             stood=0.4 * self.EARLY,
             memory=self.CONNECTION_LIFE,
             shared_memory=5000.0,
         )
-        self.ways = PathLatency(fresh=5 * self.TICK)
-        self.cold = SlowStartLimiter(
-            self.levels,
+        self.path_latency = PathLatency(fresh=5 * self.TICK)
+        self.slow_start = SlowStartLimiter(
+            self.load_estimator,
             start_share,
             cold_for,
             cold_multiple,
@@ -123,11 +123,11 @@
             rng.uniform(0.0, proxies) if number is None else number,
             proxies,
         )
-        self.budget = RetryBudget(*(budget or (0.0, 0.0, 0.0)))
+        self.retry_budget = RetryBudget(*(budget or (0.0, 0.0, 0.0)))
         admission = AdmissionControl(
             actions,
             rng.uniform,
-            self.health,
+            self.outlier_detector,
             longest_wait,
             most_set_ups=256,
             least_set_ups=1 / 32,
@@ -135,41 +135,41 @@
             cut_wait=500.0,
             hold=self.EARLY,
         )
-        self.probes = ProbeScheduler(
+        self.probe_scheduler = ProbeScheduler(
             actions,
             may_probe,
             a_session=3.0,
             every=0.9 * self.TICK,
-            near_full=self.levels.full / 2,
+            near_full=self.load_estimator.overload_threshold / 2,
         )
-        self.placement = ServerSelector(
+        self.server_selector = ServerSelector(
             actions,
-            self.table,
-            self.levels,
-            self.roster,
-            self.health,
-            self.ways,
-            self.cold,
-            self.budget,
-            self.probes,
+            self.slot_table,
+            self.load_estimator,
+            self.endpoint_list,
+            self.outlier_detector,
+            self.path_latency,
+            self.slow_start,
+            self.retry_budget,
+            self.probe_scheduler,
             most_dials,
             most_asked=4,
             recent=0.4 * self.TICK,
         )
-        self.dialling = AttemptRunner(
+        self.attempt_runner = AttemptRunner(
             actions,
-            self.table,
-            self.levels,
-            self.health,
-            self.cold,
-            self.budget,
+            self.slot_table,
+            self.load_estimator,
+            self.outlier_detector,
+            self.slow_start,
+            self.retry_budget,
             alive=self.TICK,
         )
-        self.next_probes = deque()
-        self.first = admission
+        self.due_probes = deque()
+        self.admission = admission
         for earlier, later in (
-            (admission, self.placement),
-            (self.placement, self.dialling),
+            (admission, self.server_selector),
+            (self.server_selector, self.attempt_runner),
         ):
             earlier.next, later.before = later, earlier
 
@@ -182,130 +182,133 @@
         )
 
     def on_start(self, now):
-        self.roster.begin(now)
-        self.cold.since = now
+        self.endpoint_list.start(now)
+        self.slow_start.process_started_ms = now
         # Proxies that start together would otherwise probe every server in the same instant.
-        self.actions.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+        self.effects.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
 
-    def on_list(self, now, kind, entries):
-        joined, left = self.roster.update(now, kind, entries)
-        self.table.update(now, joined, dict.fromkeys(left), self.roster.servers)
+    def on_endpoint_update(self, now, kind, entries):
+        joined, left = self.endpoint_list.update(now, kind, entries)
+        self.slot_table.update(
+            now, joined, dict.fromkeys(left), self.endpoint_list.servers
+        )
         for server in joined:
             # In unlike order at each proxy, or all would probe the same servers first.
             server.last_probe_ms = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
         for what, servers in (("joined", joined), ("left", left)):
             if servers:
-                self.actions.log(
-                    f"list: {len(servers)} {what}, {len(self.roster.servers)} ready"
+                self.effects.log(
+                    f"list: {len(servers)} {what}, {len(self.endpoint_list.servers)} ready"
                 )
 
-    def on_hand(self, now, name, out, server):
+    def set_maintenance(self, now, name, out, server):
         """A server is left out by hand, or put back, also if it is not listed now (`server` None). It drains
         as by list, and comes back as one that has just started: it may have, before any list tells so."""
-        held = self.roster.out
+        held = self.endpoint_list.maintenance_since_ms
         if out:
             held.setdefault(name, now)
         elif name in held:
-            self.roster.back[name] = held.pop(name), now
+            self.endpoint_list.maintenance_ended_ms[name] = held.pop(name), now
         if server is not None and (server.phase is Phase.READY) is out:
-            self.on_list(
+            self.on_endpoint_update(
                 now,
                 UpdateKind.MAINTENANCE,
                 [(server, server.listed_phase, server.weight, server.started_ms)],
             )
 
-    def on_fleet(self, now, share):
+    def on_quota_changed(self, now, share):
         """This proxy's part of what all may do together, as far as it knows who is there."""
-        self.levels.take_share(share)
-        self.roster.spread = min(self.longest_spread, LIST_CALL_MS / max(share, 1e-6))
+        self.load_estimator.set_quota(share)
+        self.endpoint_list.poll_spread_ms = min(
+            self.longest_spread, LIST_CALL_MS / max(share, 1e-6)
+        )
 
-    def on_witnesses(self, now, failing, here):
+    def on_peer_health_reports(self, now, failing, here):
         """Other proxies' sight: `failing` ones fail for them all and are tried by one session at a time, like
         those that failed here; of those that fail `here` alone the way is to blame, and nothing shared."""
         for server in failing:
-            if not self.health.ill(now, server):
+            if not self.outlier_detector.ill(now, server):
                 server.recent_results.extend([(now, False)] * 2)
-        self.health.dials = deque(
-            (dial for dial in self.health.dials if dial[1] not in here),
-            maxlen=self.health.dials.maxlen,
+        self.outlier_detector.dials = deque(
+            (dial for dial in self.outlier_detector.dials if dial[1] not in here),
+            maxlen=self.outlier_detector.dials.maxlen,
         )
 
     def on_session(self, now, sess):
         # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
         # connections pay: a proxy that takes over from another knows little of what it is handed.
-        self.budget.took(now)
+        self.retry_budget.record_session(now)
         if sess.mid_flow or not (sess.is_client_retry or sess.returning):
-            self.probes.session(self.roster.servers)
-        self.first.enter(now, sess)
+            self.probe_scheduler.session(self.endpoint_list.servers)
+        self.admission.enter(now, sess)
 
-    def on_open_session(self, now, sess, server):
-        sess.slot = self.table.slot(sess)
+    def on_session_taken_over(self, now, sess, server):
+        sess.slot = self.slot_table.slot_of(sess)
         sess.server = server
         sess.attempts.append(Attempt(server, now))
-        self.dialling.accepted(now, sess)
+        self.attempt_runner.accepted(now, sess)
 
-    def on_carried(self, now, sess, server):
+    def on_session_handed_over(self, now, sess, server):
         """A session that another process of this proxy set up."""
-        sess.slot = self.table.slot(sess)
+        sess.slot = self.slot_table.slot_of(sess)
         sess.server = server
         sess.attempts.append(Attempt(server, sess.accepted_ms))
         server.sessions[sess] = None
-        self.table.accepted(now, sess)
+        self.slot_table.add_session(now, sess)
 
-    def on_accepted(self, now, sess):
-        self.dialling.accepted(now, sess)
+    def on_session_accepted(self, now, sess):
+        self.attempt_runner.accepted(now, sess)
 
     def on_outcome(self, now, sess, outcome, closed):
         self.forget(sess)
         if outcome is AttemptOutcome.RESET and sess.accepted_ms is not None:
-            self.health.broke(now, sess.server, sess.accepted_ms)
+            self.outlier_detector.broke(now, sess.server, sess.accepted_ms)
             if now - sess.accepted_ms < self.EARLY:
-                self.first.failed(now)
+                self.admission.failed(now)
         if closed or sess.has_ended:
-            self.on_hang_up(now, sess)
+            self.on_client_left(now, sess)
         else:
             if outcome is AttemptOutcome.CONNECT_FAILED:
                 self.second_witness(now, sess.server)
-            self.dialling.back(now, sess, outcome)
+            self.attempt_runner.back(now, sess, outcome)
 
-    def on_hang_up(self, now, sess):
+    def on_client_left(self, now, sess):
         sess.has_ended = True
-        self.first.under_way.pop(sess, None)
+        self.admission.under_way.pop(sess, None)
         self.forget(sess)
 
     def forget(self, sess):
         if sess.server is not None and sess in sess.server.sessions:
             del sess.server.sessions[sess]
-            self.table.ended(sess)
-
-    def on_notice(self, now, sess, load=None, message_ms=None):
-        if load is not None:
-            sess.load = load
-        if (
-            message_ms is not None
-            and message_ms > sess.listener.message_target_ms
-            and sess.server
-        ):
+            self.slot_table.remove_session(sess)
+
+    def on_load_declared(self, now, sess, load):
+        sess.load = load
+
+    def on_message_latency(self, now, sess, message_ms):
+        if message_ms > sess.listener.message_target_ms and sess.server:
             # Where the way alone takes so long the server is not to blame.
-            far = self.ways.slow(now, sess.server, sess.listener.message_target_ms)
-            self.levels.told_late(
+            far = self.path_latency.slow(
+                now, sess.server, sess.listener.message_target_ms
+            )
+            self.load_estimator.record_late_message(
                 now,
                 sess.server,
                 0.0 if far else message_ms / sess.listener.message_target_ms,
             )
 
-    def on_probed(self, now, server, outcome, report):
+    def on_probe_result(self, now, server, outcome, report):
         sent, server.probe_sent_ms = server.probe_sent_ms, None
         if outcome is AttemptOutcome.COMPLETED:
             if sent is not None:
-                self.ways.took(now, server, now - sent)
+                self.path_latency.took(now, server, now - sent)
             server.unanswered_probes = 0
-            self.levels.sample(now, server, report)
+            self.load_estimator.record_sample(now, server, report)
         elif outcome is not AttemptOutcome.AT_CAPACITY:
             # One that has too many probes to answer is not a silent one.
             server.unanswered_probes += 1
             self.second_witness(now, server)
-        self.placement.answered(
+        self.server_selector.answered(
             now,
             server,
             outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY),
@@ -314,32 +317,32 @@
     def second_witness(self, now, server):
         if server.is_removal_unconfirmed:
             left = {}
-            self.roster.lose(now, server, Phase.GONE, left)
-            self.roster.keep_ready()
-            self.table.update(now, [], left, self.roster.servers)
-            self.actions.log("list: 1 left, it gives no answer either")
+            self.endpoint_list.mark_leaving(now, server, Phase.GONE, left)
+            self.endpoint_list.keep_ready()
+            self.slot_table.update(now, [], left, self.endpoint_list.servers)
+            self.effects.log("list: 1 left, it gives no answer either")
 
-    def on_report(self, now, server, report):
-        self.levels.sample(now, server, report)
+    def on_load_report(self, now, server, report):
+        self.load_estimator.record_sample(now, server, report)
 
-    def on_unanswered(self, now, sess, waited):
+    def on_message_unanswered(self, now, sess, waited):
         """A line got nothing back: its server or the way there is gone without a word. Where two wait and
         nothing at all came from there meanwhile, the others need not find out one by one."""
         server = sess.server
         if waited >= self.SILENCE:
-            self.actions.move(sess)
+            self.effects.move(sess)
         elif (
             now - server.last_received_ms >= self.QUIET
             and server.unanswered_session not in (None, sess)
         ):
-            server.unanswered_probes = 2 if self.probes.allowed else 0
-            self.actions.log(
+            server.unanswered_probes = 2 if self.probe_scheduler.allowed else 0
+            self.effects.log(
                 f"move: {len(server.sessions)} connections off a server that says nothing"
             )
             self.send_away(list(server.sessions), 1)
         server.unanswered_session = sess
 
-    def on_heard(self, now, server):
+    def on_server_activity(self, now, server):
         server.last_received_ms, server.unanswered_session = now, None
 
     def on_stop(self, now, last):
@@ -347,7 +350,7 @@
         packets pass through, connections go on without this proxy."""
         if not self.passes_through:
             self.send_away(
-                [sess for held in self.table.sessions for sess in held],
+                [sess for held in self.slot_table.sessions for sess in held],
                 1 if last else 4,
             )
 
@@ -355,59 +358,66 @@
         """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
         are set up anew, and at once they would swamp what set-ups depend on."""
         for sess in sessions[: math.ceil(len(sessions) / parts)]:
-            self.actions.move(sess)
+            self.effects.move(sess)
 
-    def on_alarm(self, now, name):
+    def on_timer(self, now, name):
         if name == "follow":
-            self.roster.ask(now)
+            self.endpoint_list.poll(now)
         elif name == "tick":
-            self.actions.alarm("tick", now + self.TICK)
+            self.effects.alarm("tick", now + self.TICK)
             self.tick(now)
         elif name.startswith("wait "):
-            self.placement.out_of_patience(now, int(name[5:]))
-        elif name == "probe" and self.next_probes:
-            server = self.next_probes.popleft()
+            self.server_selector.out_of_patience(now, int(name[5:]))
+        elif name == "probe" and self.due_probes:
+            server = self.due_probes.popleft()
             if server.phase is Phase.READY:
-                self.probes.send(now, server)
+                self.probe_scheduler.send(now, server)
 
     def tick(self, now):
-        self.table.close(now)
-        self.levels.believe(now, self.roster.servers)
+        self.slot_table.finish_transitions(now)
+        self.load_estimator.update_report_corrections(now, self.endpoint_list.servers)
         warm = [
-            server for server in self.roster.servers if not self.cold.cold(now, server)
+            server
+            for server in self.endpoint_list.servers
+            if not self.slow_start.is_warming(now, server)
         ]
-        self.levels.learn(now, warm)
-        levels = self.levels.levels(now, self.roster.servers)
-        shifted = self.table.halve(
+        self.load_estimator.update_capacity_estimate(now, warm)
+        levels = self.load_estimator.levels(now, self.endpoint_list.servers)
+        shifted = self.slot_table.shift_slots(
             now,
             levels,
             self.CONNECTION_LIFE,
             lambda server: (
-                not self.health.ill(now, server) and not self.cold.cold(now, server)
+                not self.outlier_detector.ill(now, server)
+                and not self.slow_start.is_warming(now, server)
             ),
         )
         if shifted:
-            self.actions.log(
+            self.effects.log(
                 f"shift: {shifted[1]} slots off a server on level {levels[shifted[0]]}"
             )
         self.relieve(now)
-        self.table.serving = {
-            server: None for server in self.table.serving if server.sessions
+        self.slot_table.active_servers = {
+            server: None for server in self.slot_table.active_servers if server.sessions
         }
         for server in [
-            server for server in self.table.serving if server.phase is Phase.DRAINING
+            server
+            for server in self.slot_table.active_servers
+            if server.phase is Phase.DRAINING
         ]:
             # In three ticks: servers were seen to end 3.2 s after this proxy was told.
             self.send_away(
                 list(server.sessions),
                 max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
             )
-        due = self.probes.due(
-            now, self.roster.servers, self.levels.figures(now, self.roster.servers)
+        due = self.probe_scheduler.due(
+            now,
+            self.endpoint_list.servers,
+            self.load_estimator.loads(now, self.endpoint_list.servers),
         )
-        self.next_probes = deque(due)
+        self.due_probes = deque(due)
         for place in range(len(due)):
-            self.actions.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
+            self.effects.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
 
     def relieve(self, now):
         """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
@@ -415,17 +425,20 @@
         have room, and from full capacity in any case: past it nobody there is served, and those
         who must wait outside cost less. Whole slots go, so that a group is not spread; half the excess
         at a time, since reports lag behind the moves, but all of it past full capacity."""
-        full = self.levels.full
+        full = self.load_estimator.overload_threshold
         loads = {
             server: load
-            for server, load in self.levels.figures(now, self.roster.servers).items()
-            if self.levels.of_capacity and not self.health.silent(server)
+            for server, load in self.load_estimator.loads(
+                now, self.endpoint_list.servers
+            ).items()
+            if self.load_estimator.reports_utilisation
+            and not self.outlier_detector.silent(server)
         }
         room = sum(full - load for load in loads.values()) > 0
         late = [
             server
-            for server in self.roster.servers
-            if self.levels.late_now(now, server)
+            for server in self.endpoint_list.servers
+            if self.load_estimator.is_late(now, server)
         ]
         for server in dict.fromkeys(chain(loads, late)):
             load = loads.get(server, 1.0)
@@ -441,13 +454,13 @@
             for sess in sorted(
                 server.sessions,
                 key=lambda sess: (
-                    self.table.home[sess.slot] is server,
-                    -self.table.lowest[sess.slot],
+                    self.slot_table.preferred_servers[sess.slot] is server,
+                    -self.slot_table.claim_scores[sess.slot],
                 ),
             )[:count]:
-                self.actions.move(sess)
+                self.effects.move(sess)
             if count:
                 server.next_migration_ms = now + 2 * self.TICK
-                self.actions.log(
+                self.effects.log(
                     f"move: {count} connections off a server at {load:.1f} of its capacity"
                 )
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -11,7 +11,7 @@
     def __init__(
         self, actions, must_ask, spread, drain_grace, sized, uniform, gone_binds
     ):
-        self.gone_binds, self.spread, self.actions, self.sized = (
+        self.gone_binds, self.poll_spread_ms, self.actions, self.sized = (
             gone_binds,
             spread,
             actions,
@@ -19,17 +19,17 @@
         )
         self.must_ask, self.drain_grace, self.uniform = must_ask, drain_grace, uniform
         self.servers = {}  # ready ones, in order of name: the same at every proxy
-        self.out = {}  # names of those that are out by hand -> since when
-        self.back = {}  # of those put back -> (since when they were out, until when)
+        self.maintenance_since_ms = {}  # names of those that are out by hand -> since when
+        self.maintenance_ended_ms = {}  # of those put back -> (since when they were out, until when)
         self.following, self.asked, self.failures = False, None, 0
 
-    def begin(self, now):
+    def start(self, now):
         """The list service is one for all and does not grow with them: a call by every proxy at the start
         would be turned away for most, and their next ones too."""
         if self.must_ask:
-            self.actions.alarm("follow", now + self.uniform(0.0, self.spread))
+            self.actions.alarm("follow", now + self.uniform(0.0, self.poll_spread_ms))
 
-    def ask(self, now):
+    def poll(self, now):
         if self.must_ask and not self.following and self.asked is None:
             self.asked = now
             self.actions.follow_list(True)
@@ -42,7 +42,7 @@
             self.following, self.asked, self.failures = False, None, self.failures + 1
             wait = min(
                 LIST_POLL_MAX_MS,
-                max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5),
+                max(500.0, self.poll_spread_ms / 2) * 2.0 ** min(self.failures, 5),
             )
             self.actions.alarm("follow", now + wait * self.uniform(0.5, 1.0))
             return [], []
@@ -52,9 +52,9 @@
         for server, phase, weight, started in entries:
             listed[server] = None
             server.listed_phase, server.is_removal_unconfirmed = phase, False
-            if phase is Phase.READY and server.name in self.out:
+            if phase is Phase.READY and server.name in self.maintenance_since_ms:
                 phase = Phase.DRAINING
-            since, until = self.back.get(server.name, (-math.inf, None))
+            since, until = self.maintenance_ended_ms.get(server.name, (-math.inf, None))
             if (
                 started is None
                 and until is not None
@@ -88,12 +88,12 @@
                     ) = 0, None, 1.0
                 server.phase = Phase.READY
             elif server.phase is Phase.READY or server in self.servers:
-                self.miss(now, server, phase, left)
+                self.handle_missing(now, server, phase, left)
             else:
                 server.phase = phase
         if kind not in (UpdateKind.DELTA, UpdateKind.MAINTENANCE):
             for server in [server for server in self.servers if server not in listed]:
-                self.miss(now, server, Phase.GONE, left)
+                self.handle_missing(now, server, Phase.GONE, left)
         self.servers.update(joined)
         self.keep_ready()
         return [server for server in joined if server in self.servers], list(left)
@@ -105,21 +105,21 @@
             if server.phase is Phase.READY
         }
 
-    def miss(self, now, server, phase, left):
+    def handle_missing(self, now, server, phase, left):
         """Where only draining binds, a list without a server is one witness: it leaves when it also gives no
         answer. One that was seen draining is never ready here, so no silence of a list brings it back."""
         if phase is Phase.GONE and not self.gone_binds:
             server.is_removal_unconfirmed = True
         else:
-            self.lose(now, server, phase, left)
+            self.mark_leaving(now, server, phase, left)
 
     @staticmethod
-    def lose(now, server, phase, left):
+    def mark_leaving(now, server, phase, left):
         server.phase = phase
         server.leaving_since_ms = now
         left[server] = None
 
-    def may_dial(self, now, server, mid_flow):
+    def may_attempt(self, now, server, mid_flow):
         """Rule 3. A draining server still carries on what it holds, but only within the grace."""
         if server.phase is Phase.READY:
             return True
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -17,33 +17,33 @@
             late_for,
             late,
         )
-        self.full, self.names, self.fresh = full, names, fresh
+        self.overload_threshold, self.names, self.fresh = full, names, fresh
         # Load over capacity says most; a queue or a count of connections only orders the servers.
         self.source = next(
             (name for name in ("x0", "util", "queue") if name in names), None
         )
-        self.of_capacity = self.source in ("x0", "util")
-        self.share = 1.0 / proxies  # of what all proxies may do together
+        self.reports_utilisation = self.source in ("x0", "util")
+        self.quota = 1.0 / proxies  # of what all proxies may do together
         # Until some connections are held: this proxy's part of a few dozen in all.
-        self.bearable = 40.0 * self.share
-        self.found = deque(maxlen=5)  # the last of what it was found to be
-        self.firm = deque(
+        self.capacity_estimate = 40.0 * self.quota
+        self.capacity_samples = deque(maxlen=5)  # the last of what it was found to be
+        self.settled_capacity_samples = deque(
             maxlen=5
         )  # the same, since sessions came slowly for the first time
-        self.held = 0.0  # on a warm server, a tick ago
+        self.previous_mean_sessions = 0.0  # on a warm server, a tick ago
         # A proxy that has just started holds nothing on servers that others have loaded: without a floor it
         # took each of its connections for a whole server and refused nearly all.
         self.floor = floor
         self.base = 1.0 if self.source == "queue" else 0.25
 
-    def sample(self, now, server, report):
+    def record_sample(self, now, server, report):
         if self.source and report and len(report) == len(self.names):
             if (
                 figure := report[self.names.index(self.source)]
             ) is not None and 0 <= figure < math.inf:
                 server.load_samples.append((now, figure))
 
-    def figure(self, now, server):
+    def load(self, now, server):
         # Smoothed over two that lie close together: an older one says how it was before the rush.
         samples = (
             server.load_samples
@@ -55,80 +55,91 @@
             (first + last) / 2 if earlier > when - self.together else last
         ) * server.report_correction
 
-    def figures(self, now, servers):
+    def loads(self, now, servers):
         """Of those that have one: with hundreds of proxies each sees few servers at a time."""
         return {
             server: found
             for server in servers
-            if (found := self.figure(now, server)) is not None
+            if (found := self.load(now, server)) is not None
         }
 
-    def learn(self, now, warm):
+    def update_capacity_estimate(self, now, warm):
         """What a warm server bears at full load, in this proxy's own connections. A proxy among hundreds
         holds less than one a server: only those on all together, over their mean load, tell it."""
         fresh = [
             server
             for server in warm
-            if self.of_capacity and self.age(now, server) < self.together
+            if self.reports_utilisation
+            and self.sample_age_ms(now, server) < self.together
         ]
         loads = [
             load / min(1.0, server.report_correction)
-            for server, load in self.figures(now, fresh).items()
+            for server, load in self.loads(now, fresh).items()
         ]
         held = sum(len(server.sessions) for server in warm) / max(1, len(warm))
         if held and loads:
             # Not the last alone: one odd report would count for all.
-            self.found.append(held / max(0.05, fmean(loads)))
-            self.bearable = median(self.found)
+            self.capacity_samples.append(held / max(0.05, fmean(loads)))
+            self.capacity_estimate = median(self.capacity_samples)
             # Loads are told later than sessions come: after a start, while they come fast, more stands there
             # than was reported. A first finding of six times the truth pushed all cold servers over.
-            if self.firm or held <= 1.5 * self.held:
-                self.firm.append(self.found[-1])
-        self.held = held
+            if (
+                self.settled_capacity_samples
+                or held <= 1.5 * self.previous_mean_sessions
+            ):
+                self.settled_capacity_samples.append(self.capacity_samples[-1])
+        self.previous_mean_sessions = held
 
     @property
-    def borne(self):
+    def warm_up_capacity_estimate(self):
         """The same, as far as cold servers may be filled by it."""
-        return median(self.firm) if self.firm else min(self.bearable, 40.0 * self.share)
+        return (
+            median(self.settled_capacity_samples)
+            if self.settled_capacity_samples
+            else min(self.capacity_estimate, 40.0 * self.quota)
+        )
 
-    def take_share(self, share):
+    def set_quota(self, share):
         """What is found follows a larger share by itself, but a smaller one too late."""
-        less = min(1.0, share / self.share) if self.share else 1.0
-        self.found, self.firm = (
-            deque((each * less for each in kept), 5) for kept in (self.found, self.firm)
+        less = min(1.0, share / self.quota) if self.quota else 1.0
+        self.capacity_samples, self.settled_capacity_samples = (
+            deque((each * less for each in kept), 5)
+            for kept in (self.capacity_samples, self.settled_capacity_samples)
+        )
+        self.capacity_estimate = (
+            self.capacity_estimate * less if self.capacity_samples else 40.0 * share
         )
-        self.bearable = self.bearable * less if self.found else 40.0 * share
-        self.share = share
+        self.quota = share
 
-    def expected(self, now, server):
+    def expected_load(self, now, server):
         """The probed load with what this proxy has dialled since; 0 when nothing is known. Without
         it all sessions between two probes would crowd onto the server that looked best."""
-        figure = self.figure(now, server) if self.of_capacity else None
+        figure = self.load(now, server) if self.reports_utilisation else None
         if figure is None:
             return 0.0
         since = server.load_samples[-1][0] - self.late
         return figure + sum(when > since for when in server.attempt_times_ms) / max(
-            self.floor, self.bearable
+            self.floor, self.capacity_estimate
         )
 
-    def told_late(self, now, server, times):
+    def record_late_message(self, now, server, times):
         """Evidence before belief: where messages miss their target a server is near full at least, whatever
         it reports; so late as `times` the target, and again within 3 s. Each second without such a notice
         takes a part of the doubt back, more where connections of this proxy stand there to tell."""
         again = now - server.last_late_message_ms < 2 * self.late_for
         server.last_late_message_ms = now
-        figure = self.figure(now, server) if self.of_capacity else None
+        figure = self.load(now, server) if self.reports_utilisation else None
         if figure and times and again:
             server.report_correction = min(
                 8.0,
                 server.report_correction * max(1.0, 0.95 * min(1.0, times) / figure),
             )
 
-    def believe(self, now, servers):
+    def update_report_corrections(self, now, servers):
         """Also the other way: one that says it is past its capacity while this proxy's connections there
         hear nothing late says too much. Where late ones are not told, nothing speaks against it."""
         for server in servers:
-            if server.report_correction > 1.0 and not self.late_now(now, server):
+            if server.report_correction > 1.0 and not self.is_late(now, server):
                 server.report_correction = max(
                     1.0, server.report_correction * (0.85 if server.sessions else 0.93)
                 )
@@ -138,7 +149,7 @@
                 and server.report_correction <= 1.0
             ):
                 first = next(iter(server.sessions), None)
-                over = (self.figure(now, server) or 0.0) >= server.report_correction
+                over = (self.load(now, server) or 0.0) >= server.report_correction
                 if (
                     not over
                     or first
@@ -151,11 +162,11 @@
                         else min(1.0, server.report_correction * 1.01)
                     )
 
-    def late_now(self, now, server):
+    def is_late(self, now, server):
         """Told, free of any probe, that messages there miss their target: it is full, by how much unknown."""
         return now - server.last_late_message_ms < self.late_for
 
-    def age(self, now, server):
+    def sample_age_ms(self, now, server):
         return now - server.load_samples[-1][0] if server.load_samples else math.inf
 
     def level(self, figure):
@@ -163,7 +174,7 @@
 
     def levels(self, now, servers):
         if self.source:
-            known = self.figures(now, servers)
+            known = self.loads(now, servers)
         else:
             mean = fmean([len(server.sessions) for server in servers] or [0]) or 1.0
             known = {server: len(server.sessions) / mean for server in servers}
--- a/wheathill/policy/retry_budget.py
+++ b/wheathill/policy/retry_budget.py
@@ -10,52 +10,54 @@
     dear sessions ask much and then stop, cheap ones find too little for one span."""
 
     def __init__(self, free, share, span):
-        self.free, self.share, self.span = free, share, span
+        self.free_retries, self.retries_per_session, self.span = free, share, span
         # Of the last span: when sessions came; (when, utility of the session) of further dials; of wanted.
-        self.taken, self.spent, self.asked = (
+        self.session_times_ms, self.retries, self.requests = (
             deque(maxlen=None if span else 0) for _ in range(3)
         )
-        self.withheld = 0
+        self.denied = 0
 
-    def wanted(self, now, sess):
-        self.asked.append((now, sess.listener.priority_weight))
+    def request(self, now, sess):
+        self.requests.append((now, sess.listener.priority_weight))
         return self.allows(now, sess)
 
-    def took(self, now):
-        self.taken.append(now)
-        self.forget(now)
+    def record_session(self, now):
+        self.session_times_ms.append(now)
+        self.expire(now)
 
-    def forget(self, now):
+    def expire(self, now):
         # The carrier counts in units of its own: at both ends of the window the dearer reading counts.
-        while self.taken and self.taken[0] <= now - self.span + 1.0:
-            self.taken.popleft()
-        for kept in (self.spent, self.asked):
+        while (
+            self.session_times_ms and self.session_times_ms[0] <= now - self.span + 1.0
+        ):
+            self.session_times_ms.popleft()
+        for kept in (self.retries, self.requests):
             while kept and kept[0][0] < now - self.span - 1.0:
                 kept.popleft()
 
     def allows(self, now, sess):
         if not self.span or not sess.attempts:
             return True
-        self.forget(now)
+        self.expire(now)
         utility = sess.listener.priority_weight
         dearer = [
             sum(other > utility for _, other in kept)
-            for kept in (self.asked, self.spent)
+            for kept in (self.requests, self.retries)
         ]
         room = (
-            self.free
-            + self.share * len(self.taken)
-            - len(self.spent)
+            self.free_retries
+            + self.retries_per_session * len(self.session_times_ms)
+            - len(self.retries)
             - max(0, dearer[0] - dearer[1])
         )
-        self.withheld += room < 1.0
+        self.denied += room < 1.0
         return room >= 1.0
 
-    def dialled(self, now, sess):
+    def record_attempt(self, now, sess):
         if sess.attempts:
-            self.spent.append((now, sess.listener.priority_weight))
+            self.retries.append((now, sess.listener.priority_weight))
 
-    def never_sent(self, sess):
+    def refund_unsent(self, sess):
         mark = (sess.attempts[-1].sent_ms, sess.listener.priority_weight)
-        if len(sess.attempts) > 1 and mark in self.spent:
-            self.spent.remove(mark)
+        if len(sess.attempts) > 1 and mark in self.retries:
+            self.retries.remove(mark)
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -48,14 +48,14 @@
         )
 
     def enter(self, now, sess):
-        sess.slot = self.table.slot(sess)
+        sess.slot = self.table.slot_of(sess)
         if sess.mid_flow:
             # The server keeps such a connection for a short time only: asked at once, ill or not. Only
             # a cold one keeps its budget: where the guess is wrong the connection is set up anew there.
-            server = self.table.find(sess.key, sess.slot)
+            server = self.table.find_mid_flow(sess.key, sess.slot)
             if (
                 server is not None
-                and self.roster.may_dial(now, server, True)
+                and self.roster.may_attempt(now, server, True)
                 and self.cold.allows(now, server)
             ):
                 return self.dial(now, sess, server)
@@ -66,10 +66,10 @@
         """Exception: where the table's server will not do, those that hold the session's group here, then
         those of the slots after its own. They act only for ill, tried and leaving servers, for cold ones
         past their budget, and for overdriven ones: halving comes too late for those."""
-        first = self.table.place(now, sess.key, sess.slot)
+        first = self.table.assign(now, sess.key, sess.slot)
         seen = {dial.server: None for dial in sess.attempts}
-        holding = list(self.table.holders.get(sess.group, ()))
-        for server in chain((first,), holding, self.table.others(sess.slot)):
+        holding = list(self.table.group_holders.get(sess.group, ()))
+        for server in chain((first,), holding, self.table.following_servers(sess.slot)):
             if server is not None and server not in seen:
                 seen[server] = None
                 yield server
@@ -115,14 +115,14 @@
         if (
             sess.probes_requested >= self.most_asked
             or not self.probes.allowed
-            or not self.levels.of_capacity
+            or not self.levels.reports_utilisation
         ):
             return False
-        age = self.levels.age(now, server)
+        age = self.levels.sample_age_ms(now, server)
         # One that was full a moment ago is hardly empty now: who came again found the same ones full.
         return (
             age > self.recent
-            and not self.levels.late_now(now, server)
+            and not self.levels.is_late(now, server)
             and (age > 4 * self.recent or self.has_room(now, sess, server))
             and sess.deadline_ms - now > sess.listener.dial_timeout_ms / 2
         )
@@ -154,7 +154,7 @@
 
     def usable(self, now, sess, server):
         return (
-            self.roster.may_dial(now, server, False)
+            self.roster.may_attempt(now, server, False)
             and may_retry(now, sess, server)
             and self.cold.allows(now, server)
         )
@@ -162,7 +162,7 @@
     def has_room(self, now, sess, server):
         # One that holds the group takes its member for far less than one that does not. What is not held
         # through this proxy is likely held through others, where its slot leads.
-        holders = self.table.holders.get(sess.group, ())
+        holders = self.table.group_holders.get(sess.group, ())
         part = (
             1.0
             if sess.group is None or server in holders
@@ -173,13 +173,14 @@
         known = (
             server is sess.preferred_server
             or not self.probes.allowed
-            or not self.levels.of_capacity
-            or self.levels.figure(now, server) is not None
+            or not self.levels.reports_utilisation
+            or self.levels.load(now, server) is not None
         )
         return (
             known
-            and self.levels.expected(now, server) < self.levels.full * part
-            and not self.levels.late_now(now, server)
+            and self.levels.expected_load(now, server)
+            < self.levels.overload_threshold * part
+            and not self.levels.is_late(now, server)
         )
 
     def dial(self, now, sess, server):
@@ -196,7 +197,7 @@
             and sess.deadline_ms > now
             and outcome not in (None, AttemptOutcome.CANCELLED)
         )
-        if sensible and possible and self.budget.wanted(now, sess):
+        if sensible and possible and self.budget.request(now, sess):
             sess.candidates = sess.candidates or self.choices(now, sess)
             self.go(now, sess)
         else:
--- a/wheathill/policy/slow_start.py
+++ b/wheathill/policy/slow_start.py
@@ -16,30 +16,34 @@
         self, levels, start_share, cold_for, multiple, window, number, proxies
     ):
         self.levels, self.start_share, self.cold_for = levels, start_share, cold_for
-        self.multiple, self.window, self.number, self.proxies = (
+        self.multiple, self.window, self.proxy_index, self.proxy_count = (
             multiple,
             max(1.0, window),
             number,
             proxies,
         )
-        self.since = math.inf  # this process began; the one before it may have dialled
-        self.rights = None  # where proxies know each other: (server, dials for each borne) -> own dials
+        self.process_started_ms = (
+            math.inf
+        )  # this process began; the one before it may have dialled
+        self.external_permits = None  # where proxies know each other: (server, dials for each borne) -> own dials
 
-    def cold(self, now, server):
+    def is_warming(self, now, server):
         return server.started_ms is not None and now < server.started_ms + self.cold_for
 
-    def turn(self, now, server):
+    def rotation_position(self, now, server):
         """Between 0 and 1, anew each window, which no two proxies begin together. Multiples of the golden
         ratio fill the circle evenly (Steinhaus's three gaps): below a part lies that part of the proxies."""
         window = (
-            max(0.0, now - server.started_ms) / self.window + self.number / self.proxies
+            max(0.0, now - server.started_ms) / self.window
+            + self.proxy_index / self.proxy_count
         )
         return (
-            (self.number + int(window)) * self.GOLDEN + server.hash_draws[0] / 2**16
+            (self.proxy_index + int(window)) * self.GOLDEN
+            + server.hash_draws[0] / 2**16
         ) % 1.0
 
     def allows(self, now, server):
-        if not self.cold(now, server):
+        if not self.is_warming(now, server):
             return True
         ready = (
             self.start_share
@@ -48,9 +52,9 @@
         # A server fills over its warm-up at the fastest; a quarter is left for repeats, probes, handshakes.
         unit = 0.75 * ready * self.multiple * self.window / self.cold_for
         part = (
-            unit * self.levels.borne
-            if self.rights is None
-            else self.rights(server.name, unit)
+            unit * self.levels.warm_up_capacity_estimate
+            if self.external_permits is None
+            else self.external_permits(server.name, unit)
         )
         server.warmup_attempt_times_ms[:] = [
             when for when in server.warmup_attempt_times_ms if when > now - self.window
@@ -58,17 +62,19 @@
         whole, rest = divmod(part, 1.0)
         # Two turns that follow one another fall into one window of the server's: each has half of the part. But
         # for so few proxies that one dial more of each is within what chance has beyond what is allowed.
-        allowed = part * self.proxies / 0.75
-        few = self.proxies * (1.0 - rest) <= 0.75 * (
+        allowed = part * self.proxy_count / 0.75
+        few = self.proxy_count * (1.0 - rest) <= 0.75 * (
             allowed / 4 + 2 * math.sqrt(allowed) + 2
         )
-        most = whole + (self.turn(now, server) < (rest if few else rest / 2))
+        most = whole + (
+            self.rotation_position(now, server) < (rest if few else rest / 2)
+        )
         return (
             len(server.warmup_attempt_times_ms) < most
-            and now >= self.since + self.window
+            and now >= self.process_started_ms + self.window
         )
 
-    def dialled(self, now, server):
+    def record_attempt(self, now, server):
         server.attempt_times_ms.append(now)
-        if self.cold(now, server):
+        if self.is_warming(now, server):
             server.warmup_attempt_times_ms.append(now)
