--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -12,7 +12,7 @@
 
 from wheathill.lab.cores import fleets
 from wheathill.lab.worlds import network
-from wheathill.peers.frames import HEAD, Seal
+from wheathill.peers.frames import HEADER, FrameAuthenticator
 
 KEY = b"the lab's own"
 CLUSTER = "lab"
@@ -21,26 +21,36 @@
 # Adapters: one place for each name of the program that may change.
 
 
+def frame_authenticator(name: str, generation: int) -> FrameAuthenticator:
+    """Returns what makes and opens the frames of a process of the scripted fleet."""
+    return FrameAuthenticator(
+        cluster=CLUSTER, shared_key=KEY, name=name, generation=generation
+    )
+
+
 def frame_opener(birth: int) -> Callable[[bytes], Any]:
     """Returns what opens frames for the process of that birth; it raises for those that it does not take."""
-    return Seal(CLUSTER, KEY, "opener", birth).open
+    return frame_authenticator("opener", birth).decode_frame
 
 
 def frame_maker(version: int, name: str, birth: int) -> Callable[[int, list], bytes]:
     """Returns what makes frames of that process: called with the receiver's birth and the message."""
-    seal = Seal(CLUSTER, KEY, name, birth)
-    seal.VERSION = version
-    return seal.close
+    authenticator = frame_authenticator(name, birth)
+    authenticator.version = version
+    return authenticator.encode_frame
 
 
 def feed_datagram(instance: Any, data: bytes, address: tuple[str, int]) -> None:
     """Gives an instance a datagram that came from `address`."""
-    instance.links.received(data, address)
+    instance.transport.received(data, address)
 
 
 def counts_of(instance: Any) -> tuple[int, dict]:
     """Returns how many messages an instance has taken, and those it dropped by reason."""
-    return instance.links.taken, instance.links.dropped
+    return (
+        instance.transport.metrics.messages_received,
+        instance.transport.metrics.dropped,
+    )
 
 
 def set_health(fleet: "RecordedFleet", name: str, server: str, well: bool) -> None:
@@ -171,7 +181,7 @@
 
 def body_of(frame: bytes) -> list:
     """Returns [cluster, name, birth, the receiver's birth, counter, message] of one frame."""
-    return msgspec.msgpack.decode(frame[HEAD.size :])
+    return msgspec.msgpack.decode(frame[HEADER.size :])
 
 
 def kind_of(frame: bytes) -> str:
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,14 +5,21 @@
 
 import pytest
 
-from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.cluster_view import (
     UNANSWERED_PROBES,
     ClusterView,
     ClusterViewConfig,
     ViewState,
 )
-from wheathill.peers.frames import Dropped, Seal, Window
+from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
+from wheathill.peers.frames import (
+    MAX_PROCESSES,
+    Frame,
+    FrameAuthenticator,
+    FrameRejectedError,
+    RejectReason,
+    ReplayWindow,
+)
 from wheathill.peers.messages import ViewHeader, ZonedViewHeader
 from wheathill.peers.peer_health_reports import (
     HealthObservation,
@@ -21,69 +28,109 @@
     PeerHealthReports,
     ServerHealth,
 )
+from wheathill.peers.sender_rate_limiter import BURST, SenderRateLimiter
 from wheathill.peers.start_registry import MAX_FUTURE_MS, StartRecord, StartRegistry
+from wheathill.peers.transport_metrics import DropReason
 
 KEY = b"k" * 32
 
 
+def authenticator(name, generation, cluster="c", shared_key=KEY):
+    return FrameAuthenticator(
+        cluster=cluster, shared_key=shared_key, name=name, generation=generation
+    )
+
+
 def pair():
-    return Seal("c", KEY, "a", 1), Seal("c", KEY, "b", 2)
+    return authenticator("a", 1), authenticator("b", 2)
 
 
-def dropped(call, *args):
-    with pytest.raises(Dropped) as why:
+def rejected(call, *args):
+    """The reason for which `call` rejects a frame; it is the text of the log."""
+    with pytest.raises(FrameRejectedError) as caught:
         call(*args)
-    return str(why.value)
+    assert str(caught.value) == caught.value.reason.value
+    return caught.value.reason
 
 
 def test_a_frame_is_good_once_and_for_one_process():
     one, other = pair()
-    frame = one.close(2, ["ping", "x"])
-    assert other.open(frame) == ("a", 1, ["ping", "x"])
-    assert dropped(other.open, frame) == "played again"
-    assert dropped(Seal("c", KEY, "b", 3).open, frame) == "for another process"
-    assert dropped(one.open, frame) == "its own"
+    frame = one.encode_frame(2, ["ping", "x"])
+    assert other.decode_frame(frame) == Frame("a", 1, ["ping", "x"])
+    assert rejected(other.decode_frame, frame) is RejectReason.REPLAYED
+    third = authenticator("b", 3)
+    assert rejected(third.decode_frame, frame) is RejectReason.OTHER_RECEIVER
+    assert rejected(one.decode_frame, frame) is RejectReason.OWN
 
 
 def test_frames_that_are_not_taken():
     one, other = pair()
-    frame = one.close(2, ["x"])
+    frame = one.encode_frame(2, ["x"])
     for place in range(len(frame)):
         spoilt = frame[:place] + bytes([frame[place] ^ 1]) + frame[place + 1 :]
-        assert dropped(other.open, spoilt) in (
-            "damaged",
-            "another version",
-            "another key",
-            "too long",
+        assert rejected(other.decode_frame, spoilt) in (
+            RejectReason.DAMAGED,
+            RejectReason.OTHER_VERSION,
+            RejectReason.OTHER_KEY,
+            RejectReason.TOO_LONG,
         )
-        assert dropped(other.open, frame[:place]) == "damaged"
-    assert dropped(Seal("d", KEY, "b", 2).open, frame) == "another cluster"
-    assert dropped(Seal("c", b"l" * 32, "b", 2).open, frame) == "another key"
-    assert dropped(other.open, one.close(2, [])) == "nonsense"
-    assert dropped(Seal("c", KEY, "b", 2).length, frame, 3) == "too long"
+        truncated = frame[:place]
+        assert rejected(other.decode_frame, truncated) is RejectReason.DAMAGED
+    stranger = authenticator("b", 2, cluster="d")
+    assert rejected(stranger.decode_frame, frame) is RejectReason.OTHER_CLUSTER
+    stranger = authenticator("b", 2, shared_key=b"l" * 32)
+    assert rejected(stranger.decode_frame, frame) is RejectReason.OTHER_KEY
+    empty = one.encode_frame(2, [])
+    assert rejected(other.decode_frame, empty) is RejectReason.MALFORMED
+    assert rejected(other.frame_length, frame, 3) is RejectReason.TOO_LONG
+
+
+def test_reasons_are_counted_and_logged_by_the_same_texts_as_ever():
+    assert [reason.value for reason in (*RejectReason, *DropReason)] == [
+        "damaged",
+        "another version",
+        "too long",
+        "another key",
+        "nonsense",
+        "another cluster",
+        "its own",
+        "for another process",
+        "played again",
+        "too often",
+        "queue full",
+        "stream cut off",
+    ]
 
 
 def test_counters_come_once_in_any_order():
-    chance, window = random.Random(1), Window()
+    chance, window = random.Random(1), ReplayWindow()
     counters = list(range(1, 900))
     chance.shuffle(counters)
-    assert all(window.fresh(counter) for counter in counters)
-    assert not any(window.fresh(counter) for counter in counters)
-    assert window.fresh(5000) and not window.fresh(5000 - Window.WIDTH)
+    assert all(window.accept(counter) for counter in counters)
+    assert not any(window.accept(counter) for counter in counters)
+    assert window.accept(5000) and not window.accept(5000 - ReplayWindow.WIDTH)
 
 
 def test_a_frame_that_waits_while_others_are_told_is_good():
     """As in a stream, while a seed answers hundreds that start; forgotten receivers' counters never begin again."""
     one, other = pair()
-    waits = one.close(2, ["early"])
-    for birth in range(10, 10 + Window.WIDTH + 10):
-        one.close(birth, ["x"])
-    assert other.open(one.close(2, ["late"])) == ("a", 1, ["late"])
-    assert other.open(waits) == ("a", 1, ["early"])
-    for birth in range(10, 10 + Seal.SENDERS + 10):
-        one.close(birth + 100_000, ["x"])
+    waits = one.encode_frame(2, ["early"])
+    for generation in range(10, 10 + ReplayWindow.WIDTH + 10):
+        one.encode_frame(generation, ["x"])
+    assert other.decode_frame(one.encode_frame(2, ["late"])) == Frame("a", 1, ["late"])
+    assert other.decode_frame(waits) == Frame("a", 1, ["early"])
+    for generation in range(10, 10 + MAX_PROCESSES + 10):
+        one.encode_frame(generation + 100_000, ["x"])
     assert 2 not in one.counters
-    assert other.open(one.close(2, ["again"])) == ("a", 1, ["again"])
+    again = other.decode_frame(one.encode_frame(2, ["again"]))
+    assert again == Frame("a", 1, ["again"])
+
+
+def test_a_sender_is_limited_by_itself_and_gets_tokens_back():
+    limiter = SenderRateLimiter()
+    assert all(limiter.allow(0.0, "a") for _ in range(BURST))
+    assert not limiter.allow(0.0, "a") and limiter.allow(0.0, "b")
+    assert [limiter.allow(10.0, "a") for _ in range(3)] == [True, True, False]
 
 
 def cluster_view(name="a", generation=1, expected_proxies=5, **options):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -7,14 +7,14 @@
 import tomllib
 
 import pytest
-from test_peers import dropped
+from test_peers import authenticator, rejected
 
 from wheathill.config import Misconfigured, operator
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers import replicated_table
 from wheathill.peers.cluster_view import ViewState
-from wheathill.peers.frames import Seal
+from wheathill.peers.frames import RejectReason
 from wheathill.peers.membership import (
     Membership,
     MembershipConfig,
@@ -516,7 +516,7 @@
     fleet = small(5)
     fleet.run(8)
     one, streams = fleet.peers["a1-1"], []
-    one.links.stream = lambda *told: streams.append(told)
+    one.transport.send_by_stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
     found = one.encoded_by_bucket(range(replicated_table.BUCKETS))
@@ -695,10 +695,11 @@
 
 
 def test_instances_with_and_without_zones_refuse_each_other():
-    one, other = Seal("c", KEY, "a", 1), Seal("c", KEY, "b", 2)
-    one.VERSION = ZonedPeers.VERSION
-    assert dropped(other.open, one.close(2, ["x"])) == "another version"
-    assert dropped(one.open, other.close(1, ["x"])) == "another version"
+    one, other = authenticator("a", 1), authenticator("b", 2)
+    one.version = ZonedPeers.VERSION
+    version = RejectReason.OTHER_VERSION
+    assert rejected(other.decode_frame, one.encode_frame(2, ["x"])) is version
+    assert rejected(one.decode_frame, other.encode_frame(1, ["x"])) is version
 
 
 FILE = """
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -270,14 +270,23 @@
     def rates(self, seconds):
         """Bytes and messages sent a second, of each, over the next seconds."""
         before = {
-            name: (peers.links.bytes, peers.links.sent)
+            name: (
+                peers.transport.metrics.bytes_sent,
+                peers.transport.metrics.datagrams_sent,
+            )
             for name, peers in self.peers.items()
         }
         self.run(seconds)
         return {
             name: tuple(
                 (new - old) / seconds
-                for new, old in zip((peers.links.bytes, peers.links.sent), before[name])
+                for new, old in zip(
+                    (
+                        peers.transport.metrics.bytes_sent,
+                        peers.transport.metrics.datagrams_sent,
+                    ),
+                    before[name],
+                )
             )
             for name, peers in self.peers.items()
             if name in before
--- a/wheathill/lab/cores/ways.py
+++ b/wheathill/lab/cores/ways.py
@@ -6,7 +6,7 @@
 
 import asyncio
 
-from wheathill.peers.links import Knocks
+from wheathill.peers.fallback_probe import CONNECTION_ATTEMPTS
 
 
 class Faults:
@@ -72,7 +72,8 @@
         tries = sorted(
             start + again
             for start in (
-                number * wait / Knocks.TRIES for number in range(Knocks.TRIES)
+                number * wait / CONNECTION_ATTEMPTS
+                for number in range(CONNECTION_ATTEMPTS)
             )
             for again in (0.0, 1000.0, 3000.0, 7000.0)
             if start + again < wait
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -1,17 +1,17 @@
 """Instances broken on purpose, each in one way that a judge of the fleet must name. `lab/mutant` starts them as
 programs."""
 
-from wheathill.peers.drain_registry import DrainRegistry
 from wheathill.peers.cluster_view import ClusterView
-from wheathill.peers.frames import Seal
-from wheathill.peers.peer_service import PeerService
-from wheathill.peers.links import Knock
+from wheathill.peers.drain_registry import DrainRegistry
+from wheathill.peers.fallback_probe import ProbeConnection
+from wheathill.peers.frames import FrameAuthenticator
 from wheathill.peers.membership import MemberState, updates
 from wheathill.peers.membership.anti_entropy import AntiEntropy
 from wheathill.peers.membership.context import MembershipContext
 from wheathill.peers.membership.name_conflicts import NameOwnership
 from wheathill.peers.membership.refutation import Refutation
 from wheathill.peers.membership.updates import UpdateHandler
+from wheathill.peers.peer_service import PeerService
 from wheathill.peers.zoned import ZonedPeers
 from wheathill.peers.zones import Zones
 from wheathill.policy.balancer import Balancer
@@ -49,7 +49,7 @@
 
 
 def buries_who_stands_still():
-    Knock.connected = lambda self: None
+    ProbeConnection.connected = lambda self: None
 
 
 def takes_no_successor():
@@ -137,7 +137,7 @@
 
 def speaks_another_version():
     """No mutant, but a member of a later build."""
-    Seal.VERSION += 1
+    FrameAuthenticator.version += 1
 
 
 VARIANTS = {
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow proxies: everything of a proxy's control part and no sessions, many in one process.
 
 `python -m wheathill.lab.scale.hollow` reads orders from its standard input, a line of JSON each, and answers each with
-a line. Under a `PeerService` stands what it asks of a proxy; its links, seal, membership, facts, drains and witnesses are the
+a line. Under a `PeerService` stands what it asks of a proxy; its transport, frames, membership, facts, drains and witnesses are the
 ones that a proxy runs, over real loopback sockets. Times are in the fleet's ms, which a rate of time stretches.
 """
 
@@ -93,19 +93,19 @@
 
 
 class Acquainted(dict):
-    """The addresses that links have spoken to, where they have spoken to all: made at first use, since all of them for
+    """The addresses that a transport has spoken to, where they have spoken to all: made at first use, since all of them for
     all members would not fit this machine."""
 
     def __init__(self, layout):
-        from wheathill.peers.links import Peer
+        from wheathill.peers.transport import RemoteAddress
 
-        self.layout, self.peer = layout, Peer
+        self.layout, self.remote_address = layout, RemoteAddress
 
     def get(self, address, default=None):
         if address not in self:
             number = self.layout.number_at(address.rpartition(":")[0])
-            self[address] = self.peer(address)
-            self[address].birth = self.layout.birth(number, 1)
+            self[address] = self.remote_address(address)
+            self[address].generation = self.layout.birth(number, 1)
         return self[address]
 
 
@@ -136,12 +136,15 @@
             ],
         )
     del peers.update_view
-    peers.links.peers = Acquainted(layout)
+    transport = peers.transport
+    transport.remote_addresses = Acquainted(layout)
     if full:
         for other in others:
-            peers.links.peer(layout.address(other))
-            peers.links.allowed(layout.address(other))
-            peers.seal.take(layout.name(other), layout.birth(other, 1), 0)
+            transport.remote(layout.address(other))
+            transport.rate_limiter.allow(now, layout.address(other))
+            peers.authenticator.accept_counter(
+                layout.name(other), layout.birth(other, 1), 0
+            )
     peers.log_event = log
     peers.membership.gossip.clear()
     # It asks nobody: at a start of all, answers of whole states would still be on their way when it is measured.
@@ -170,7 +173,7 @@
 
     def start(self, wait=0.0, together=None, full=False):
         """`wait`: ms until it says anything; `together`: numbers of all members where it is to know them from the start,
-        else None; `full`: also all that its links would hold of them after a while."""
+        else None; `full`: also all that its transport would hold of them after a while."""
         from wheathill.peers import PeerEnvironment, create_peer_service
 
         crew, layout = self.crew, self.crew.layout
@@ -207,7 +210,7 @@
         if self.peers is None:
             return
         self.clock.stopped = True
-        self.peers.links.close()
+        self.peers.transport.close()
         if self.crew.shape:
             self.carrier.kill()
         self.peers = None
@@ -244,8 +247,13 @@
             self.crew.counts[f"{event} {fields.get('why') or fields.get('what')}"] += 1
 
     def figures(self):
-        links = self.peers.links
-        return [links.sent, links.taken, links.bytes, links.bytes_in]
+        metrics = self.peers.transport.metrics
+        return [
+            metrics.datagrams_sent,
+            metrics.messages_received,
+            metrics.bytes_sent,
+            metrics.bytes_received,
+        ]
 
 
 class Crew:
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -3,7 +3,7 @@
 
 from wheathill.lab.scripts.language import SENT, expand
 from wheathill.net.machine import Machine
-from wheathill.peers.frames import Dropped, Seal
+from wheathill.peers.frames import FrameAuthenticator, FrameRejectedError
 
 NEIGHBOURS = 4  # busy processes beside a starved one
 STRANGE = 200  # messages of a stranger
@@ -227,7 +227,9 @@
             self.world,
             list(self.seats),
             on,
-            Seal("lab", key, "stranger", 7),
+            FrameAuthenticator(
+                cluster="lab", shared_key=key, name="stranger", generation=7
+            ),
             self.chance("stranger"),
         ).begin()
         return None
@@ -246,22 +248,23 @@
 
 
 class Stranger(Machine):
-    """Learns an instance's birth from a stream, as anybody can, and then sends it lies and nonsense."""
+    """Learns an instance's generation from a stream, as anybody can, and then sends it lies and nonsense."""
 
-    def __init__(self, world, members, on, seal, chance):
+    def __init__(self, world, members, on, authenticator, chance):
         super().__init__(world, world.carrier.limits, world.clock)
-        self.world, self.members, self.on, self.seal = world, members, on, seal
+        self.world, self.members, self.on = world, members, on
+        self.authenticator = authenticator
         self.randbytes = chance.randbytes
-        self.birth = self.sent = 0
+        self.generation = self.sent = 0
 
     def begin(self):
         self.wire = self.world.carrier.connect(self, self.world.peers[self.on][0])
 
     def received(self, data):
         try:
-            self.seal.open(bytes(data))
-        except Dropped as why:
-            self.birth = why.birth or 0
+            self.authenticator.decode_frame(bytes(data))
+        except FrameRejectedError as error:
+            self.generation = error.sender_generation or 0
         self.wire.abort()
         self.say()
 
@@ -279,7 +282,9 @@
             ["", True, 1e300, ["starts", [["g1", 1e18]]]],
         ]
         frame = (
-            self.seal.close(self.birth, words[self.sent % len(words)])
+            self.authenticator.encode_frame(
+                self.generation, words[self.sent % len(words)]
+            )
             if self.sent % 7
             else self.randbytes(60)
         )
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -75,7 +75,7 @@
             node.balancer["proxies"],
         )
         if self.odd and self.odd.version:
-            self.proxy.peers.seal.VERSION += 1
+            self.proxy.peers.authenticator.version += 1
         self.host.clock.soon(self.proxy.peers.start)
 
     @property
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -15,16 +15,14 @@
 from wheathill.peers.derived_config import cluster_view_config, membership_config
 from wheathill.peers.environment import Closeable, PeerEnvironment
 from wheathill.peers.fleet_limits import FleetLimits
-from wheathill.peers.frames import Seal
+from wheathill.peers.frames import Frame, FrameAuthenticator, RejectReason
 from wheathill.peers.health_exchange import EvidenceLimits, HealthExchange
-from wheathill.peers.links import Links
 from wheathill.peers.member_rotation import MemberRotation
 from wheathill.peers.membership import (
     FallbackProbe,
     Member,
     Membership,
     MemberState,
-    ProbeResult,
     StateSync,
     Timer,
 )
@@ -52,6 +50,7 @@
     ServerUpdates,
 )
 from wheathill.peers.status import StatusReporter, StatusSources
+from wheathill.peers.transport import PeerTransport
 from wheathill.peers.view_comparison import ViewComparison
 
 # Members that are notified at once that this view has changed; more of them learn it
@@ -110,16 +109,14 @@
 
     def _open_transport(self, environment: PeerEnvironment, generation: int) -> None:
         settings = self.settings
-        self.seal = Seal(
-            settings.cluster, settings.shared_key, settings.name, generation
+        self.authenticator = FrameAuthenticator(
+            cluster=settings.cluster,
+            shared_key=settings.shared_key,
+            name=settings.name,
+            generation=generation,
         )
-        self.links = Links(
-            environment.carrier,
-            self.clock,
-            self.log_event,
-            self.seal,
-            self.on_message,
-            settings.listen,
+        self.transport = PeerTransport(
+            environment, self.authenticator, self.on_message, settings.listen
         )
 
     def _create_membership(self, generation: int) -> Membership:
@@ -147,7 +144,7 @@
             limits=self.limits,
             server_updates=self.server_updates,
             health=self.health,
-            links=self.links,
+            transport=self.transport,
         )
 
     def _create_status(self) -> StatusReporter:
@@ -170,7 +167,7 @@
     def leave(self) -> None:
         """Leave the cluster in order, so that the others need not find out."""
         self.membership.leave()
-        self.links.close()
+        self.transport.close()
         if self._control_socket:
             self._control_socket.close()
 
@@ -231,7 +228,7 @@
         self, address: str | None, words: Sequence[Any], is_bulk: bool = False
     ) -> None:
         """Send a message that is encoded already; one in bulk goes by stream."""
-        self.links.send(address, [*self.header().encode(), words], is_bulk)
+        self.transport.send(address, [*self.header().encode(), words], is_bulk)
 
     def send_message(self, address: str, message: Message) -> None:
         """Send a message to one member."""
@@ -263,15 +260,16 @@
 
     # Receiving
 
-    def on_message(
-        self, name: str, generation: int, address: str | None, words: Sequence[Any]
-    ) -> None:
+    def on_message(self, frame: Frame, address: str | None) -> None:
         """Take in a message that the transport has authenticated."""
         try:
-            self.receive(self.clock.now(), Sender(name, generation, address), words)
+            sender = Sender(frame.sender, frame.generation, address)
+            self.receive(self.clock.now(), sender, frame.payload)
         except (ValueError, TypeError, KeyError, IndexError, AttributeError):
             # Of the cluster's key, and yet not of the protocol: only that message.
-            self.links.drop("nonsense", address or name)
+            self.transport.metrics.record_drop(
+                RejectReason.MALFORMED, address or frame.sender
+            )
 
     def receive(self, now_ms: float, sender: Sender, words: Sequence[Any]) -> None:
         """Read a message with its header, and act on it."""
@@ -332,11 +330,11 @@
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """Check by connections whether a process listens at a member's address."""
-        self.links.knock(
+        self.transport.start_fallback_probe(
             probe.address,
             probe.timeout_ms,
             lambda result: self.membership.on_fallback_probe_result(
-                self.clock.now(), probe, ProbeResult(result)
+                self.clock.now(), probe, result
             ),
         )
 
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -8,9 +8,9 @@
 from wheathill.peers.environment import Clock
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.health_exchange import HealthExchange
-from wheathill.peers.links import Links
 from wheathill.peers.membership import Member, Membership, MemberState
 from wheathill.peers.server_updates import ServerUpdates
+from wheathill.peers.transport import PeerTransport
 
 # Quotas under this are shown by two digits, those above by three decimal places.
 SMALL_QUOTA = 0.01
@@ -27,7 +27,7 @@
     limits: FleetLimits
     server_updates: ServerUpdates
     health: HealthExchange
-    links: Links
+    transport: PeerTransport
 
 
 class StatusReporter:
@@ -54,7 +54,7 @@
                 for name in sorted(membership.members)
             ],
             "differs": self.deviations(now_ms),
-            "links": sources.links.figures(),
+            "links": sources.transport.metrics.as_dict(),
         }
 
     def metrics(self) -> dict[str, Any]:
@@ -65,7 +65,7 @@
             "reached": len(sources.view.reachable_names()),
             "fleet": sources.view.max_active_proxies(now_ms),
             "share": round(sources.limits.quota(now_ms), 6),
-            **sources.links.figures(),
+            **sources.transport.metrics.as_dict(),
         }
 
     def deviations(self, now_ms: float) -> list[str]:
--- /dev/null
+++ b/wheathill/peers/streams.py
@@ -0,0 +1,207 @@
+"""Streams between proxies: frames one after another over a connection.
+
+A stream goes one way. The process that accepts it first sends its generation in a
+`hello`, which every frame on the stream then names, so that a recorded stream is valid
+for nobody. A stream without progress is closed.
+"""
+
+from collections import deque
+from collections.abc import Callable
+from dataclasses import dataclass
+from typing import Any
+
+from wheathill.config import Limits
+from wheathill.net.machine import Machine
+from wheathill.peers.connections import Connection
+from wheathill.peers.environment import Clock
+from wheathill.peers.frames import Frame, FrameAuthenticator, FrameRejectedError
+from wheathill.peers.transport_metrics import DropReason, TransportMetrics
+
+HELLO = "hello"
+MAX_FRAME_BODY = 262_144  # bytes
+MAX_QUEUED = 1_048_576  # bytes that wait for one receiver
+STALL_TIMEOUT_MS = 5000.0  # without any progress
+IDLE_TIMEOUT_MS = 10_000.0  # without anything to send or receive
+
+
+@dataclass(frozen=True, slots=True)
+class StreamContext:
+    """What all streams of a transport share."""
+
+    authenticator: FrameAuthenticator
+    metrics: TransportMetrics
+    clock: Clock
+    limits: Limits
+
+
+class PeerStream(Machine):
+    """What both ends of a stream have in common.
+
+    `on_closed` is called with the stream once it is closed.
+    """
+
+    def __init__(
+        self, context: StreamContext, on_closed: Callable[[Any], object]
+    ) -> None:
+        super().__init__(None, context.limits, context.clock)
+        self._authenticator, self._metrics = context.authenticator, context.metrics
+        self._on_closed = on_closed
+        self._buffer = bytearray()
+
+    def received(self, data: bytes) -> None:
+        """Handle the frames that are complete with these bytes."""
+        self._metrics.bytes_received += len(data)
+        self._buffer += data
+        try:
+            while (frame := self._next_frame()) is not None:
+                self._handle_frame(frame)
+        except FrameRejectedError as error:
+            self._metrics.record_drop(error.reason, "a stream")
+            self.end()
+            return
+        # A slow sender gets the same time for each frame, not for each byte.
+        if not self._buffer:
+            self.set_timer(IDLE_TIMEOUT_MS, self.end)
+
+    def _next_frame(self) -> bytes | None:
+        length = self._authenticator.frame_length(self._buffer, MAX_FRAME_BODY)
+        if length is None or len(self._buffer) < length:
+            return None
+        frame = bytes(self._buffer[:length])
+        del self._buffer[:length]
+        return frame
+
+    def _handle_frame(self, frame: bytes) -> None:
+        raise NotImplementedError
+
+    def ended(self) -> None:
+        """Close the stream, as the other end has."""
+        self.end()
+
+    def lost(self, reset: bool) -> None:
+        """Close the stream without its connection."""
+        self.end()
+
+    def fault(self) -> None:
+        """Close the stream after an exception in it."""
+        self.end()
+
+    def end(self) -> None:
+        """Close the stream."""
+        self.timer.cancel()
+        self._on_closed(self)
+        self._discard_queue()
+        self.wire.abort()
+
+    def _discard_queue(self) -> None:
+        """Drop what waits to be sent."""
+
+
+class InboundStream(PeerStream):
+    """A stream that another process has opened and sends on."""
+
+    def __init__(
+        self,
+        context: StreamContext,
+        connection: Connection,
+        on_frame: Callable[[Frame], None],
+        on_closed: Callable[["InboundStream"], object],
+    ) -> None:
+        super().__init__(context, on_closed)
+        self.wire = connection
+        self._on_frame = on_frame
+
+    def connected(self) -> None:
+        """Send this process's generation."""
+        hello = self._authenticator.encode_frame(0, [HELLO])
+        self._metrics.bytes_sent += len(hello)
+        self.wire.send(hello)
+        self.set_timer(STALL_TIMEOUT_MS, self.end)
+
+    def received(self, data: bytes) -> None:
+        """Handle the frames that are complete with these bytes."""
+        if not self._buffer:
+            self.set_timer(STALL_TIMEOUT_MS, self.end)
+        super().received(data)
+
+    def _handle_frame(self, frame: bytes) -> None:
+        accepted = self._authenticator.decode_frame(frame)
+        self._metrics.messages_received += 1
+        self._on_frame(accepted)
+
+
+@dataclass(frozen=True, slots=True)
+class QueuedPayload:
+    """A payload that waits to be sent, and the size of its frame."""
+
+    payload: list[Any]
+    frame_size: int
+
+
+class OutboundStream(PeerStream):
+    """A stream to one address.
+
+    Payloads wait until the receiver has sent its generation; they are dropped where it
+    does not read.
+    """
+
+    def __init__(
+        self,
+        context: StreamContext,
+        address: str,
+        on_closed: Callable[["OutboundStream"], object],
+    ) -> None:
+        super().__init__(context, on_closed)
+        self._address = address
+        self._receiver_generation = 0
+        self._queue: deque[QueuedPayload] = deque()
+        self._queued_bytes = 0
+        self.set_timer(STALL_TIMEOUT_MS, self.end)
+
+    def send(self, payload: list[Any]) -> None:
+        """Send a payload, or queue it."""
+        # The frame is encoded again once it is sent, for the generation known by then.
+        generation = self._receiver_generation
+        size = len(self._authenticator.encode_frame(generation, payload))
+        if size > MAX_FRAME_BODY or self._queued_bytes + size > MAX_QUEUED:
+            self._metrics.record_drop(DropReason.QUEUE_FULL, self._address)
+            return
+        self._queue.append(QueuedPayload(payload, size))
+        self._queued_bytes += size
+        if self._receiver_generation:
+            self._send_queued()
+
+    def _handle_frame(self, frame: bytes) -> None:
+        """Take the generation from the receiver's `hello`, which names no receiver."""
+        try:
+            self._authenticator.decode_frame(frame)
+        except FrameRejectedError as error:
+            if error.sender_generation is None:
+                raise
+            self._receiver_generation = error.sender_generation
+            self._send_queued()
+
+    def _send_queued(self) -> None:
+        while self._queue and not self.wire.full:
+            queued = self._queue.popleft()
+            self._queued_bytes -= queued.frame_size
+            self._metrics.bytes_sent += queued.frame_size
+            self.wire.send(
+                self._authenticator.encode_frame(
+                    self._receiver_generation, queued.payload
+                )
+            )
+        is_waiting = bool(self._queue) or self.wire.full
+        self.set_timer(STALL_TIMEOUT_MS if is_waiting else IDLE_TIMEOUT_MS, self.end)
+
+    def blocked(self, on: bool) -> None:
+        """Give the receiver time to read, or go on once it has."""
+        if on:
+            self.set_timer(STALL_TIMEOUT_MS, self.end)
+        else:
+            self._send_queued()
+
+    def _discard_queue(self) -> None:
+        if self._queue:
+            self._metrics.record_drop(DropReason.STREAM_CLOSED, self._address)
+            self._queue.clear()
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -49,7 +49,7 @@
     def __init__(self, settings, environment, generation, expected_proxies):
         expected = max(1, settings.layout.zone(settings.zone).proxies)
         super().__init__(settings, environment, generation, expected)
-        self.seal.VERSION = self.VERSION
+        self.authenticator.version = self.VERSION
         # Who starts out of everyone's reach can't know that others took over the part of the process before it.
         self.cluster_view.minimum_proxies = expected
         self.news = {}  # key -> record that waits to be passed on
@@ -146,26 +146,21 @@
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """A process may have taken the address that is of another zone now, by its file: nobody of this one ever meets
-        it, and its connections come up all the same. That the one before is gone is what links have found since."""
+        it, and its connections come up all the same. That the one before is gone is what the transport has found since."""
         began = self.clock.now()
 
         def told(result):
-            member, peer = (
-                self.membership.members.get(probe.name),
-                self.links.peers.get(probe.address),
-            )
+            member = self.membership.members.get(probe.name)
             replaced = (
                 member is not None
                 and member.last_seen_ms <= began
-                and peer is not None
-                and probe.generation in peer.past
+                and self.transport.is_replaced(probe.address, probe.generation)
             )
-            found = ProbeResult(result)
-            if found == ProbeResult.REACHABLE and replaced:
-                found = ProbeResult.REFUSED
-            self.membership.on_fallback_probe_result(self.clock.now(), probe, found)
+            if result is ProbeResult.REACHABLE and replaced:
+                result = ProbeResult.REFUSED
+            self.membership.on_fallback_probe_result(self.clock.now(), probe, result)
 
-        self.links.knock(probe.address, probe.timeout_ms, told)
+        self.transport.start_fallback_probe(probe.address, probe.timeout_ms, told)
 
     # The board
 
@@ -252,7 +247,7 @@
         bucket is all of it, and goes by stream where that is more. `found`: {bucket: its records, encoded}."""
         some, records, size = [], [], 0
         for bucket, within in found.items():
-            length = len(self.seal.encode(within))
+            length = self.authenticator.encoded_size(within)
             if some and size + length > self.CHUNK:
                 yield some, records
                 some, records, size = [], [], 0
@@ -266,7 +261,7 @@
         """As many as a datagram takes."""
         part, size = [], 0
         for record in records:
-            length = len(self.seal.encode(record))
+            length = self.authenticator.encoded_size(record)
             if part and size + length > self.CHUNK:
                 yield part
                 part, size = [], 0
