--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -7,15 +7,17 @@
 from functools import partial
 
 from wheathill.model import Phase
-from wheathill.peers.board import SERVER, Board
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.health_exchange import EvidenceLimits
 from wheathill.peers.membership import FallbackProbe, ProbeResult
 from wheathill.peers.messages import DigestNote, ZonedViewHeader
 from wheathill.peers.peer_service import PeerService
+from wheathill.peers.replicated_table import ReplicatedTable
+from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.server_updates import ServerUpdates
 from wheathill.peers.status import StatusReporter
+from wheathill.peers.table_records import RecordCodec
 from wheathill.peers.zones import (
     AT_WORK,
     DELEGATES,
@@ -24,7 +26,8 @@
     OUT_OF_REACH,
     REACHED,
     Zones,
-    check,
+    decode_summary,
+    encode_summary,
 )
 
 NEWS, DIFFER, HAVE, BEAT, BEATEN = "news", "differ", "have", "beat", "beaten"
@@ -65,13 +68,16 @@
 
     def _create_view(self, generation, expected_proxies):
         settings = self.settings
-        self.board = Board([zone.name for zone in settings.layout.zones], check)
+        names = [zone.name for zone in settings.layout.zones]
+        self.codec = RecordCodec(names, decode_summary, encode_summary)
+        self.replicated_table = ReplicatedTable(names)
+        self.server_records = ServerRecords(self.replicated_table)
         self.zones = Zones(
             self.clock.now(),
             settings.layout,
             settings.zone,
             f"{settings.name} {generation}",
-            self.board,
+            self.replicated_table,
             settings.probe_interval_ms,
             self.random.shuffle,
             self.random.choice,
@@ -86,13 +92,15 @@
     def _create_server_updates(self):
         return ReplicatedServerUpdates(
             self.proxy,
-            self.board,
+            self.server_records,
             self.wall,
             lambda record: self.begin(self.clock.now(), record),
         )
 
     def _create_status(self):
-        return ZonedStatus(self._status_sources(), self.zones, self.board, self.state)
+        return ZonedStatus(
+            self._status_sources(), self.zones, self.replicated_table, self.state
+        )
 
     def wall(self):
         return self.clock.to_wall(self.clock.now())
@@ -104,7 +112,7 @@
             self.settings.zone,
             super().header(),
             self.settings.layout.version,
-            self.board.digest,
+            self.replicated_table.digest,
         )
 
     def receive(self, now, sender, words):
@@ -128,7 +136,7 @@
             self.handle_message(now, sender, message)
         else:
             raise ValueError(f"{kind!r} is not said between zones")
-        if header.table_digest == self.board.digest:
+        if header.table_digest == self.replicated_table.digest:
             self.same_at = now
             self.answers.clear()
         elif sender.address is not None:
@@ -163,26 +171,28 @@
 
     def on_board(self, now, zone, address, kind, rest):
         if kind == NEWS:
-            self.learn(now, rest[0], zone)
+            self.learn(now, self.codec.decode_all(rest[0]), zone)
         elif kind == BEAT:
-            self.learn(now, rest[1], zone)
+            self.learn(now, self.codec.decode_all(rest[1]), zone)
             self.send_words(rest[0], [BEATEN, self.summaries()])
         elif kind == BEATEN:
-            self.learn(now, rest[0], zone)
+            self.learn(now, self.codec.decode_all(rest[0]), zone)
         elif kind == DIFFER:
             where, sums = rest
             if self.asks < self.MOST_ASKS:
                 self.asks += 1
-                for part in self.parts(self.board.within(self.board.differing(sums))):
+                buckets = self.replicated_table.differing_buckets(sums)
+                for part in self.parts(self.encoded_by_bucket(buckets)):
                     self.send_words(
                         where, [HAVE, self.settings.advertise_address, *part]
                     )
         else:
-            where, buckets, records = rest
+            where, buckets, encoded = rest
             self.answers.pop(where, None)
-            ahead = self.board.ahead(buckets, records)
+            records = self.codec.decode_all(encoded)
+            ahead = self.replicated_table.newer_records(buckets, records)
             self.learn(now, records, zone)
-            for part in self.chunks(ahead):
+            for part in self.chunks(self.codec.encode_all(ahead)):
                 self.send_words(where, [NEWS, part])
 
     def ask_difference(self, now, address):
@@ -204,7 +214,12 @@
         the next one would be asked two periods later."""
         if self.answers.get(address) == since:
             self.send_words(
-                address, [DIFFER, self.settings.advertise_address, self.board.sums]
+                address,
+                [
+                    DIFFER,
+                    self.settings.advertise_address,
+                    self.replicated_table.bucket_digests,
+                ],
             )
             if tries > 1:
                 self.clock.after(
@@ -226,9 +241,15 @@
         if self.answers.get(address) == since:
             del self.answers[address]
 
+    def encoded_by_bucket(self, buckets):
+        found = self.replicated_table.records_by_bucket(buckets)
+        return {
+            bucket: self.codec.encode_all(records) for bucket, records in found.items()
+        }
+
     def parts(self, found):
         """(buckets, all records in them), as many as a datagram takes, which needs no connection first: what is told of one
-        bucket is all of it, and goes by stream where that is more. `found` as `Board.within`."""
+        bucket is all of it, and goes by stream where that is more. `found`: {bucket: its records, encoded}."""
         some, records, size = [], [], 0
         for bucket, within in found.items():
             length = len(self.seal.encode(within))
@@ -255,15 +276,11 @@
             yield part
 
     def learn(self, now, records, zone):
-        news = self.board.merge(self.wall(), records)
+        news = self.replicated_table.merge(self.wall(), records)
         if news:
             self.pass_on(now, news, abroad=zone == self.settings.zone)
             self.server_updates.apply(
-                [
-                    record[0][len(SERVER) :]
-                    for record in news
-                    if record[0].startswith(SERVER)
-                ]
+                [record.server for record in news if record.server is not None]
             )
 
     def pass_on(self, now, records, abroad):
@@ -272,9 +289,9 @@
         if not self.news:
             self.clock.after(self.BATCH, self.tell_on)
         for record in records:
-            self.news[record[0]] = record
+            self.news[record.key] = record
             if abroad:
-                self.abroad[record[0]] = record
+                self.abroad[record.key] = record
         self.zones_say()
 
     def begin(self, now, record):
@@ -303,7 +320,7 @@
             )
 
     def tell_each(self, addresses, records):
-        for part in self.chunks(records):
+        for part in self.chunks(self.codec.encode_all(records)):
             for address in addresses:
                 self.send_words(address, [NEWS, part])
 
@@ -322,8 +339,8 @@
 
     def summaries(self):
         """The record of the own zone's summary, if there is one."""
-        record = self.board.summary(self.settings.zone)
-        return [] if record is None else [record]
+        record = self.replicated_table.summary(self.settings.zone)
+        return [] if record is None else [self.codec.encode(record)]
 
     def state(self):
         """Of the own zone; one of a single member is agreed with itself."""
@@ -356,7 +373,7 @@
     def tick(self):
         now = self.clock.now()
         self.asks = 0
-        self.board.forget(self.wall())
+        self.replicated_table.remove_expired(self.wall())
         super().tick()
         delegates = self.delegates()
         alone = (
@@ -441,9 +458,9 @@
 class ReplicatedServerUpdates(ServerUpdates):
     """Drains and starts by the board. `wall()`: Unix ms; `begin(record)` passes on what begins here."""
 
-    def __init__(self, proxy, board, wall, begin):
+    def __init__(self, proxy, records, wall, begin):
         super().__init__(proxy)
-        self.board, self.wall, self.begin = board, wall, begin
+        self.records, self.wall, self.begin = records, wall, begin
 
     def handle(self, now, sender, update):
         raise ValueError("drains and starts go over the board")
@@ -452,7 +469,7 @@
         pass  # the board is compared with each message
 
     def _share_entry(self, server, entry):
-        record = self.board.list_says(
+        record = self.records.update_from_list(
             self.wall(),
             server,
             entry.phase is Phase.DRAINING,
@@ -462,18 +479,18 @@
             self.begin(record)
 
     def _latest_start_ms(self, server, listed_start_ms):
-        return self.board.start(server, listed_start_ms)
+        return self.records.latest_start_ms(server, listed_start_ms)
 
     def _is_draining(self, server, process_start_ms):
-        return self.board.drains(server, process_start_ms)
+        return self.records.is_draining(server, process_start_ms)
 
 
 class ZonedStatus(StatusReporter):
     """With the zones. `state()`: of the own one."""
 
-    def __init__(self, sources, zones, board, state):
+    def __init__(self, sources, zones, table, state):
         super().__init__(sources)
-        self.zones, self.board, self.state = zones, board, state
+        self.zones, self.replicated_table, self.state = zones, table, state
 
     def table(self):
         sources, zones, mine = self._sources, self.zones, self.state()
@@ -490,7 +507,7 @@
             "region_state": zones.region_state(mine).value,
             "fleet_state": zones.fleet_state(mine).value,
             "zones": [self._zone_row(zone) for zone in layout.zones],
-            "board": len(self.board.records),
+            "board": len(self.replicated_table.records),
         }
 
     def _zone_row(self, zone):
