--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -32,12 +32,12 @@
         entry = peers.record_list_entry(
             name, Phase.DRAINING if draining else Phase.READY, started
         )
-        server.started = entry.process_start_ms
-        server.listed = entry.phase
+        server.started_ms = entry.process_start_ms
+        server.listed_phase = entry.phase
 
     def told_by_peers(self, server, phase, born):
-        if server.listed is not phase:
-            server.listed = phase
+        if server.listed_phase is not phase:
+            server.listed_phase = phase
             self.told.setdefault((server.name, phase.value), self.clock.now())
 
 
