--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,7 +20,7 @@
 import time
 from collections import Counter
 
-from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
+from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.policy.balancer import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
@@ -269,8 +269,8 @@
         self.config = {
             "name": "n0",
             "seed": "5eed",
-            "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.getsockname(),
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "{}:{}".format(*self.discovery.getsockname()),
             "limits": {"sockets": 256, **limits},
             "known": self.list(*names) if known else {},
             "settings": {
@@ -297,7 +297,7 @@
         self.admin = "127.0.0.1", free_port()
         told = {
             "NODE_CONFIG": str(self.path),
-            "NODE_ADMIN_ADDR": "%s:%d" % self.admin,
+            "NODE_ADMIN_ADDR": "{}:{}".format(*self.admin),
             "TMPDIR": self.folder.name,
         }
         if self.inherited:
@@ -365,7 +365,7 @@
         hosts = [
             {
                 "host": name,
-                "dial": "%s:%d" % self.servers[name].getsockname(),
+                "dial": "{}:{}".format(*self.servers[name].getsockname()),
                 "site": "x",
                 "class": "m",
                 "block": 1,
--- a/tests/golden_proxy.py
+++ b/tests/golden_proxy.py
@@ -9,7 +9,6 @@
 from typing import Any
 
 from golden_files import text_of
-
 from wheathill.config import Limits
 from wheathill.lab.worlds.virtual import VirtualWorld
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -8,8 +8,8 @@
 from collections import deque
 
 import pytest
-from drive import Drive
 
+from drive import Drive
 from wheathill.model import Server
 
 WINDOW, COLD_FOR, SHARE, MULTIPLE = 1000.0, 20_000.0, 0.12, 2.0
@@ -81,10 +81,8 @@
         """A server starts; each process is told by itself, up to `late` ms after."""
         self.started = self.now
         told = sorted(
-            (
-                (self.now + self.rng.uniform(0.0, late), number)
-                for number in range(self.count)
-            )
+            (self.now + self.rng.uniform(0.0, late), number)
+            for number in range(self.count)
         )
         for when, number in told:
             process = self.processes[number]
--- a/tests/test_exactness.py
+++ b/tests/test_exactness.py
@@ -5,7 +5,6 @@
 import subprocess
 
 import pytest
-
 from exactness import play
 
 # A script with proxies that know each other, one without, one that this world can't play, and the store.
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -21,8 +21,8 @@
 from wheathill.config import Misconfigured
 from wheathill.lab.judging.mutated import MUTANTS
 from wheathill.lab.scripts import language
-from wheathill.lab.scripts.run import play as virtual
 from wheathill.lab.scripts.run import play as processes
+from wheathill.lab.scripts.run import play as virtual
 
 pytestmark = pytest.mark.processes
 
--- a/tests/test_golden_commands.py
+++ b/tests/test_golden_commands.py
@@ -11,12 +11,12 @@
 from typing import Any
 
 import click
-import golden_edges
 import pytest
 from click.testing import CliRunner
+
+import golden_edges
 from golden_files import check_golden, compare_golden, read_golden
 from golden_proxy import Scene
-
 from wheathill.cli import main
 
 GOOD = """name = "edge"
--- a/tests/test_golden_frames.py
+++ b/tests/test_golden_frames.py
@@ -2,8 +2,9 @@
 
 from typing import Any
 
-import golden_fleet
 import pytest
+
+import golden_fleet
 from golden_files import check_golden, read_golden
 
 WITHOUT, WITH = "frames_v1.json", "frames_v2.json"
--- a/tests/test_golden_lines.py
+++ b/tests/test_golden_lines.py
@@ -1,7 +1,8 @@
 """Lines to clients, servers and discovery, byte for byte as recorded, by a whole proxy in the virtual world."""
 
-import golden_lines
 import pytest
+
+import golden_lines
 from golden_files import check_golden, compare_golden, read_golden
 
 
--- a/tests/test_golden_operators.py
+++ b/tests/test_golden_operators.py
@@ -5,9 +5,10 @@
 import pathlib
 from typing import Any
 
+import pytest
+
 import golden_edges
 import golden_fleet
-import pytest
 from golden_files import bytes_of, check_golden, compare_golden, read_golden, text_of
 from golden_proxy import LIMITS, Scene, started
 
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -6,8 +6,8 @@
 from dataclasses import replace
 
 import pytest
-from drive import kept
 
+from drive import kept
 from wheathill.lab.cores.membership_cluster import MembershipCluster, measure_detection
 from wheathill.peers.membership import (
     FallbackProbe,
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -12,9 +12,9 @@
 
 import orjson
 import pytest
+from test_net import LIMITS, Hand
 
 from drive import Rig, kept
-from test_net import LIMITS, Hand
 from wheathill.config import node_of
 from wheathill.handover import sender as sender_module
 from wheathill.handover.messages import VERSION
@@ -24,7 +24,7 @@
 from wheathill.handover.state_receiver import StateReceiver
 from wheathill.model import Session, UpdateKind
 from wheathill.net import bans
-from wheathill.net.admin import Call, No
+from wheathill.net.admin import Call
 from wheathill.net.operators import OperatorsDoor
 from wheathill.net.proxy import Proxy
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,13 +5,13 @@
 
 import pytest
 
-from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.cluster_view import (
     UNANSWERED_PROBES,
     ClusterView,
     ClusterViewConfig,
     ViewState,
 )
+from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.frames import Dropped, Seal, Window
 from wheathill.peers.messages import ViewHeader, ZonedViewHeader
 from wheathill.peers.peer_health_reports import (
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -5,16 +5,16 @@
 from collections import Counter
 
 import pytest
-from drive import Drive, kept
 
+from drive import Drive, kept
 from wheathill.drill.__main__ import main
 from wheathill.model import (
-    Listener,
-    UpdateKind,
     AttemptOutcome,
-    Phase,
     Idempotency,
+    Listener,
+    Phase,
     Session,
+    UpdateKind,
 )
 
 FLEET = ("a", "b", "c", "d")
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -274,7 +274,7 @@
         server.finish()
         client.hear()
         rig.open("k", name="thief that comes later").hear()
-        packets = rig.open("k", mid=1, name="packets that come again")
+        _packets = rig.open("k", mid=1, name="packets that come again")
         rig.taken(("a", "b")).hear()
         return rig.lines
 
@@ -350,7 +350,7 @@
         rig.reload("bad configuration", limits={"sockets": "many"})
         old, old_list = rig.watch, rig.discovery
         rig.discovery = listener()
-        there = "%s:%d" % rig.discovery.getsockname()
+        there = "{}:{}".format(*rig.discovery.getsockname())
         rig.reload(
             discovery=there,
             listen="127.0.0.1:1",
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -233,7 +233,7 @@
         turns.discovery.close()
         turns.discovery = listener()
         turns.proxy.reload(
-            turns.node(discovery="%s:%d" % turns.discovery.getsockname())
+            turns.node(discovery="{}:{}".format(*turns.discovery.getsockname()))
         )
         watch, request = turns.watch()
         turns.lines.append(request)
@@ -256,7 +256,7 @@
         turns.until(lambda: turns.proxy.watch is None)
         old, turns.discovery = turns.discovery, listener()
         turns.proxy.reload(
-            turns.node(discovery="%s:%d" % turns.discovery.getsockname())
+            turns.node(discovery="{}:{}".format(*turns.discovery.getsockname()))
         )
         _, request = turns.watch()
         turns.lines.append(request)
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -749,7 +749,7 @@
                     "seed": f"{number}",
                     "listen": f"127.0.0.1:{free_port()}",
                     "known": whole,
-                    "discovery": "%s:%d" % listening.getsockname(),
+                    "discovery": "{}:{}".format(*listening.getsockname()),
                     "limits": {"sockets": 256},
                     "settings": {
                         "listeners": [{"name": "any"}],
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -3,6 +3,7 @@
 from types import SimpleNamespace
 
 import pytest
+
 from drive import Drive
 from turns import Turns
 from wheathill.model import Listener, Session
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -82,7 +82,10 @@
     assert fleet.until(fleet.all_agree, 60) is not None
     assert (
         fleet.until(
-            lambda: all(peers.server_records.is_draining("g", 0.0) for peers in fleet.peers.values()),
+            lambda: all(
+                peers.server_records.is_draining("g", 0.0)
+                for peers in fleet.peers.values()
+            ),
             30,
         )
         is not None
@@ -124,13 +127,17 @@
     fleet.layouts[2] = renamed(fleet, 2, both, {**PARTS, "d1": 0.0})
     for name in list(fleet.zone_of):
         restart(fleet, name, 2)
-    through = lambda: all(
-        peers.zones.through("c1") == 2 for peers in fleet.peers.values()
-    )
+
+    def through():
+        return all(peers.zones.through("c1") == 2 for peers in fleet.peers.values())
+
     assert fleet.until(through, 60) is not None
     for name in fleet.names["c1"]:
         restart(fleet, name, 2, "d1")
-    whole = lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0)
+
+    def whole():
+        return shares(fleet, fleet.zone_of) == pytest.approx(1.0)
+
     assert fleet.until(whole, 60) is not None and shares(
         fleet, fleet.names["c1"]
     ) == pytest.approx(PARTS["c1"])
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -50,8 +50,10 @@
         self.config = {
             "name": "n0",
             "seed": "5eed",
-            "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.getsockname() if discovery else False,
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "{}:{}".format(*self.discovery.getsockname())
+            if discovery
+            else False,
             "limits": {"sockets": sockets},
             "known": known
             if isinstance(known, dict)
@@ -128,7 +130,7 @@
             "hosts": [
                 {
                     "host": name,
-                    "dial": "%s:%d" % self.servers[name].getsockname(),
+                    "dial": "{}:{}".format(*self.servers[name].getsockname()),
                     "site": "x",
                     "class": "m",
                     "block": 1,
--- a/wheathill/__main__.py
+++ b/wheathill/__main__.py
@@ -1,11 +1,16 @@
-"""`python -m wheathill`: the platform's start, told what it needs by NODE_CONFIG. With words after it, the
-command line; what that needs is imported only then."""
+"""The entry point, `python -m wheathill`.
+
+Without arguments it starts the proxy as the platform does, configured by the
+environment variable NODE_CONFIG. With arguments it is the command line, and what only
+the command line needs is imported only then.
+"""
 
 import os
 import sys
 
 
-def main():
+def main() -> int | None:
+    """Start the proxy or run a command, and return the exit code."""
     if len(sys.argv) > 1:
         from wheathill.cli import main as command
 
--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -50,6 +50,7 @@
 def schema():
     """Print the JSON schema of the operator's file."""
     import msgspec
+
     from wheathill.config.operator import File
 
     click.echo(json.dumps(msgspec.json.schema(File), indent=2))
--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -10,7 +10,7 @@
 import socket
 from dataclasses import dataclass
 
-from wheathill.model import LIST_CALL_MS, LIST_POLL_MAX_MS, Listener, Idempotency
+from wheathill.model import LIST_CALL_MS, LIST_POLL_MAX_MS, Idempotency, Listener
 
 REPEATS = {
     "retryable": Idempotency.IDEMPOTENT,
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -9,13 +9,13 @@
 
 from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
 from wheathill.model import (
-    Listener,
-    UpdateKind,
     AttemptOutcome,
-    Phase,
     Idempotency,
+    Listener,
+    Phase,
     Server,
     Session,
+    UpdateKind,
 )
 from wheathill.policy.balancer import Balancer
 
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -132,9 +132,10 @@
         birth = (
             random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
         )
-        log = lambda event, **fields: self.lines.append(
-            (self.clock.now(), name, event, fields)
-        )
+
+        def log(event, **fields):
+            self.lines.append((self.clock.now(), name, event, fields))
+
         peers = self.peers[name] = create_peer_service(
             told,
             PeerEnvironment(
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -1,10 +1,9 @@
 """Instances broken on purpose, each in one way that a judge of the fleet must name. `lab/mutant` starts them as
 programs."""
 
-from wheathill.peers.drain_registry import DrainRegistry
 from wheathill.peers.cluster_view import ClusterView
+from wheathill.peers.drain_registry import DrainRegistry
 from wheathill.peers.frames import Seal
-from wheathill.peers.peer_service import PeerService
 from wheathill.peers.links import Knock
 from wheathill.peers.membership import MemberState, updates
 from wheathill.peers.membership.anti_entropy import AntiEntropy
@@ -12,6 +11,7 @@
 from wheathill.peers.membership.name_conflicts import NameOwnership
 from wheathill.peers.membership.refutation import Refutation
 from wheathill.peers.membership.updates import UpdateHandler
+from wheathill.peers.peer_service import PeerService
 from wheathill.peers.zoned import ZonedPeers
 from wheathill.peers.zones import Zones
 from wheathill.policy.balancer import Balancer
--- a/wheathill/lab/scale/honest.py
+++ b/wheathill/lab/scale/honest.py
@@ -101,7 +101,7 @@
                         key_path,
                     )
                 )
-            peers, bases = reals[:members], reals[members:]
+            peers = reals[:members]
             start = time.monotonic()
             await_all(peers, start + START)
             say(f"{members} real ones answer after {time.monotonic() - start:.1f} s")
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -15,7 +15,7 @@
 
 from wheathill.config import node_of
 from wheathill.lab.scale import fit
-from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
+from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
@@ -240,7 +240,9 @@
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
     made.on_list(
-        0.0, UpdateKind.SNAPSHOT, [(server, Phase.READY, 1.0, None) for server in servers]
+        0.0,
+        UpdateKind.SNAPSHOT,
+        [(server, Phase.READY, 1.0, None) for server in servers],
     )
     return made, actions, servers
 
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -13,7 +13,6 @@
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
 
-
 PEERS_PORT = 9700
 
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -9,7 +9,7 @@
 from collections import OrderedDict
 from dataclasses import replace
 
-from wheathill.model import UpdateKind, Phase
+from wheathill.model import Phase, UpdateKind
 from wheathill.net.carried import Carried
 from wheathill.net.figures import Figures
 from wheathill.net.told import Told
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
-from wheathill.model import UpdateKind, AttemptOutcome, Phase, Server
+from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
 
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -16,9 +16,9 @@
     LIST_CALL_MS,
     LIST_POLL_MAX_MS,
     Attempt,
-    UpdateKind,
     AttemptOutcome,
     Phase,
+    UpdateKind,
 )
 from wheathill.policy.admission import AdmissionControl
 from wheathill.policy.attempts import AttemptRunner
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -2,7 +2,7 @@
 
 import math
 
-from wheathill.model import LIST_POLL_MAX_MS, UpdateKind, Phase
+from wheathill.model import LIST_POLL_MAX_MS, Phase, UpdateKind
 
 
 class EndpointList:
