--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -19,6 +19,11 @@
     ProbeResult,
     decode_message,
 )
+from wheathill.peers.membership.anti_entropy import (
+    DEATH_CHECKS,
+    MAX_UNCONFIRMED_DEAD,
+)
+from wheathill.peers.membership.effects import SyncTimer
 from wheathill.peers.membership.gossip_queue import GossipQueue
 
 CONFIG = MembershipConfig(
@@ -308,3 +313,17 @@
         if result is ProbeResult.REACHABLE or starved
         else {MemberState.DEAD}
     )
+
+
+def test_the_oldest_of_too_many_unconfirmed_dead_are_forgotten():
+    """The others stay, and some of them are probed with each exchange."""
+    effects = LonelyEffects(ProbeResult.NO_ANSWER)
+    membership = Membership(effects, random.Random(1), CONFIG)
+    names = [f"m{number}" for number in range(MAX_UNCONFIRMED_DEAD + 5)]
+    membership.apply_updates(
+        0.0,
+        [MemberUpdate(MemberState.DEAD, name, "h:2", 0, 1, "b") for name in names],
+    )
+    membership.on_timer(1.0, SyncTimer())
+    assert list(membership.members) == ["a", *names[5:]]
+    assert len(effects.probes) == DEATH_CHECKS
--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -162,6 +162,7 @@
         unconfirmed = self._context.table.unconfirmed_dead()
         for name in unconfirmed[:-MAX_UNCONFIRMED_DEAD]:
             del members[name]
+        unconfirmed = unconfirmed[-MAX_UNCONFIRMED_DEAD:]
         pending = [name for name in self._death_checks if name in unconfirmed]
         pending = pending or unconfirmed
         self._death_checks = pending[DEATH_CHECKS:]
