--- a/tests/run.sh
+++ b/tests/run.sh
@@ -5,6 +5,6 @@
 cd "$(dirname "$0")/.."
 python="${PYTHON:-.venv-lab/bin/python}"
 failed=0
-"$python" -m pytest -n 4 -m "not processes" "$@" || failed=1
+"$python" -m pytest -n auto --maxprocesses 6 --dist worksteal -m "not processes" "$@" || failed=1
 "$python" -m pytest -n 3 --dist loadfile -m processes "$@" || failed=1
 exit "$failed"
