--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -132,9 +132,10 @@
         birth = (
             random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
         )
-        log = lambda event, **fields: self.lines.append(
-            (self.clock.now(), name, event, fields)
-        )
+
+        def log(event, **fields):
+            self.lines.append((self.clock.now(), name, event, fields))
+
         peers = self.peers[name] = create_peer_service(
             told,
             PeerEnvironment(
@@ -270,14 +271,23 @@
     def rates(self, seconds):
         """Bytes and messages sent a second, of each, over the next seconds."""
         before = {
-            name: (peers.links.bytes, peers.links.sent)
+            name: (
+                peers.transport.metrics.bytes_sent,
+                peers.transport.metrics.datagrams_sent,
+            )
             for name, peers in self.peers.items()
         }
         self.run(seconds)
         return {
             name: tuple(
                 (new - old) / seconds
-                for new, old in zip((peers.links.bytes, peers.links.sent), before[name])
+                for new, old in zip(
+                    (
+                        peers.transport.metrics.bytes_sent,
+                        peers.transport.metrics.datagrams_sent,
+                    ),
+                    before[name],
+                )
             )
             for name, peers in self.peers.items()
             if name in before
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -15,7 +15,7 @@
 
 from wheathill.config import node_of
 from wheathill.lab.scale import fit
-from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
+from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
