--- a/wheathill/peers/peer_health_reports.py
+++ b/wheathill/peers/peer_health_reports.py
@@ -11,7 +11,7 @@
 reported to it, and takes precedence.
 """
 
-from collections.abc import Iterable, Mapping, Sequence
+from collections.abc import Collection, Iterable, Mapping, Sequence
 from dataclasses import dataclass
 from enum import IntEnum
 from typing import Any, Self
@@ -36,7 +36,12 @@
     SERVING = 1
 
 
-@dataclass(frozen=True, slots=True)
+_HEALTH_BY_VALUE = {health.value: health for health in ServerHealth}
+
+
+# Observations and reports are made for each server of each message: not frozen, which
+# would double what it costs to make one.
+@dataclass(slots=True)
 class HealthObservation:
     """What was last seen of a server, and when (monotonic clock)."""
 
@@ -44,7 +49,7 @@
     seen_at_ms: float
 
 
-@dataclass(frozen=True, slots=True)
+@dataclass(slots=True)
 class HealthReport:
     """What another proxy has seen of a server, `age_ms` before the report."""
 
@@ -54,7 +59,7 @@
 
     def encode(self) -> list[Any]:
         """Return the report as it stands in a message."""
-        return [self.server, self.health.value, self.age_ms]
+        return [self.server, int(self.health), self.age_ms]
 
     @classmethod
     def decode(cls, fields: Sequence[Any]) -> Self | None:
@@ -63,11 +68,9 @@
         Returns None where its health is one that this version doesn't know. Raises
         ValueError or TypeError where it is no report.
         """
-        server, health, age_ms = fields
-        try:
-            return cls(server, ServerHealth(health), age_ms)
-        except ValueError:
-            return None
+        server, value, age_ms = fields
+        health = _HEALTH_BY_VALUE.get(value)
+        return None if health is None else cls(server, health, age_ms)
 
 
 @dataclass(frozen=True, slots=True)
@@ -137,6 +140,7 @@
         The weight is 1, less the share of the servers that it calls failing and by
         which as many others are served.
         """
+        failing, serving = ServerHealth.FAILING, ServerHealth.SERVING
         claims: dict[str, int] = {}
         contradicted: dict[str, int] = {}
         for server in list(self._reports):
@@ -144,12 +148,10 @@
             if not by_source:
                 del self._reports[server]
                 continue
-            serving = sum(
-                seen.health == ServerHealth.SERVING for seen in by_source.values()
-            )
-            is_contradicted = 2 * serving >= len(by_source)
+            served = sum(seen.health is serving for seen in by_source.values())
+            is_contradicted = 2 * served >= len(by_source)
             for source, seen in by_source.items():
-                if seen.health == ServerHealth.FAILING:
+                if seen.health is failing:
                     claims[source] = claims.get(source, 0) + 1
                     contradicted[source] = contradicted.get(source, 0) + is_contradicted
         return {
@@ -172,20 +174,19 @@
 
 
 def _times(reports: Iterable[HealthObservation], health: ServerHealth) -> list[float]:
-    return [seen.seen_at_ms for seen in reports if seen.health == health]
+    return [seen.seen_at_ms for seen in reports if seen.health is health]
 
 
 def _fails_here_alone(
-    reports: Iterable[HealthObservation], own: HealthObservation | None
+    reports: Collection[HealthObservation], own: HealthObservation | None
 ) -> bool:
     """Tell whether others were served after it failed here.
 
     Or so soon before that the server hardly broke for all in between.
     """
-    reports = list(reports)
     if (
         own is None
-        or own.health != ServerHealth.FAILING
+        or own.health is not ServerHealth.FAILING
         or _times(reports, ServerHealth.FAILING)
     ):
         return False
@@ -201,24 +202,21 @@
     weights: Mapping[str, float],
     own: HealthObservation | None,
 ) -> bool:
-    """Whether enough reporters agree, and nobody has been served since.
+    """Tell whether enough reporters agree, and nobody has been served since.
 
     One that is served speaks against all that were not: a server that is up serves
     somebody.
     """
+    failing, serving = ServerHealth.FAILING, ServerHealth.SERVING
     weight = sum(
         weights.get(source, 1.0)
         for source, seen in by_source.items()
-        if seen.health == ServerHealth.FAILING
+        if seen.health is failing
     )
     if weight < REQUIRED_WEIGHT:
         return False
-    first_failure = min(_times(by_source.values(), ServerHealth.FAILING))
-    serving = _times(by_source.values(), ServerHealth.SERVING)
-    if serving and max(serving) > first_failure:
+    first_failure_ms = min(_times(by_source.values(), failing))
+    served_at_ms = _times(by_source.values(), serving)
+    if served_at_ms and max(served_at_ms) > first_failure_ms:
         return False
-    return (
-        own is None
-        or own.health != ServerHealth.SERVING
-        or own.seen_at_ms < first_failure
-    )
+    return own is None or own.health is not serving or own.seen_at_ms < first_failure_ms
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -198,8 +198,9 @@
     ) -> None:
         evidence = self.health.evidence(now_ms, observations)
         if evidence is not None:
+            words = evidence.encode()
             for member in recipients:
-                self.send_message(member.address, evidence)
+                self.send_words(member.address, words)
 
     # What the proxy asks for
 
