--- a/tests/drive.py
+++ b/tests/drive.py
@@ -19,29 +19,37 @@
 import tempfile
 import time
 from collections import Counter
-
-from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
+from dataclasses import replace
+
+from wheathill.model import (
+    AttemptOutcome,
+    EndpointEntry,
+    Listener,
+    Phase,
+    Server,
+    Session,
+    UpdateKind,
+)
 from wheathill.policy.balancer import Balancer
+from wheathill.policy.settings import (
+    EndpointListSettings,
+    LoadEstimatorSettings,
+    PolicySettings,
+    SlowStartSettings,
+)
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-USUAL = dict(
-    zone=0,
-    proxies=2,
-    report_names=["x0"],
+USUAL = PolicySettings(
+    proxy_count=2,
     may_probe=True,
-    must_ask=False,
-    ask_every=10_000.0,
-    drain_grace=500.0,
-    sized=True,
-    start_share=0.2,
-    cold_for=10_000.0,
-    cold_multiple=3.0,
-    cold_window=1000.0,
-    most_dials=3,
-    longest_wait=1000.0,
-    crossing_price=0.0,
-    move_price=0.0,
-    passes_through=True,
+    is_passthrough=True,
+    max_attempts=3,
+    max_retry_after_ms=1000.0,
+    load_estimator=LoadEstimatorSettings(report_fields=["x0"]),
+    endpoint_list=EndpointListSettings(drain_grace_ms=500.0, uses_weights=True),
+    slow_start=SlowStartSettings(
+        initial_share=0.2, duration_ms=10_000.0, rate_multiple=3.0
+    ),
 )
 
 
@@ -54,13 +62,14 @@
         self.alarms = []
         self.loads = loads or {}
         settings.setdefault("may_probe", loads is not None)
+        usual = replace(USUAL, **settings)
         self.names = {}
         self.servers = {}
         self.probes = 0
         self.delays = {}  # name -> ms until a probe is answered
         self.answers = True
         self.loud = True
-        self.balancer = Balancer(self, random.Random(seed), **{**USUAL, **settings})
+        self.balancer = Balancer(self, random.Random(seed), usual)
         self.balancer.on_start(self.now)
 
     def say(self, text):
@@ -115,7 +124,7 @@
             server = self.servers.setdefault(
                 name, Server(name, zone=len(self.servers) % 2)
             )
-            found.append((server, phase, 1.0, started))
+            found.append(EndpointEntry(server, phase, 1.0, started))
         self.balancer.on_endpoint_update(self.now, kind, found)
 
     def hand(self, name, out):
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,6 +11,7 @@
 
 from drive import Drive
 from wheathill.model import Server
+from wheathill.policy.settings import SlowStartSettings
 
 WINDOW, COLD_FOR, SHARE, MULTIPLE = 1000.0, 20_000.0, 0.12, 2.0
 WARM = ("a", "b", "c")
@@ -34,12 +35,9 @@
         process = Drive(
             self.rng.random(),
             self.loads,
-            proxies=self.count,
-            number=number,
-            cold_for=COLD_FOR,
-            start_share=SHARE,
-            cold_multiple=MULTIPLE,
-            cold_window=WINDOW,
+            proxy_count=self.count,
+            proxy_index=number,
+            slow_start=SlowStartSettings(SHARE, COLD_FOR, MULTIPLE, WINDOW),
             **self.more,
         )
         process.loud = False
@@ -179,7 +177,7 @@
 def test_turns_are_spread_evenly_over_the_processes(count):
     """As many have a turn as the part says, to two or three, at any moment and for any server."""
     rng = random.Random(1)
-    budgets = [Drive(proxies=1).balancer.slow_start for _ in range(count)]
+    budgets = [Drive(proxy_count=1).balancer.slow_start for _ in range(count)]
     for number, budget in enumerate(budgets):
         budget.proxy_index, budget.proxy_count = number, count
     for _ in range(300):
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -21,6 +21,8 @@
 from wheathill.config import node_of
 from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.net.proxy import Proxy
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CONFIGURATION = {
@@ -249,14 +251,14 @@
             69_000.0 + place,
         )
     for number, known in enumerate((table.moved_keys, table.exception_keys)):
-        known["key é"] = servers["ab"[number]], 69_600.5
-        known["second"] = servers["ba"[number]], 69_700.0
+        known["key é"] = KeyRoute(servers["ab"[number]], 69_600.5)
+        known["second"] = KeyRoute(servers["ba"[number]], 69_700.0)
     balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.earned = (
         12.75,
         3.5,
     )
     balancer.admission.window, balancer.admission.next_at = 17.5, 69_999.0
-    balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
+    balancer.retry_budget.retries.extend([Retry(69_000.0, 1.5), Retry(69_800.5, 2.0)])
     balancer.outlier_detector.dials.extend(
         [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
     )
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -3,10 +3,11 @@
 import io
 import json
 from collections import Counter
+from dataclasses import replace
 
 import pytest
 
-from drive import Drive, kept
+from drive import USUAL, Drive, kept
 from wheathill.drill.__main__ import main
 from wheathill.model import (
     AttemptOutcome,
@@ -16,6 +17,8 @@
     Session,
     UpdateKind,
 )
+from wheathill.policy.settings import LoadEstimatorSettings, RetryBudgetSettings
+from wheathill.policy.slot_table import KeyRoute
 
 FLEET = ("a", "b", "c", "d")
 
@@ -49,7 +52,7 @@
 
 
 def _slot(d, key):
-    from wheathill.policy.slot_table import slot_of_key
+    from wheathill.policy.slot_claims import slot_of_key
 
     return slot_of_key(key, d.balancer.slot_table.size)
 
@@ -87,7 +90,7 @@
         f"new sessions to a draining server: {sum(s.server is d.servers['a'] for s in later)}"
     )
     table = d.balancer.slot_table
-    table.exception_keys[held.key] = (d.servers["a"], d.now)
+    table.exception_keys[held.key] = KeyRoute(d.servers["a"], d.now)
     d.session("mid-flow at once", key=held.key, mid_flow=True)
     d.now += 600.0
     d.session("mid-flow after the grace", key=held.key, mid_flow=True)
@@ -100,7 +103,7 @@
 
 
 def repeats():
-    d = Drive(most_dials=6)
+    d = Drive(max_attempts=6)
     d.list(*FLEET, kind=UpdateKind.CACHED)
     for listener in (
         Listener("repeatable"),
@@ -147,7 +150,8 @@
 def odd_sizes():
     for count, proxies in ((0, 1), (1, 1), (150, 1), (150, 100_000), (600, 300)):
         d = Drive(
-            loads={f"s{i}": 0.3 + 0.4 * (i % 2) for i in range(count)}, proxies=proxies
+            loads={f"s{i}": 0.3 + 0.4 * (i % 2) for i in range(count)},
+            proxy_count=proxies,
         )
         d.loud = False
         d.list(*d.loads, kind=UpdateKind.SNAPSHOT)
@@ -193,7 +197,7 @@
 def cold_start_among_many():
     """Each of 100 proxies holds too little to be due a whole session; all together must not be nought."""
     drives = [
-        Drive(seed=seed, loads=dict.fromkeys(FLEET, 0.2), proxies=100)
+        Drive(seed=seed, loads=dict.fromkeys(FLEET, 0.2), proxy_count=100)
         for seed in range(100)
     ]
     dialled = [0] * 10
@@ -234,7 +238,7 @@
 
 
 def without_probes():
-    d = Drive(may_probe=False, report_names=[])
+    d = Drive(may_probe=False, load_estimator=LoadEstimatorSettings())
     d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     held = [d.accept(f"s{i}") for i in range(80)]
@@ -267,7 +271,7 @@
 
 def told_late():
     """Messages late at a server that this proxy cannot afford to probe: it is relieved and avoided."""
-    d = Drive(loads=dict.fromkeys(FLEET, 0.4), proxies=300)
+    d = Drive(loads=dict.fromkeys(FLEET, 0.4), proxy_count=300)
     d.list(*FLEET, kind=UpdateKind.CACHED)
     held = [d.accept(f"s{i}") for i in range(12)]
     d.answers = False
@@ -288,7 +292,7 @@
 
 
 def asked_first():
-    d = Drive(loads={"a": 0.9, "b": 0.9, "c": None, "d": 0.2}, proxies=300)
+    d = Drive(loads={"a": 0.9, "b": 0.9, "c": None, "d": 0.2}, proxy_count=300)
     d.list(*FLEET, kind=UpdateKind.CACHED)
     for i in range(6):
         probes = d.probes
@@ -308,7 +312,7 @@
 
 
 def store_swamped():
-    d = Drive(most_dials=6)
+    d = Drive(max_attempts=6)
     d.list(*FLEET, "e", "f", kind=UpdateKind.CACHED)
     for i in range(4):
         d.now += 300.0
@@ -358,7 +362,7 @@
 
 def store_swamped_among_many():
     """One proxy of hundreds: two failures in a row at unlike servers are all that it sees."""
-    d = Drive(loads=dict.fromkeys(FLEET, 0.3), proxies=300, most_dials=6)
+    d = Drive(loads=dict.fromkeys(FLEET, 0.3), proxy_count=300, max_attempts=6)
     d.list(*FLEET, kind=UpdateKind.CACHED)
     for i in range(3):
         sess = d.session(f"s{i}")
@@ -374,7 +378,7 @@
 
 
 def list_out_of_reach():
-    d = Drive(must_ask=True)
+    d = Drive(endpoint_list=replace(USUAL.endpoint_list, is_polled=True))
     d.list(*FLEET, kind=UpdateKind.CACHED)
     for _ in range(3):
         d.list(kind=UpdateKind.FAILED)
@@ -462,7 +466,7 @@
 
 def out_by_hand():
     """Told once, whatever the lists say; back as a server that has just started, until told of a start."""
-    d = Drive(passes_through=False)
+    d = Drive(is_passthrough=False)
     d.list("a", "b", ("c", 40_000.0), kind=UpdateKind.CACHED)
     d.now = 60_000.0
     for i in range(9):
@@ -514,7 +518,7 @@
 
 
 def budget_of_dials():
-    d = Drive(most_dials=6, budget=(2.0, 0.25, 1000.0))
+    d = Drive(max_attempts=6, retry_budget=RetryBudgetSettings(2.0, 0.25, 1000.0))
     d.list(*FLEET, kind=UpdateKind.CACHED)
     d.say(
         "two further dials are free, four sessions allow one more; a packet of an open connection counts alike:"
@@ -554,7 +558,10 @@
 
 
 def gone_does_not_bind():
-    d = Drive(loads=dict.fromkeys(FLEET, 0.3), gone_binds=False)
+    d = Drive(
+        loads=dict.fromkeys(FLEET, 0.3),
+        endpoint_list=replace(USUAL.endpoint_list, absence_removes=False),
+    )
     d.list(*FLEET, kind=UpdateKind.CACHED)
     d.list(("a", Phase.GONE), ("b", Phase.DRAINING))
     d.list("c", kind=UpdateKind.SNAPSHOT)
@@ -625,7 +632,10 @@
 
 
 def untrue_reports():
-    d = Drive(loads=dict.fromkeys(FLEET, 0.4), tells_late=True)
+    d = Drive(
+        loads=dict.fromkeys(FLEET, 0.4),
+        load_estimator=replace(USUAL.load_estimator, reports_late_messages=True),
+    )
     d.list(*FLEET, kind=UpdateKind.CACHED)
     d.loud = False
     held = [d.accept(f"s{i}") for i in range(24)]
--- a/tests/test_slots.py
+++ b/tests/test_slots.py
@@ -6,22 +6,13 @@
 import pytest
 
 from wheathill.model import Server
-from wheathill.policy.slot_table import SlotTable, hash_draws
+from wheathill.policy.settings import SlotTableSettings
+from wheathill.policy.slot_claims import hash_draws
+from wheathill.policy.slot_table import SlotTable
 
 
 def table(size):
-    return SlotTable(
-        random.Random(1).choice,
-        size=size,
-        least=4,
-        moved_share=0.2,
-        hard_time_out=10_000.0,
-        keys_kept=4096,
-        keys_age=60_000.0,
-        zone=0,
-        near=1.0,
-        reach=32,
-    )
+    return SlotTable(random.Random(1).choice, SlotTableSettings(slot_count=size))
 
 
 def servers(count, weights=(1.0,)):
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,10 +13,11 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import ExitStack
+from dataclasses import replace
 
 import pytest
 
-from drive import Drive, Peer, Rig, free_port
+from drive import USUAL, Drive, Peer, Rig, free_port
 from turns import Turns
 from wheathill.model import UpdateKind
 from wheathill.net.carried import NEWCOMERS
@@ -296,7 +297,13 @@
     on and after any number of failures, and not all proxies' at once."""
     first, gaps = [], []
     for seed in range(40):
-        d = Drive(seed=seed, must_ask=True, proxies=proxies, ask_every=60_000.0)
+        d = Drive(
+            seed=seed,
+            proxy_count=proxies,
+            endpoint_list=replace(
+                USUAL.endpoint_list, is_polled=True, poll_interval_ms=60_000.0
+            ),
+        )
         asked = []
         d.follow_list = lambda on, asked=asked, d=d: asked.append(d.now)
         for _ in range(12):
--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -8,9 +8,17 @@
 import hashlib
 import json
 import socket
-from dataclasses import dataclass
+from dataclasses import dataclass, replace
 
 from wheathill.model import LIST_CALL_MS, LIST_POLL_MAX_MS, Idempotency, Listener
+from wheathill.policy.settings import (
+    EndpointListSettings,
+    LoadEstimatorSettings,
+    PolicySettings,
+    RetryBudgetSettings,
+    SlotTableSettings,
+    SlowStartSettings,
+)
 
 REPEATS = {
     "retryable": Idempotency.IDEMPOTENT,
@@ -128,25 +136,24 @@
     return listeners
 
 
-def read_budget(duties):
-    """(further dials free of any traffic, and for each session taken, within how many ms), or None where none
-    is stated."""
+def read_retry_budget(duties):
+    """The retry budget; one that limits nothing where none is stated."""
     stated = [
         key
         for key in ("freeResends", "resendRatio", "ratioSpanS")
         if duties.values.get(key) is not None
     ]
     if not stated:
-        return None
+        return RetryBudgetSettings()
     if "ratioSpanS" not in stated:
         raise Misconfigured(
             f"{duties.at('ratioSpanS')}: is missing, beside {duties.at(stated[0])}"
         )
     span = duties.number("ratioSpanS", None, 1e-3, 86_400.0)
-    return (
-        duties.number("freeResends", 0.0),
-        duties.number("resendRatio", 0.0),
-        span * 1000,
+    return RetryBudgetSettings(
+        free_retries=duties.number("freeResends", 0.0),
+        retries_per_session=duties.number("resendRatio", 0.0),
+        window_ms=span * 1000,
     )
 
 
@@ -159,49 +166,81 @@
     return slots
 
 
-def balancer_settings(settings):
-    """What a Balancer is made with, beside its actions and its source of chance."""
+def read_slow_start(duties):
+    return SlowStartSettings(
+        initial_share=duties.number("startCapacity", 0.1),
+        duration_ms=duties.ms("coldS", 20_000.0),
+        rate_multiple=duties.number("tipMultiple", 1.0),
+        window_ms=duties.ms("tipAfterS", 1000.0),
+    )
+
+
+def read_endpoint_list(settings, duties):
+    """How the list is followed, but for what absence from it means."""
+    return EndpointListSettings(
+        is_polled=settings.text("membershipMode", "automatic") == "subscribe",
+        poll_interval_ms=duties.ms("askEveryS", 10_000.0),
+        uses_weights=settings.text("weightSource", "off") in ("nominal", "rough"),
+        drain_grace_ms=duties.ms("drainGraceS", 0.0),
+    )
+
+
+def read_report_fields(report, is_reported):
+    """The names of the figures that servers report; none where they report nothing."""
+    if not is_reported:
+        return []
+    return [REPORT_NAMES.get(name, name) for name in report.texts("names")]
+
+
+def read_policy(settings):
+    """What a Balancer is made with, beside its effects and its source of chance.
+
+    The order in which values are read is part of the interface: of several that are
+    wrong the first one is named.
+    """
     limits = settings.part("limits")
     duties = settings.part("obligations")
     prices = settings.part("prices")
     report = settings.part("report")
     goal = settings.part("goal")
-    goal.number(
-        "ninesFull", 3.0, 1e-3, 1e3
-    )  # read to be checked: nothing decided hangs on how many
+    # Read to be checked: nothing decided hangs on how many.
+    goal.number("ninesFull", 3.0, 1e-3, 1e3)
     may_probe = limits.flag("mayProbe")
-    reported = {"inline": True, "on_probe": may_probe}.get(
-        report.text("how", "off"), False
+    report_modes = {"inline": True, "on_probe": may_probe}
+    is_reported = report_modes.get(report.text("how", "off"), False)
+    zone = settings.count("zone", 0)
+    proxy_count = max(1, settings.count("balancers", 1))
+    proxy_index = settings.count("me", 0) if "me" in settings.values else None
+    report_fields = read_report_fields(report, is_reported)
+    endpoint_list = read_endpoint_list(settings, duties)
+    slow_start = read_slow_start(duties)
+    max_attempts = limits.count("maxDials", 1)
+    crossing_price = prices.number("crossZone", 0.0)
+    migration_price = prices.number("moves", 0.0)
+    retry_budget = read_retry_budget(duties)
+    absence_removes = not duties.flag("onlyDrainingBinds")
+    may_ask_to_retry = limits.flag("retryAfter")
+    max_retry_after_ms = limits.ms("maxRetryAfterS", 0.0) if may_ask_to_retry else 0.0
+    family = settings.part("familyInfo")
+    load_estimator = LoadEstimatorSettings(
+        report_fields=report_fields,
+        reports_late_messages=family.flag("tellsDelay"),
+        loss_weight=goal.number("logLossPart", 0.0, 0.0, 1.0),
+    )
+    slot_count = read_slots(settings)
+    return PolicySettings(
+        proxy_count=proxy_count,
+        proxy_index=proxy_index,
+        may_probe=may_probe,
+        is_passthrough=family.text("mode", "proxy") == "pass",
+        max_attempts=max_attempts,
+        max_retry_after_ms=max_retry_after_ms,
+        slot_table=SlotTableSettings(slot_count, zone, crossing_price, migration_price),
+        load_estimator=load_estimator,
+        endpoint_list=replace(endpoint_list, absence_removes=absence_removes),
+        slow_start=slow_start,
+        retry_budget=retry_budget,
     )
-    return {
-        "zone": settings.count("zone", 0),
-        "proxies": max(1, settings.count("balancers", 1)),
-        "number": settings.count("me", 0) if "me" in settings.values else None,
-        "report_names": [REPORT_NAMES.get(name, name) for name in report.texts("names")]
-        if reported
-        else [],
-        "may_probe": may_probe,
-        "must_ask": settings.text("membershipMode", "automatic") == "subscribe",
-        "ask_every": duties.ms("askEveryS", 10_000.0),
-        "sized": settings.text("weightSource", "off") in ("nominal", "rough"),
-        "drain_grace": duties.ms("drainGraceS", 0.0),
-        "start_share": duties.number("startCapacity", 0.1),
-        "cold_for": duties.ms("coldS", 20_000.0),
-        "cold_multiple": duties.number("tipMultiple", 1.0),
-        "cold_window": duties.ms("tipAfterS", 1000.0),
-        "most_dials": limits.count("maxDials", 1),
-        "crossing_price": prices.number("crossZone", 0.0),
-        "move_price": prices.number("moves", 0.0),
-        "budget": read_budget(duties),
-        "gone_binds": not duties.flag("onlyDrainingBinds"),
-        "longest_wait": limits.ms("maxRetryAfterS", 0.0)
-        if limits.flag("retryAfter")
-        else 0.0,
-        "tells_late": settings.part("familyInfo").flag("tellsDelay"),
-        "nines": goal.number("logLossPart", 0.0, 0.0, 1.0),
-        "slots": read_slots(settings),
-        "passes_through": settings.part("familyInfo").text("mode", "proxy") == "pass",
-    }
 
 
 @dataclass(frozen=True)
@@ -318,7 +357,7 @@
     groups: bool
     moves_at_stop: bool
     report_fields: list
-    balancer: dict
+    policy: PolicySettings
     told: dict  # the configuration as it was read, without `known`
     peers: object = (
         None  # a `config.peers.PeerSettings`; none: it knows no other instance
@@ -420,19 +459,23 @@
     listeners = read_listeners(settings)
     if not listeners:
         raise Misconfigured("settings.listeners: names none")
-    balancer = {
-        **balancer_settings(settings),
-        "tells_late": True,
-    }  # a proxy on sockets measures them
+    policy = read_policy(settings)
+    # A proxy on sockets measures the latency of messages itself.
+    policy = replace(
+        policy,
+        load_estimator=replace(policy.load_estimator, reports_late_messages=True),
+    )
     sockets = allowed.count("sockets", 1024, least=64)
     # Nothing new may go to a server that leaves once the grace is over: what asks for the list must be well within it.
-    list_again = min(Limits.list_wait, max(100.0, balancer["drain_grace"] / 2))
+    list_again = min(
+        Limits.list_wait, max(100.0, policy.endpoint_list.drain_grace_ms / 2)
+    )
     list_retry, list_spread = min(Limits.list_retry, list_again), 0.0
-    if balancer["must_ask"]:
+    if policy.endpoint_list.is_polled:
         # Not an agent beside each proxy: what refuses calls that come too often would never be left alone.
         list_again = Limits.list_longest
         list_spread = min(
-            Limits.list_longest, max(500.0, balancer["proxies"] * LIST_CALL_MS / 2)
+            Limits.list_longest, max(500.0, policy.proxy_count * LIST_CALL_MS / 2)
         )
     where = {
         key: None
@@ -467,8 +510,8 @@
         tenants=[item.text("name", "") for item in settings.parts("tenants")],
         zones=settings.texts("dcs"),
         groups=settings.part("familyInfo").flag("groups"),
-        moves_at_stop=not balancer["passes_through"],
+        moves_at_stop=not policy.is_passthrough,
         report_fields=settings.part("report").texts("names"),
-        balancer=balancer,
+        policy=policy,
         told={key: value for key, value in top.values.items() if key != "known"},
     )
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -71,7 +71,7 @@
             node.peers,
             PeerEnvironment(proxy, carrier, clock, log),
             int.from_bytes(os.urandom(6), "big") | 1,
-            node.balancer["proxies"],
+            node.policy.proxy_count,
         )
     except OSError as wrong:
         if node.listen_fd is None:
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -7,9 +7,10 @@
 import random
 import sys
 
-from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
+from wheathill.config import Misconfigured, Reader, read_listeners, read_policy
 from wheathill.model import (
     AttemptOutcome,
+    EndpointEntry,
     Idempotency,
     Listener,
     Phase,
@@ -58,9 +59,7 @@
     def start(self, now, seed, config):
         settings = Reader(config)
         self.listeners = read_listeners(settings)
-        self.balancer = Balancer(
-            self, random.Random(seed), **balancer_settings(settings)
-        )
+        self.balancer = Balancer(self, random.Random(seed), read_policy(settings))
         self.balancer.on_start(now)
 
     def list_changed(self, now, scope, _version, lines):
@@ -76,7 +75,9 @@
                 server = self.servers[name] = Server(name)
             server.zone, server.cell = zone, cell
             since = started * 1000 if started else None
-            entries.append((server, PHASES.get(phase, Phase.GONE), weight, since))
+            entries.append(
+                EndpointEntry(server, PHASES.get(phase, Phase.GONE), weight, since)
+            )
         self.balancer.on_endpoint_update(now, LIST_KINDS[scope], entries)
 
     def make_session(
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -18,8 +18,11 @@
 )
 from wheathill.model import Listener, Phase, Server, Session
 from wheathill.net.proxy import Proxy
+from wheathill.policy.endpoint_list import MaintenancePeriod
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
-KeyRoutes = dict[str, tuple[Server, float]]  # key -> (server, since when)
+KeyRoutes = dict[str, KeyRoute]
 Attempts = list[tuple[float, Server, bool]]  # (when, where, whether it went well)
 
 
@@ -105,17 +108,21 @@
         endpoint_list = proxy.balancer.endpoint_list
         endpoint_list.servers.update(self.ready_servers)
         endpoint_list.maintenance_since_ms.update(self.decisions.maintenance_since_ms)
-        endpoint_list.maintenance_ended_ms.update(self.decisions.maintenance_ended_ms)
+        endpoint_list.maintenance_ended_ms.update(
+            (name, MaintenancePeriod(*period))
+            for name, period in self.decisions.maintenance_ended_ms.items()
+        )
 
     def _apply_slots(self, proxy: Proxy) -> None:
         table = proxy.balancer.slot_table
-        routes = {"moved": self.moved_keys, "exceptions": self.exception_keys}
-        slots, transitions = {}, {}
-        if len(self.slots.current) == table.size:
-            slots = {"current": self.slots.current, "new": self.slots.new}
-            transitions = self.slots.transition_started_ms
-        # Of a build with fewer or more slots: filled anew, as by a list.
-        table.restore(list(self.ready_servers), slots, transitions, routes)
+        ready, slots = list(self.ready_servers), self.slots
+        if len(slots.current) == table.size:
+            table.restore(ready, slots.current, slots.new, slots.transition_started_ms)
+        else:
+            # Of a build with fewer or more slots: filled anew, as by a list.
+            table.restore(ready, None, None, {})
+        table.moved_keys = self.moved_keys
+        table.exception_keys = self.exception_keys
 
     def _apply_estimates(self, proxy: Proxy) -> None:
         balancer, decisions = proxy.balancer, self.decisions
@@ -129,7 +136,7 @@
         admission.next_at = decisions.next_set_up_at_ms
         balancer.outlier_detector.dials.extend(self.attempts)
         balancer.retry_budget.retries.extend(
-            (retry.at_ms, retry.utility) for retry in decisions.retries
+            Retry(retry.at_ms, retry.utility) for retry in decisions.retries
         )
 
 
@@ -206,7 +213,7 @@
     records: Sequence[KeyRouteRecord], servers: Sequence[Server]
 ) -> KeyRoutes:
     return {
-        record.key: (servers[record.server_index], record.since_ms)
+        record.key: KeyRoute(servers[record.server_index], record.since_ms)
         for record in records
     }
 
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -16,7 +16,7 @@
 from wheathill.net.client import Client
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
-from wheathill.policy.slot_table import SlotTable
+from wheathill.policy.slot_table import KeyRoute, SlotTable
 
 ServerIndexes = Mapping[Server, int]  # of each server's record
 
@@ -77,7 +77,7 @@
 
 
 def _collect_key_routes(
-    routes: Mapping[str, tuple[Server, float]], indexes: ServerIndexes
+    routes: Mapping[str, KeyRoute], indexes: ServerIndexes
 ) -> list[KeyRouteRecord]:
     """Return the routes whose servers are still known."""
     return [
@@ -99,7 +99,10 @@
         list_version=list_version,
         discovery_address=discovery_address,
         maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
-        maintenance_ended_ms=dict(balancer.endpoint_list.maintenance_ended_ms),
+        maintenance_ended_ms={
+            name: (period.started_ms, period.ended_ms)
+            for name, period in balancer.endpoint_list.maintenance_ended_ms.items()
+        },
         capacity_estimate=balancer.load_estimator.capacity_estimate,
         probe_credit=balancer.probe_scheduler.earned,
         set_up_window=admission.window,
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -63,9 +63,9 @@
 class Baseline(Balancer):
     """The module's list, its dials and its rules; none of its table, levels or limits."""
 
-    def __init__(self, pick, actions, rng, **settings):
-        super().__init__(actions, rng, **settings)
-        plain = Plain(self, partial(pick, rng), settings["most_dials"])
+    def __init__(self, pick, effects, rng, settings):
+        super().__init__(effects, rng, settings)
+        plain = Plain(self, partial(pick, rng), settings.max_attempts)
         plain.next, self.attempt_runner.before = self.attempt_runner, plain
         self.admission = plain
         # What asks for figures of set-ups under way finds none.
@@ -73,16 +73,10 @@
         plain.failed = lambda now: None
 
     def tick(self, now):
-        for server in list(
-            dict.fromkeys(
-                sess.server for held in self.slot_table.sessions for sess in held
-            )
-        ):
-            if server.phase.value == "draining":
-                self.send_away(
-                    list(server.sessions),
-                    max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
-                )
+        servers = dict.fromkeys(
+            sess.server for held in self.slot_table.sessions for sess in held
+        )
+        self.session_migrator.migrate_off_draining(now, servers)
 
 
 def at_random(rng, able):
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -1,5 +1,6 @@
 """Proxies broken on purpose, each in one way that a judge must name: they prove that the judges can fail."""
 
+from dataclasses import replace
 from itertools import count
 
 from wheathill.model import Phase
@@ -59,8 +60,10 @@
     """Takes a server that drains for a ready one."""
 
     def entry(self, *args):
-        server, phase, *rest = super().entry(*args)
-        return server, Phase.READY if phase is Phase.DRAINING else phase, *rest
+        entry = super().entry(*args)
+        if entry.phase is Phase.DRAINING:
+            return replace(entry, phase=Phase.READY)
+        return entry
 
 
 class FloodsCold(Proxy):
--- a/wheathill/lab/scale/parts.py
+++ b/wheathill/lab/scale/parts.py
@@ -14,12 +14,14 @@
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.load_estimator import LoadEstimator
+from wheathill.policy.migration import SessionMigrator
 from wheathill.policy.probing import ProbeScheduler
 from wheathill.policy.slot_table import SlotTable
 
 WRAPPED = {
     Proxy: ("sweep", "log_figures"),
-    Balancer: ("tick", "relieve"),
+    Balancer: ("tick",),
+    SessionMigrator: ("shed_overloaded_servers",),
     SlotTable: ("finish_transitions", "shift_slots"),
     LoadEstimator: (
         "update_report_corrections",
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -15,12 +15,26 @@
 
 from wheathill.config import node_of
 from wheathill.lab.scale import fit
-from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
+from wheathill.model import (
+    AttemptOutcome,
+    EndpointEntry,
+    Listener,
+    Phase,
+    Server,
+    Session,
+    UpdateKind,
+)
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
+from wheathill.policy.settings import (
+    EndpointListSettings,
+    LoadEstimatorSettings,
+    PolicySettings,
+    SlowStartSettings,
+)
 
 SHARDS = 420_000
 SERVERS = 8_000
@@ -31,24 +45,16 @@
     100.0,
     1000.0,
 )  # sessions a second, for which probes are counted
-USUAL = dict(
-    zone=0,
-    proxies=2800,
-    report_names=["x0"],
+USUAL = PolicySettings(
+    proxy_count=2800,
     may_probe=True,
-    must_ask=False,
-    ask_every=10_000.0,
-    drain_grace=500.0,
-    sized=True,
-    start_share=0.2,
-    cold_for=10_000.0,
-    cold_multiple=3.0,
-    cold_window=1000.0,
-    most_dials=3,
-    longest_wait=1000.0,
-    crossing_price=0.0,
-    move_price=0.0,
-    passes_through=False,
+    max_attempts=3,
+    max_retry_after_ms=1000.0,
+    load_estimator=LoadEstimatorSettings(report_fields=["x0"]),
+    endpoint_list=EndpointListSettings(drain_grace_ms=500.0, uses_weights=True),
+    slow_start=SlowStartSettings(
+        initial_share=0.2, duration_ms=10_000.0, rate_multiple=3.0
+    ),
 )
 
 
@@ -238,13 +244,13 @@
 
 def balancer(count, seed):
     actions = Quiet()
-    made = Balancer(actions, random.Random(seed), **USUAL)
+    made = Balancer(actions, random.Random(seed), USUAL)
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
     made.on_endpoint_update(
         0.0,
         UpdateKind.SNAPSHOT,
-        [(server, Phase.READY, 1.0, None) for server in servers],
+        [EndpointEntry(server, Phase.READY, 1.0, None) for server in servers],
     )
     return made, actions, servers
 
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -72,7 +72,7 @@
             self.told,
             PeerEnvironment(self.proxy, carrier, self.host.clock, self.log),
             birth,
-            node.balancer["proxies"],
+            node.policy.proxy_count,
         )
         if self.odd and self.odd.version:
             self.proxy.peers.authenticator.version += 1
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -197,6 +197,23 @@
     sessions: "dict[Session, None]" = field(default_factory=dict)
 
 
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """What an update of the endpoint list states of one server.
+
+    Attributes:
+        server: the server.
+        phase: the phase that is stated.
+        weight: the stated weight, None where there is none.
+        started_ms: when its process started; None means long ago.
+    """
+
+    server: Server
+    phase: Phase
+    weight: float | None
+    started_ms: float | None
+
+
 @dataclass(eq=False, slots=True)
 class Attempt:
     """One attempt to set up a session at a server.
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -217,7 +217,7 @@
 
     def come_back(self, listener):
         return busy(
-            min(listener.handshake_target_ms, self.node.balancer["longest_wait"])
+            min(listener.handshake_target_ms, self.node.policy.max_retry_after_ms)
         )
 
     def answer(self, client, line):
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -56,7 +56,7 @@
         self.stopping = None  # since when
         self.stop_last = 0.0  # when those that are left are sent away
         self.bad_since = self.bad_logged = 0
-        self.balancer = decisions(self, random.Random(node.seed), **node.balancer)
+        self.balancer = decisions(self, random.Random(node.seed), node.policy)
 
     def now(self):
         return self.clock.now()
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,7 +4,7 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
-from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
+from wheathill.model import AttemptOutcome, EndpointEntry, Phase, Server, UpdateKind
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
 
@@ -224,10 +224,11 @@
             self.clock.after(again, self.read_again, watch)
 
     def note_told(self, entries, kind, version):
-        for server, phase, _, started in entries:
-            self.names.pop(server.name, None)
-            self.names[server.name] = (
-                None if phase is Phase.READY else (version, started)
+        for entry in entries:
+            name = entry.server.name
+            self.names.pop(name, None)
+            self.names[name] = (
+                None if entry.phase is Phase.READY else (version, entry.started_ms)
             )
         if kind is UpdateKind.SNAPSHOT:
             for server in self.servers.values():
@@ -270,7 +271,7 @@
             self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
-                [(server, phase, server.weight, started)],
+                [EndpointEntry(server, phase, server.weight, started)],
             )
 
     def entry(self, host, version, moved):
@@ -317,7 +318,7 @@
         if host.get("site") is not None:
             server.zone, server.cell = self.zones.get(host["site"], -1), cell
         self.servers[name] = server
-        return server, phase, weight, started
+        return EndpointEntry(server, phase, weight, started)
 
     def what_is_left(self, host):
         """Of an entry that can't be read: the known server that it is about, as it was, but that it leaves where that
@@ -331,7 +332,7 @@
             isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
         )
         return [
-            (
+            EndpointEntry(
                 server,
                 PHASES[phase] if leaves else server.listed_phase,
                 server.weight,
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -1,149 +1,136 @@
-"""All decisions of wheathill.
-
-One `Balancer` decides for one proxy. Whoever carries the sessions calls its `on_*` methods,
-one for each thing that happened, with the time in milliseconds first; it answers by calling the
-`Actions` of `wheathill/model.py`, where its interface (Server, Session, Listener, AttemptOutcome) is
-defined. Nothing here reads a clock, a file or a socket, and no name is ever looked at: a
-server's name is only hashed. The mechanism is that of docs/design.md: a slot table after INCAB
-(arXiv paper "In-network Congestion-aware Load Balancing at Transport Layer").
+"""All decisions of wheathill, joined: which part decides when what happens.
+
+One `Balancer` decides for one proxy. Whoever carries the sessions calls its methods,
+one for each thing that happens, with the time in milliseconds first; it answers by
+calling the `SessionEffects` of `wheathill.model`, where the types of its interface are
+defined. Nothing here reads a clock, a file or a socket, and no name is ever looked at:
+a server's name is only hashed. The mechanism is that of docs/design.md: a slot table
+after INCAB.
 """
 
-import math
+import random
 from collections import deque
-from itertools import chain
+from collections.abc import Collection, Sequence
 
 from wheathill.model import (
-    LIST_CALL_MS,
-    LIST_POLL_MAX_MS,
     Attempt,
     AttemptOutcome,
+    EndpointEntry,
     Phase,
+    Server,
+    Session,
+    SessionEffects,
     UpdateKind,
 )
 from wheathill.policy.admission import AdmissionControl
 from wheathill.policy.attempts import AttemptRunner
-from wheathill.policy.endpoint_list import EndpointList
+from wheathill.policy.endpoint_list import POLL_TIMER, EndpointList
 from wheathill.policy.load_estimator import LoadEstimator
+from wheathill.policy.migration import SessionMigrator
 from wheathill.policy.outlier_detection import OutlierDetector
 from wheathill.policy.path_latency import PathLatency
 from wheathill.policy.probing import ProbeScheduler
 from wheathill.policy.retry_budget import RetryBudget
 from wheathill.policy.server_selection import ServerSelector
+from wheathill.policy.settings import (
+    CONNECTION_LIFETIME_MS,
+    EARLY_RESET_MS,
+    TICK_INTERVAL_MS,
+    PolicySettings,
+)
 from wheathill.policy.slot_table import SlotTable
 from wheathill.policy.slow_start import SlowStartLimiter
 
+# Names of timers, beside `POLL_TIMER`; that of a wait is followed by its number.
+TICK_TIMER = "tick"
+PROBE_TIMER = "probe"
+WAIT_TIMER_PREFIX = "wait "
+
+# Where others of the fleet see a server fail, so many failures are noted here: as many
+# as make it an outlier.
+PEER_REPORTED_FAILURES = 2
+
 
 class Balancer:
-    """One proxy's decisions: wires the parts and hands them what happens."""
+    """One proxy's decisions: joins the parts, and passes on to them what happens.
 
-    TICK = 1000.0
-    CONNECTION_LIFE = 10_000.0
-    EARLY = 5000.0
-    MOVE_FROM = 0.9
-    SILENCE = 1500.0
-    QUIET = 500.0
+    Attributes:
+        effects: carries out what is decided.
+        uniform: draws a number between two bounds.
+        due_probes: the servers that are probed until the next tick.
+    """
 
     def __init__(
-        self,
-        actions,
-        rng,
-        *,
-        zone,
-        proxies,
-        report_names,
-        may_probe,
-        must_ask,
-        ask_every,
-        drain_grace,
-        sized,
-        start_share,
-        cold_for,
-        cold_multiple,
-        cold_window,
-        most_dials,
-        longest_wait,
-        crossing_price,
-        move_price,
-        passes_through,
-        budget=None,
-        gone_binds=True,
-        nines=0.0,
-        tells_late=False,
-        number=None,
-        slots=4096,
-    ):
-        self.effects, self.passes_through = actions, passes_through
-        self.uniform = rng.uniform
-        self.slot_table = SlotTable(
-            rng.choice,
-            size=slots,
-            least=4,
-            moved_share=0.2,
-            hard_time_out=10_000.0,
-            keys_kept=4096,
-            keys_age=60_000.0,
-            zone=zone,
-            near=self.nearness(crossing_price, move_price),
-            reach=32,
-        )
-        self.load_estimator = LoadEstimator(
-            report_names,
-            proxies,
-            fresh=5 * self.TICK,
-            together=self.TICK,
-            floor=5.0,
-            late=0.5 * self.TICK,
-            full=0.8 - 0.3 * nines,
-            late_for=1.5 * self.TICK,
-            tells_late=tells_late,
+        self, effects: SessionEffects, rng: random.Random, settings: PolicySettings
+    ) -> None:
+        """Make the parts; nothing is called before `on_start`.
+
+        Args:
+            effects: carries out what is decided.
+            rng: the one source of chance, from which all parts draw.
+            settings: what this proxy is configured with.
+        """
+        self.effects, self.uniform = effects, rng.uniform
+        self._is_passthrough = settings.is_passthrough
+        self.due_probes: deque[Server] = deque()
+        self._make_estimators(rng, settings)
+        self._make_stages(settings)
+        self.session_migrator = SessionMigrator(
+            effects,
+            rng.uniform,
+            self.slot_table,
+            self.load_estimator,
+            self.outlier_detector,
+            may_probe=settings.may_probe,
         )
-        self.longest_spread = min(ask_every / 2, LIST_POLL_MAX_MS)
+
+    def _make_estimators(self, rng: random.Random, settings: PolicySettings) -> None:
+        """Make the parts that hold what is known, in the order in which they draw."""
+        proxy_count = settings.proxy_count
+        self.slot_table = SlotTable(rng.choice, settings.slot_table)
+        self.load_estimator = LoadEstimator(settings.load_estimator, proxy_count)
         self.endpoint_list = EndpointList(
-            actions,
-            must_ask,
-            min(self.longest_spread, proxies * LIST_CALL_MS),
-            drain_grace,
-            sized,
-            rng.uniform,
-            gone_binds,
+            self.effects, rng.uniform, settings.endpoint_list, proxy_count
         )
         self.outlier_detector = OutlierDetector(
             pause=250.0,
-            stood=0.4 * self.EARLY,
-            memory=self.CONNECTION_LIFE,
+            stood=0.4 * EARLY_RESET_MS,
+            memory=CONNECTION_LIFETIME_MS,
             shared_memory=5000.0,
         )
-        self.path_latency = PathLatency(fresh=5 * self.TICK)
+        self.path_latency = PathLatency(fresh=5 * TICK_INTERVAL_MS)
+        # Without a number of its own, a proxy takes one at random.
+        proxy_index = settings.proxy_index
         self.slow_start = SlowStartLimiter(
+            settings.slow_start,
             self.load_estimator,
-            start_share,
-            cold_for,
-            cold_multiple,
-            cold_window,
-            rng.uniform(0.0, proxies) if number is None else number,
-            proxies,
+            rng.uniform(0.0, proxy_count) if proxy_index is None else proxy_index,
+            proxy_count,
         )
-        self.retry_budget = RetryBudget(*(budget or (0.0, 0.0, 0.0)))
-        admission = AdmissionControl(
-            actions,
-            rng.uniform,
+        self.retry_budget = RetryBudget(settings.retry_budget)
+
+    def _make_stages(self, settings: PolicySettings) -> None:
+        """Make the stages that a session passes, and join them."""
+        self.probe_scheduler = ProbeScheduler(
+            self.effects,
+            settings.may_probe,
+            a_session=3.0,
+            every=0.9 * TICK_INTERVAL_MS,
+            near_full=self.load_estimator.overload_threshold / 2,
+        )
+        self.admission = AdmissionControl(
+            self.effects,
+            self.uniform,
             self.outlier_detector,
-            longest_wait,
+            settings.max_retry_after_ms,
             most_set_ups=256,
             least_set_ups=1 / 32,
             pause=250.0,
             cut_wait=500.0,
-            hold=self.EARLY,
-        )
-        self.probe_scheduler = ProbeScheduler(
-            actions,
-            may_probe,
-            a_session=3.0,
-            every=0.9 * self.TICK,
-            near_full=self.load_estimator.overload_threshold / 2,
+            hold=EARLY_RESET_MS,
         )
         self.server_selector = ServerSelector(
-            actions,
+            self.effects,
             self.slot_table,
             self.load_estimator,
             self.endpoint_list,
@@ -152,315 +139,312 @@
             self.slow_start,
             self.retry_budget,
             self.probe_scheduler,
-            most_dials,
+            settings.max_attempts,
             most_asked=4,
-            recent=0.4 * self.TICK,
+            recent=0.4 * TICK_INTERVAL_MS,
         )
         self.attempt_runner = AttemptRunner(
-            actions,
+            self.effects,
             self.slot_table,
             self.load_estimator,
             self.outlier_detector,
             self.slow_start,
             self.retry_budget,
-            alive=self.TICK,
+            alive=TICK_INTERVAL_MS,
         )
-        self.due_probes = deque()
-        self.admission = admission
         for earlier, later in (
-            (admission, self.server_selector),
+            (self.admission, self.server_selector),
             (self.server_selector, self.attempt_runner),
         ):
             earlier.next, later.before = later, earlier
 
-    @staticmethod
-    def nearness(crossing_price, move_price):
-        """How much more an own-zone server weighs. Tables that differ by zone cost resets when a
-        connection's packets come to another zone, so it must pay well against moving clients."""
-        return (
-            min(8.0, max(1.0, crossing_price / (2 * move_price))) if move_price else 1.0
-        )
+    # Start, stop and timers
+
+    def on_start(self, now_ms: float) -> None:
+        """Begin to decide."""
+        self.endpoint_list.start(now_ms)
+        self.slow_start.process_started_ms = now_ms
+        # Proxies that start together would otherwise probe every server in the same
+        # instant.
+        delay_ms = self.uniform(0.1, 1.0) * TICK_INTERVAL_MS
+        self.effects.alarm(TICK_TIMER, now_ms + delay_ms)
+
+    def on_stop(self, now_ms: float, is_last: bool) -> None:
+        """Send clients away, as this proxy stops.
+
+        It is called again and again until the end, so that sessions which are accepted
+        meanwhile migrate as well. Where packets pass through, connections go on without
+        this proxy.
+        """
+        if not self._is_passthrough:
+            self.session_migrator.migrate_all(is_last=is_last)
+
+    def on_timer(self, now_ms: float, name: str) -> None:
+        """Do what a timer was set for."""
+        if name == POLL_TIMER:
+            self.endpoint_list.poll(now_ms)
+        elif name == TICK_TIMER:
+            self.effects.alarm(TICK_TIMER, now_ms + TICK_INTERVAL_MS)
+            self.tick(now_ms)
+        elif name.startswith(WAIT_TIMER_PREFIX):
+            number = int(name[len(WAIT_TIMER_PREFIX) :])
+            self.server_selector.out_of_patience(now_ms, number)
+        elif name == PROBE_TIMER and self.due_probes:
+            server = self.due_probes.popleft()
+            if server.phase is Phase.READY:
+                self.probe_scheduler.send(now_ms, server)
 
-    def on_start(self, now):
-        self.endpoint_list.start(now)
-        self.slow_start.process_started_ms = now
-        # Proxies that start together would otherwise probe every server in the same instant.
-        self.effects.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+    def tick(self, now_ms: float) -> None:
+        """Do what is done once in each `TICK_INTERVAL_MS`."""
+        ready, table = self.endpoint_list.servers, self.slot_table
+        table.finish_transitions(now_ms)
+        self.load_estimator.update_report_corrections(now_ms, ready)
+        warm = [
+            server for server in ready if not self.slow_start.is_warming(now_ms, server)
+        ]
+        self.load_estimator.update_capacity_estimate(now_ms, warm)
+        self._shift_slots(now_ms)
+        self.session_migrator.shed_overloaded_servers(now_ms, ready)
+        table.active_servers = {
+            server: None for server in table.active_servers if server.sessions
+        }
+        self.session_migrator.migrate_off_draining(now_ms, table.active_servers)
+        self._schedule_probes(now_ms)
 
-    def on_endpoint_update(self, now, kind, entries):
-        joined, left = self.endpoint_list.update(now, kind, entries)
-        self.slot_table.update(
-            now, joined, dict.fromkeys(left), self.endpoint_list.servers
+    def _shift_slots(self, now_ms: float) -> None:
+        levels = self.load_estimator.levels(now_ms, self.endpoint_list.servers)
+        shift = self.slot_table.shift_slots(
+            now_ms,
+            levels,
+            CONNECTION_LIFETIME_MS,
+            lambda server: (
+                not self.outlier_detector.ill(now_ms, server)
+                and not self.slow_start.is_warming(now_ms, server)
+            ),
         )
-        for server in joined:
-            # In unlike order at each proxy, or all would probe the same servers first.
-            server.last_probe_ms = now - self.uniform(1.0, 2.0) * self.CONNECTION_LIFE
-        for what, servers in (("joined", joined), ("left", left)):
+        if shift:
+            self.effects.log(
+                f"shift: {shift.slot_count} slots off a server on level"
+                f" {levels[shift.server]}"
+            )
+
+    def _schedule_probes(self, now_ms: float) -> None:
+        """Spread the probes that are due evenly over the time until the next tick."""
+        ready = self.endpoint_list.servers
+        loads = self.load_estimator.loads(now_ms, ready)
+        due = self.probe_scheduler.due(now_ms, ready, loads)
+        self.due_probes = deque(due)
+        for index in range(len(due)):
+            delay_ms = TICK_INTERVAL_MS * (index + 0.5) / len(due)
+            self.effects.alarm(PROBE_TIMER, now_ms + delay_ms)
+
+    # The list of servers and the fleet
+
+    def on_endpoint_update(
+        self, now_ms: float, kind: UpdateKind, entries: Sequence[EndpointEntry]
+    ) -> None:
+        """Apply an update of the endpoint list, or note that a poll has failed."""
+        change = self.endpoint_list.update(now_ms, kind, entries)
+        ready = self.endpoint_list.servers
+        self.slot_table.update(now_ms, change.joined, dict.fromkeys(change.left), ready)
+        for server in change.joined:
+            # In another order at each proxy, or all would probe the same servers first.
+            age_ms = self.uniform(1.0, 2.0) * CONNECTION_LIFETIME_MS
+            server.last_probe_ms = now_ms - age_ms
+        for verb, servers in (("joined", change.joined), ("left", change.left)):
             if servers:
-                self.effects.log(
-                    f"list: {len(servers)} {what}, {len(self.endpoint_list.servers)} ready"
-                )
-
-    def set_maintenance(self, now, name, out, server):
-        """A server is left out by hand, or put back, also if it is not listed now (`server` None). It drains
-        as by list, and comes back as one that has just started: it may have, before any list tells so."""
-        held = self.endpoint_list.maintenance_since_ms
-        if out:
-            held.setdefault(name, now)
-        elif name in held:
-            self.endpoint_list.maintenance_ended_ms[name] = held.pop(name), now
-        if server is not None and (server.phase is Phase.READY) is out:
-            self.on_endpoint_update(
-                now,
-                UpdateKind.MAINTENANCE,
-                [(server, server.listed_phase, server.weight, server.started_ms)],
+                self.effects.log(f"list: {len(servers)} {verb}, {len(ready)} ready")
+
+    def set_maintenance(
+        self, now_ms: float, name: str, is_out: bool, server: Server | None
+    ) -> None:
+        """Put a server into maintenance mode, or back.
+
+        It drains as by the list, and comes back as one that has just started: it may
+        have, before any list says so.
+
+        Args:
+            now_ms: the time.
+            name: the server's name.
+            is_out: whether it is in maintenance from now on.
+            server: the server, None where it is not listed now.
+        """
+        self.endpoint_list.set_maintenance(now_ms, name, is_out)
+        if server is not None and (server.phase is Phase.READY) is is_out:
+            entry = EndpointEntry(
+                server, server.listed_phase, server.weight, server.started_ms
             )
+            self.on_endpoint_update(now_ms, UpdateKind.MAINTENANCE, [entry])
 
-    def on_quota_changed(self, now, share):
-        """This proxy's part of what all may do together, as far as it knows who is there."""
-        self.load_estimator.set_quota(share)
-        self.endpoint_list.poll_spread_ms = min(
-            self.longest_spread, LIST_CALL_MS / max(share, 1e-6)
-        )
+    def on_quota_changed(self, now_ms: float, quota: float) -> None:
+        """Take this proxy's part of what all proxies may do together.
+
+        It is as far as this proxy knows which others there are.
+        """
+        self.load_estimator.set_quota(quota)
+        self.endpoint_list.set_quota(quota)
 
-    def on_peer_health_reports(self, now, failing, here):
-        """Other proxies' sight: `failing` ones fail for them all and are tried by one session at a time, like
-        those that failed here; of those that fail `here` alone the way is to blame, and nothing shared."""
+    def on_peer_health_reports(
+        self,
+        now_ms: float,
+        failing: Collection[Server],
+        failing_here: Collection[Server],
+    ) -> None:
+        """Take what other proxies see of the servers.
+
+        Args:
+            now_ms: the time.
+            failing: servers that fail for all proxies: they are tried by one session at
+                a time, like those that failed here.
+            failing_here: servers that fail for this proxy alone: the path to them is to
+                blame, and nothing that set-ups share.
+        """
+        detector = self.outlier_detector
         for server in failing:
-            if not self.outlier_detector.ill(now, server):
-                server.recent_results.extend([(now, False)] * 2)
-        self.outlier_detector.dials = deque(
-            (dial for dial in self.outlier_detector.dials if dial[1] not in here),
-            maxlen=self.outlier_detector.dials.maxlen,
+            if not detector.ill(now_ms, server):
+                failure = (now_ms, False)
+                server.recent_results.extend([failure] * PEER_REPORTED_FAILURES)
+        detector.dials = deque(
+            (dial for dial in detector.dials if dial[1] not in failing_here),
+            maxlen=detector.dials.maxlen,
         )
 
-    def on_session(self, now, sess):
-        # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
-        # connections pay: a proxy that takes over from another knows little of what it is handed.
-        self.retry_budget.record_session(now)
-        if sess.mid_flow or not (sess.is_client_retry or sess.returning):
-            self.probe_scheduler.session(self.endpoint_list.servers)
-        self.admission.enter(now, sess)
-
-    def on_session_taken_over(self, now, sess, server):
-        sess.slot = self.slot_table.slot_of(sess)
-        sess.server = server
-        sess.attempts.append(Attempt(server, now))
-        self.attempt_runner.accepted(now, sess)
-
-    def on_session_handed_over(self, now, sess, server):
-        """A session that another process of this proxy set up."""
-        sess.slot = self.slot_table.slot_of(sess)
-        sess.server = server
-        sess.attempts.append(Attempt(server, sess.accepted_ms))
-        server.sessions[sess] = None
-        self.slot_table.add_session(now, sess)
-
-    def on_session_accepted(self, now, sess):
-        self.attempt_runner.accepted(now, sess)
-
-    def on_outcome(self, now, sess, outcome, closed):
-        self.forget(sess)
-        if outcome is AttemptOutcome.RESET and sess.accepted_ms is not None:
-            self.outlier_detector.broke(now, sess.server, sess.accepted_ms)
-            if now - sess.accepted_ms < self.EARLY:
-                self.admission.failed(now)
-        if closed or sess.has_ended:
-            self.on_client_left(now, sess)
-        else:
-            if outcome is AttemptOutcome.CONNECT_FAILED:
-                self.second_witness(now, sess.server)
-            self.attempt_runner.back(now, sess, outcome)
-
-    def on_client_left(self, now, sess):
-        sess.has_ended = True
-        self.admission.under_way.pop(sess, None)
-        self.forget(sess)
-
-    def forget(self, sess):
-        if sess.server is not None and sess in sess.server.sessions:
-            del sess.server.sessions[sess]
-            self.slot_table.remove_session(sess)
-
-    def on_load_declared(self, now, sess, load):
-        sess.load = load
-
-    def on_message_latency(self, now, sess, message_ms):
-        if message_ms > sess.listener.message_target_ms and sess.server:
-            # Where the way alone takes so long the server is not to blame.
-            far = self.path_latency.slow(
-                now, sess.server, sess.listener.message_target_ms
-            )
-            self.load_estimator.record_late_message(
-                now,
-                sess.server,
-                0.0 if far else message_ms / sess.listener.message_target_ms,
-            )
+    # Sessions
 
-    def on_probe_result(self, now, server, outcome, report):
-        sent, server.probe_sent_ms = server.probe_sent_ms, None
+    def on_session(self, now_ms: float, session: Session) -> None:
+        """Place a session, or give its final answer."""
+        # Clients that come again pay for nothing: in trouble each comes many times.
+        # Packets of open connections pay: a proxy that takes over from another knows
+        # little of what it is given.
+        self.retry_budget.record_session(now_ms)
+        if session.mid_flow or not (session.is_client_retry or session.returning):
+            self.probe_scheduler.session(self.endpoint_list.servers)
+        self.admission.enter(now_ms, session)
+
+    def on_session_taken_over(
+        self, now_ms: float, session: Session, server: Server
+    ) -> None:
+        """Take in an open session that another proxy has set up."""
+        self._place(session, server, now_ms)
+        self.attempt_runner.accepted(now_ms, session)
+
+    def on_session_handed_over(
+        self, now_ms: float, session: Session, server: Server
+    ) -> None:
+        """Take in an open session that another process of this proxy has set up."""
+        accepted_ms = session.accepted_ms
+        self._place(session, server, now_ms if accepted_ms is None else accepted_ms)
+        server.sessions[session] = None
+        self.slot_table.add_session(now_ms, session)
+
+    def on_session_accepted(self, now_ms: float, session: Session) -> None:
+        """Note that the server of an attempt has accepted the session."""
+        self.attempt_runner.accepted(now_ms, session)
+
+    def on_outcome(
+        self,
+        now_ms: float,
+        session: Session,
+        outcome: AttemptOutcome,
+        is_closed: bool,
+    ) -> None:
+        """Take the end of an attempt or of an open session.
+
+        Args:
+            now_ms: the time.
+            session: the session.
+            outcome: how it ended.
+            is_closed: whether the session has ended with it, so that nothing more is to
+                be done for it.
+        """
+        self._remove_from_server(session)
+        server, accepted_ms = session.server, session.accepted_ms
+        is_reset = outcome is AttemptOutcome.RESET
+        if is_reset and server is not None and accepted_ms is not None:
+            self.outlier_detector.broke(now_ms, server, accepted_ms)
+            if now_ms - accepted_ms < EARLY_RESET_MS:
+                self.admission.failed(now_ms)
+        if is_closed or session.has_ended:
+            self.on_client_left(now_ms, session)
+            return
+        if outcome is AttemptOutcome.CONNECT_FAILED and server is not None:
+            self._on_server_failed(now_ms, server)
+        self.attempt_runner.back(now_ms, session, outcome)
+
+    def on_client_left(self, now_ms: float, session: Session) -> None:
+        """Forget a session that has ended, or whose client has left."""
+        session.has_ended = True
+        self.admission.under_way.pop(session, None)
+        self._remove_from_server(session)
+
+    def on_load_declared(self, now_ms: float, session: Session, load: float) -> None:
+        """Take the load that a client declares for its session."""
+        session.load = load
+
+    def on_message_latency(
+        self, now_ms: float, session: Session, latency_ms: float
+    ) -> None:
+        """Take how long a message of a session took."""
+        target_ms, server = session.listener.message_target_ms, session.server
+        if latency_ms <= target_ms or server is None:
+            return
+        # Where the path alone takes so long the server is not to blame.
+        is_path_slow = self.path_latency.slow(now_ms, server, target_ms)
+        lateness = 0.0 if is_path_slow else latency_ms / target_ms
+        self.load_estimator.record_late_message(now_ms, server, lateness)
+
+    def on_message_unanswered(
+        self, now_ms: float, session: Session, waited_ms: float
+    ) -> None:
+        """Take that a message of a session has had no answer for so long."""
+        self.session_migrator.on_message_unanswered(now_ms, session, waited_ms)
+
+    def _place(self, session: Session, server: Server, accepted_ms: float) -> None:
+        session.slot = self.slot_table.slot_of(session)
+        session.server = server
+        session.attempts.append(Attempt(server, accepted_ms))
+
+    def _remove_from_server(self, session: Session) -> None:
+        if session.server is not None and session in session.server.sessions:
+            del session.server.sessions[session]
+            self.slot_table.remove_session(session)
+
+    # Servers
+
+    def on_probe_result(
+        self,
+        now_ms: float,
+        server: Server,
+        outcome: AttemptOutcome,
+        report: Sequence[float | None] | None,
+    ) -> None:
+        """Take the answer to a probe, or that there was none."""
+        sent_ms, server.probe_sent_ms = server.probe_sent_ms, None
         if outcome is AttemptOutcome.COMPLETED:
-            if sent is not None:
-                self.path_latency.took(now, server, now - sent)
+            if sent_ms is not None:
+                self.path_latency.took(now_ms, server, now_ms - sent_ms)
             server.unanswered_probes = 0
-            self.load_estimator.record_sample(now, server, report)
+            self.load_estimator.record_sample(now_ms, server, report)
         elif outcome is not AttemptOutcome.AT_CAPACITY:
-            # One that has too many probes to answer is not a silent one.
+            # One that has too many probes to answer is not unresponsive.
             server.unanswered_probes += 1
-            self.second_witness(now, server)
-        self.server_selector.answered(
-            now,
-            server,
-            outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY),
-        )
-
-    def second_witness(self, now, server):
+            self._on_server_failed(now_ms, server)
+        is_answered = outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY)
+        self.server_selector.answered(now_ms, server, is_answered)
+
+    def on_load_report(
+        self, now_ms: float, server: Server, report: Sequence[float | None]
+    ) -> None:
+        """Take a load report that came without a probe."""
+        self.load_estimator.record_sample(now_ms, server, report)
+
+    def on_server_activity(self, now_ms: float, server: Server) -> None:
+        """Note that something was received from a server."""
+        server.last_received_ms, server.unanswered_session = now_ms, None
+
+    def _on_server_failed(self, now_ms: float, server: Server) -> None:
+        """Remove a server that is not listed any more and gives no answer either."""
         if server.is_removal_unconfirmed:
-            left = {}
-            self.endpoint_list.mark_leaving(now, server, Phase.GONE, left)
-            self.endpoint_list.keep_ready()
-            self.slot_table.update(now, [], left, self.endpoint_list.servers)
+            left = self.endpoint_list.confirm_removal(now_ms, server)
+            self.slot_table.update(now_ms, [], left, self.endpoint_list.servers)
             self.effects.log("list: 1 left, it gives no answer either")
-
-    def on_load_report(self, now, server, report):
-        self.load_estimator.record_sample(now, server, report)
-
-    def on_message_unanswered(self, now, sess, waited):
-        """A line got nothing back: its server or the way there is gone without a word. Where two wait and
-        nothing at all came from there meanwhile, the others need not find out one by one."""
-        server = sess.server
-        if waited >= self.SILENCE:
-            self.effects.move(sess)
-        elif (
-            now - server.last_received_ms >= self.QUIET
-            and server.unanswered_session not in (None, sess)
-        ):
-            server.unanswered_probes = 2 if self.probe_scheduler.allowed else 0
-            self.effects.log(
-                f"move: {len(server.sessions)} connections off a server that says nothing"
-            )
-            self.send_away(list(server.sessions), 1)
-        server.unanswered_session = sess
-
-    def on_server_activity(self, now, server):
-        server.last_received_ms, server.unanswered_session = now, None
-
-    def on_stop(self, now, last):
-        """Asked again and again until the end, so that those accepted meanwhile are sent away as well. Where
-        packets pass through, connections go on without this proxy."""
-        if not self.passes_through:
-            self.send_away(
-                [sess for held in self.slot_table.sessions for sess in held],
-                1 if last else 4,
-            )
-
-    def send_away(self, sessions, parts):
-        """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
-        are set up anew, and at once they would swamp what set-ups depend on."""
-        for sess in sessions[: math.ceil(len(sessions) / parts)]:
-            self.effects.move(sess)
-
-    def on_timer(self, now, name):
-        if name == "follow":
-            self.endpoint_list.poll(now)
-        elif name == "tick":
-            self.effects.alarm("tick", now + self.TICK)
-            self.tick(now)
-        elif name.startswith("wait "):
-            self.server_selector.out_of_patience(now, int(name[5:]))
-        elif name == "probe" and self.due_probes:
-            server = self.due_probes.popleft()
-            if server.phase is Phase.READY:
-                self.probe_scheduler.send(now, server)
-
-    def tick(self, now):
-        self.slot_table.finish_transitions(now)
-        self.load_estimator.update_report_corrections(now, self.endpoint_list.servers)
-        warm = [
-            server
-            for server in self.endpoint_list.servers
-            if not self.slow_start.is_warming(now, server)
-        ]
-        self.load_estimator.update_capacity_estimate(now, warm)
-        levels = self.load_estimator.levels(now, self.endpoint_list.servers)
-        shifted = self.slot_table.shift_slots(
-            now,
-            levels,
-            self.CONNECTION_LIFE,
-            lambda server: (
-                not self.outlier_detector.ill(now, server)
-                and not self.slow_start.is_warming(now, server)
-            ),
-        )
-        if shifted:
-            self.effects.log(
-                f"shift: {shifted[1]} slots off a server on level {levels[shifted[0]]}"
-            )
-        self.relieve(now)
-        self.slot_table.active_servers = {
-            server: None for server in self.slot_table.active_servers if server.sessions
-        }
-        for server in [
-            server
-            for server in self.slot_table.active_servers
-            if server.phase is Phase.DRAINING
-        ]:
-            # In three ticks: servers were seen to end 3.2 s after this proxy was told.
-            self.send_away(
-                list(server.sessions),
-                max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
-            )
-        due = self.probe_scheduler.due(
-            now,
-            self.endpoint_list.servers,
-            self.load_estimator.loads(now, self.endpoint_list.servers),
-        )
-        self.due_probes = deque(due)
-        for place in range(len(due)):
-            self.effects.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
-
-    def relieve(self, now):
-        """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
-        connections outlive the trouble. They act from the load at which messages miss while other servers
-        have room, and from full capacity in any case: past it nobody there is served, and those
-        who must wait outside cost less. Whole slots go, so that a group is not spread; half the excess
-        at a time, since reports lag behind the moves, but all of it past full capacity."""
-        full = self.load_estimator.overload_threshold
-        loads = {
-            server: load
-            for server, load in self.load_estimator.loads(
-                now, self.endpoint_list.servers
-            ).items()
-            if self.load_estimator.reports_utilisation
-            and not self.outlier_detector.silent(server)
-        }
-        room = sum(full - load for load in loads.values()) > 0
-        late = [
-            server
-            for server in self.endpoint_list.servers
-            if self.load_estimator.is_late(now, server)
-        ]
-        for server in dict.fromkeys(chain(loads, late)):
-            load = loads.get(server, 1.0)
-            if (
-                load < (self.MOVE_FROM if room else 1.0)
-                or now < server.next_migration_ms
-            ):
-                continue
-            excess = 1 - (0.75 if room else 1.0) * full / load
-            # By chance in proportion: rounded up by hundreds of proxies that hold one each, all would go.
-            share = excess if load >= 1.0 else excess / 2
-            count = int(len(server.sessions) * share + self.uniform(0.0, 1.0))
-            for sess in sorted(
-                server.sessions,
-                key=lambda sess: (
-                    self.slot_table.preferred_servers[sess.slot] is server,
-                    -self.slot_table.claim_scores[sess.slot],
-                ),
-            )[:count]:
-                self.effects.move(sess)
-            if count:
-                server.next_migration_ms = now + 2 * self.TICK
-                self.effects.log(
-                    f"move: {count} connections off a server at {load:.1f} of its capacity"
-                )
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -1,130 +1,261 @@
-"""The endpoint list as this proxy follows it: who joined, who left, who may get attempts."""
+"""The endpoint list: which servers there are, and which may get attempts."""
 
-import math
+from collections.abc import Callable, Sequence
+from typing import NamedTuple
 
-from wheathill.model import LIST_POLL_MAX_MS, Phase, UpdateKind
+from wheathill.model import (
+    LIST_CALL_MS,
+    LIST_POLL_MAX_MS,
+    EndpointEntry,
+    Phase,
+    Server,
+    SessionEffects,
+    UpdateKind,
+)
+from wheathill.policy.settings import EndpointListSettings
+
+# The name of the timer that polls the list.
+POLL_TIMER = "follow"
+# The shortest wait after a failed poll, in ms, which doubles with each further failure
+# up to `MAX_BACKOFF_DOUBLINGS` times.
+MIN_BACKOFF_MS = 500.0
+MAX_BACKOFF_DOUBLINGS = 5
+# A quota that is as good as none must not make the spread infinite.
+MIN_QUOTA = 1e-6
+
+
+class MaintenancePeriod(NamedTuple):
+    """When a server was in maintenance, in ms.
+
+    Attributes:
+        started_ms: when it was taken out.
+        ended_ms: when it was put back.
+    """
+
+    started_ms: float
+    ended_ms: float
+
+
+class EndpointChange(NamedTuple):
+    """What an update of the list has changed.
+
+    Attributes:
+        joined: servers that are ready now, and were not or have restarted.
+        left: servers that are not ready any more.
+    """
+
+    joined: list[Server]
+    left: list[Server]
 
 
 class EndpointList:
-    """Follows the list of servers; tells who joined and who left."""
+    """Follows the list of servers, and says who joined and who left.
+
+    Attributes:
+        servers: the ready ones, in order of name: the same at every proxy.
+        maintenance_since_ms: names of servers in maintenance, and since when.
+        maintenance_ended_ms: of servers that were put back, the last period.
+        poll_spread_ms: the time over which the proxies spread their polls.
+    """
 
     def __init__(
-        self, actions, must_ask, spread, drain_grace, sized, uniform, gone_binds
-    ):
-        self.gone_binds, self.poll_spread_ms, self.actions, self.sized = (
-            gone_binds,
-            spread,
-            actions,
-            sized,
-        )
-        self.must_ask, self.drain_grace, self.uniform = must_ask, drain_grace, uniform
-        self.servers = {}  # ready ones, in order of name: the same at every proxy
-        self.maintenance_since_ms = {}  # names of those that are out by hand -> since when
-        self.maintenance_ended_ms = {}  # of those put back -> (since when they were out, until when)
-        self.following, self.asked, self.failures = False, None, 0
-
-    def start(self, now):
-        """The list service is one for all and does not grow with them: a call by every proxy at the start
-        would be turned away for most, and their next ones too."""
-        if self.must_ask:
-            self.actions.alarm("follow", now + self.uniform(0.0, self.poll_spread_ms))
-
-    def poll(self, now):
-        if self.must_ask and not self.following and self.asked is None:
-            self.asked = now
-            self.actions.follow_list(True)
-
-    def update(self, now, kind, entries):
-        """Entries are (server, phase, weight, started). Returns (joined, left)."""
+        self,
+        effects: SessionEffects,
+        uniform: Callable[[float, float], float],
+        settings: EndpointListSettings,
+        proxy_count: int,
+    ) -> None:
+        """Begin with no server, and follow the list from `start` on."""
+        self._effects = effects
+        self._uniform = uniform
+        self._is_polled = settings.is_polled
+        self._drain_grace_ms = settings.drain_grace_ms
+        self._uses_weights = settings.uses_weights
+        self._absence_removes = settings.absence_removes
+        self._max_spread_ms = min(settings.poll_interval_ms / 2, LIST_POLL_MAX_MS)
+        self.poll_spread_ms = min(self._max_spread_ms, proxy_count * LIST_CALL_MS)
+        self.servers: dict[Server, None] = {}
+        self.maintenance_since_ms: dict[str, float] = {}
+        self.maintenance_ended_ms: dict[str, MaintenancePeriod] = {}
+        self._is_watching = False
+        self._polled_at_ms: float | None = None
+        self._failed_polls = 0
+
+    # Polling
+
+    def start(self, now_ms: float) -> None:
+        """Schedule the first poll.
+
+        The list service is one for all proxies and does not grow with them: a call by
+        every proxy at its start would be rejected for most, and their next ones too.
+        """
+        if self._is_polled:
+            delay_ms = self._uniform(0.0, self.poll_spread_ms)
+            self._effects.alarm(POLL_TIMER, now_ms + delay_ms)
+
+    def poll(self, now_ms: float) -> None:
+        """Poll the list, unless it is watched already or a poll is under way."""
+        if self._is_polled and not self._is_watching and self._polled_at_ms is None:
+            self._polled_at_ms = now_ms
+            self._effects.follow_list(True)
+
+    def set_quota(self, quota: float) -> None:
+        """Spread the polls by this proxy's part of what all proxies may do together."""
+        spread_ms = LIST_CALL_MS / max(quota, MIN_QUOTA)
+        self.poll_spread_ms = min(self._max_spread_ms, spread_ms)
+
+    def _on_poll_failed(self, now_ms: float) -> None:
+        """Schedule the next poll.
+
+        Every proxy meets the failure at once; polling again together would keep the
+        list service down, so the wait doubles and is spread.
+        """
+        self._end_poll(is_watching=False, failed_polls=self._failed_polls + 1)
+        doublings = min(self._failed_polls, MAX_BACKOFF_DOUBLINGS)
+        first_ms = max(MIN_BACKOFF_MS, self.poll_spread_ms / 2)
+        wait_ms = min(LIST_POLL_MAX_MS, first_ms * 2.0**doublings)
+        delay_ms = wait_ms * self._uniform(0.5, 1.0)
+        self._effects.alarm(POLL_TIMER, now_ms + delay_ms)
+
+    def _end_poll(self, *, is_watching: bool, failed_polls: int) -> None:
+        self._is_watching = is_watching
+        self._polled_at_ms = None
+        self._failed_polls = failed_polls
+
+    # Updates
+
+    def update(
+        self, now_ms: float, kind: UpdateKind, entries: Sequence[EndpointEntry]
+    ) -> EndpointChange:
+        """Apply an update of the list."""
         if kind is UpdateKind.FAILED:
-            # Every proxy meets the failure at once; asking again together would keep the list
-            # service down, so the wait doubles and is spread.
-            self.following, self.asked, self.failures = False, None, self.failures + 1
-            wait = min(
-                LIST_POLL_MAX_MS,
-                max(500.0, self.poll_spread_ms / 2) * 2.0 ** min(self.failures, 5),
-            )
-            self.actions.alarm("follow", now + wait * self.uniform(0.5, 1.0))
-            return [], []
-        if kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT) and self.asked is not None:
-            self.following, self.asked, self.failures = True, None, 0
-        joined, left, listed = {}, {}, {}
-        for server, phase, weight, started in entries:
-            listed[server] = None
-            server.listed_phase, server.is_removal_unconfirmed = phase, False
-            if phase is Phase.READY and server.name in self.maintenance_since_ms:
-                phase = Phase.DRAINING
-            since, until = self.maintenance_ended_ms.get(server.name, (-math.inf, None))
-            if (
-                started is None
-                and until is not None
-                or started is not None
-                and started < since
-            ):
-                started = until  # that it was restarted meanwhile may not be told yet
-            restarted = started is not None and (
-                server in self.servers
-                if server.started_ms is None
-                else started > server.started_ms
-            )
-            # Only a registered size is the same at every proxy; a live weight would tear tables apart.
-            server.weight = weight if self.sized and weight and weight > 0 else 1.0
-            server.started_ms = started
-            if phase is Phase.READY:
-                if server not in self.servers or restarted:
-                    joined[server] = None
-                    # A new process knows nothing of what the old one was judged by.
-                    for known in (
-                        server.load_samples,
-                        server.probe_latencies,
-                        server.recent_results,
-                        server.attempt_times_ms,
-                    ):
-                        known.clear()
-                    (
-                        server.unanswered_probes,
-                        server.probe_sent_ms,
-                        server.report_correction,
-                    ) = 0, None, 1.0
-                server.phase = Phase.READY
-            elif server.phase is Phase.READY or server in self.servers:
-                self.handle_missing(now, server, phase, left)
-            else:
-                server.phase = phase
+            self._on_poll_failed(now_ms)
+            return EndpointChange([], [])
+        answers_poll = kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT)
+        if answers_poll and self._polled_at_ms is not None:
+            self._end_poll(is_watching=True, failed_polls=0)
+        joined: dict[Server, None] = {}
+        left: dict[Server, None] = {}
+        for entry in entries:
+            self._apply_entry(now_ms, entry, joined, left)
         if kind not in (UpdateKind.DELTA, UpdateKind.MAINTENANCE):
+            listed = {entry.server: None for entry in entries}
             for server in [server for server in self.servers if server not in listed]:
-                self.handle_missing(now, server, Phase.GONE, left)
+                self._handle_removal(now_ms, server, Phase.GONE, left)
         self.servers.update(joined)
-        self.keep_ready()
-        return [server for server in joined if server in self.servers], list(left)
+        self._keep_ready_servers()
+        ready_joined = [server for server in joined if server in self.servers]
+        return EndpointChange(ready_joined, list(left))
 
-    def keep_ready(self):
-        self.servers = {
-            server: None
-            for server in sorted(self.servers, key=lambda server: server.name)
-            if server.phase is Phase.READY
-        }
+    def confirm_removal(self, now_ms: float, server: Server) -> dict[Server, None]:
+        """Remove a server whose removal was unconfirmed; return what left by that."""
+        left: dict[Server, None] = {}
+        self._remove(now_ms, server, Phase.GONE, left)
+        self._keep_ready_servers()
+        return left
 
-    def handle_missing(self, now, server, phase, left):
-        """Where only draining binds, a list without a server is one witness: it leaves when it also gives no
-        answer. One that was seen draining is never ready here, so no silence of a list brings it back."""
-        if phase is Phase.GONE and not self.gone_binds:
-            server.is_removal_unconfirmed = True
-        else:
-            self.mark_leaving(now, server, phase, left)
+    def set_maintenance(self, now_ms: float, name: str, is_out: bool) -> None:
+        """Record that a server is in maintenance, or not any more."""
+        if is_out:
+            self.maintenance_since_ms.setdefault(name, now_ms)
+        elif name in self.maintenance_since_ms:
+            since_ms = self.maintenance_since_ms.pop(name)
+            self.maintenance_ended_ms[name] = MaintenancePeriod(since_ms, now_ms)
 
-    @staticmethod
-    def mark_leaving(now, server, phase, left):
-        server.phase = phase
-        server.leaving_since_ms = now
-        left[server] = None
+    def may_attempt(self, now_ms: float, server: Server, mid_flow: bool) -> bool:
+        """Rule 3: return whether an attempt may be made at a server.
 
-    def may_attempt(self, now, server, mid_flow):
-        """Rule 3. A draining server still carries on what it holds, but only within the grace."""
+        A draining server still carries on what it holds, but only within the grace.
+        """
         if server.phase is Phase.READY:
             return True
         return (
             mid_flow
             and server.phase is Phase.DRAINING
-            and now < server.leaving_since_ms + self.drain_grace / 2
+            and now_ms < server.leaving_since_ms + self._drain_grace_ms / 2
         )
+
+    def _apply_entry(
+        self,
+        now_ms: float,
+        entry: EndpointEntry,
+        joined: dict[Server, None],
+        left: dict[Server, None],
+    ) -> None:
+        server, phase = entry.server, entry.phase
+        server.listed_phase, server.is_removal_unconfirmed = phase, False
+        if phase is Phase.READY and server.name in self.maintenance_since_ms:
+            phase = Phase.DRAINING
+        started_ms = self._effective_start_ms(server.name, entry.started_ms)
+        has_restarted = self._has_restarted(server, started_ms)
+        # Only a registered size is the same at every proxy; with a live weight their
+        # slot tables would differ.
+        weight = entry.weight if self._uses_weights else None
+        server.weight = weight if weight and weight > 0 else 1.0
+        server.started_ms = started_ms
+        if phase is Phase.READY:
+            if server not in self.servers or has_restarted:
+                joined[server] = None
+                self._forget_process(server)
+            server.phase = Phase.READY
+        elif server.phase is Phase.READY or server in self.servers:
+            self._handle_removal(now_ms, server, phase, left)
+        else:
+            server.phase = phase
+
+    def _effective_start_ms(self, name: str, started_ms: float | None) -> float | None:
+        """Return when a server started, at the earliest when its maintenance ended.
+
+        It may have been restarted meanwhile without the list saying so yet.
+        """
+        period = self.maintenance_ended_ms.get(name)
+        if period and (started_ms is None or started_ms < period.started_ms):
+            return period.ended_ms
+        return started_ms
+
+    def _has_restarted(self, server: Server, started_ms: float | None) -> bool:
+        if started_ms is None:
+            return False
+        if server.started_ms is None:
+            return server in self.servers
+        return started_ms > server.started_ms
+
+    @staticmethod
+    def _forget_process(server: Server) -> None:
+        """Forget what the server's last process was judged by: a new one is another."""
+        server.load_samples.clear()
+        server.probe_latencies.clear()
+        server.recent_results.clear()
+        server.attempt_times_ms.clear()
+        server.unanswered_probes = 0
+        server.probe_sent_ms = None
+        server.report_correction = 1.0
+
+    def _handle_removal(
+        self, now_ms: float, server: Server, phase: Phase, left: dict[Server, None]
+    ) -> None:
+        """Remove a server that the list calls draining or gone, or no longer names.
+
+        Where absence alone does not remove it, it leaves when it also gives no answer.
+        One that was seen draining is never ready here, so nothing that is missing from
+        a list brings it back.
+        """
+        if phase is Phase.GONE and not self._absence_removes:
+            server.is_removal_unconfirmed = True
+        else:
+            self._remove(now_ms, server, phase, left)
+
+    @staticmethod
+    def _remove(
+        now_ms: float, server: Server, phase: Phase, left: dict[Server, None]
+    ) -> None:
+        server.phase = phase
+        server.leaving_since_ms = now_ms
+        left[server] = None
+
+    def _keep_ready_servers(self) -> None:
+        self.servers = {
+            server: None
+            for server in sorted(self.servers, key=lambda server: server.name)
+            if server.phase is Phase.READY
+        }
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -2,186 +2,304 @@
 
 import math
 from collections import deque
+from collections.abc import Iterable, Sequence
 from statistics import fmean, median
 
+from wheathill.model import Server
+from wheathill.policy.settings import TICK_INTERVAL_MS, LoadEstimatorSettings
+
+# A load sample is used for so long, in ms.
+SAMPLE_LIFETIME_MS = 5 * TICK_INTERVAL_MS
+# Samples that lie closer together than this, in ms, are averaged. An older one says how
+# the load was before the rush.
+SMOOTHING_WINDOW_MS = TICK_INTERVAL_MS
+# What a server reports is about so old, in ms: later attempts are not in it yet.
+REPORT_DELAY_MS = 0.5 * TICK_INTERVAL_MS
+# After a late message a server counts as late for so long, in ms, and a second one
+# within twice as long is a repetition.
+LATE_PERIOD_MS = 1.5 * TICK_INTERVAL_MS
+
+# Load over capacity says most; a queue or a count of connections only orders the servers.
+LOAD_FIELDS = ("x0", "util", "queue")
+UTILISATION_FIELDS = ("x0", "util")
+# The first level begins here, and each further one at twice the load: requests where
+# the load is a queue, else a part of capacity.
+BASE_QUEUE = 1.0
+BASE_LOAD = 0.25
+
+# Until some connections are held: this proxy's part of a few dozen in all.
+INITIAL_CAPACITY = 40.0
+# A proxy that has just started holds nothing on servers that others have loaded:
+# without a floor, in connections, it took each of its connections for a whole server
+# and refused nearly all.
+MIN_CAPACITY = 5.0
+# Smaller mean loads count as this one when a capacity is worked out.
+MIN_MEAN_LOAD = 0.05
+# Capacities that are kept: not the last one alone, as one odd report would count for
+# all.
+CAPACITY_SAMPLES = 5
+# Sessions come slowly while their mean number grows by no more than this in a tick.
+SETTLED_GROWTH = 1.5
+
+# Bounds of the factor by which a server's reports are corrected.
+MIN_CORRECTION = 0.5
+MAX_CORRECTION = 8.0
+# The load that a server has at least where messages are late.
+LATE_LOAD = 0.95
+# What is left of a correction upwards after a tick without a late message: less where
+# sessions of this proxy would have noticed one.
+CORRECTION_DECAY_WITH_SESSIONS = 0.85
+CORRECTION_DECAY_WITHOUT_SESSIONS = 0.93
+# The change of a correction downwards in a tick: while the server reports more than its
+# capacity though no message is late, and while it does not.
+OVER_REPORT_DECAY = 0.9
+OVER_REPORT_RECOVERY = 1.01
+
 
 class LoadEstimator:
-    """From the last few probe answers to doubling levels."""
-
-    def __init__(
-        self, names, proxies, fresh, together, late, full, late_for, floor, tells_late
-    ):
-        self.tells_late, self.together, self.late_for, self.late = (
-            tells_late,
-            together,
-            late_for,
-            late,
-        )
-        self.overload_threshold, self.names, self.fresh = full, names, fresh
-        # Load over capacity says most; a queue or a count of connections only orders the servers.
-        self.source = next(
-            (name for name in ("x0", "util", "queue") if name in names), None
+    """Turns the last few load reports of each server into doubling levels.
+
+    Attributes:
+        overload_threshold: the load from which a server takes no new sessions.
+        reports_utilisation: whether reports are a load over capacity.
+        quota: this proxy's part of what all proxies may do together.
+        capacity_estimate: how many of this proxy's sessions a warm server can take.
+        capacity_samples: the last findings that this is the median of.
+        settled_capacity_samples: those of them since sessions came slowly for the first
+            time.
+        previous_mean_sessions: of this proxy on a warm server, a tick ago.
+    """
+
+    def __init__(self, settings: LoadEstimatorSettings, proxy_count: int) -> None:
+        """Know nothing yet, with an even part of the load for each proxy."""
+        self._fields = settings.report_fields
+        self._load_field = next(
+            (name for name in LOAD_FIELDS if name in self._fields), None
         )
-        self.reports_utilisation = self.source in ("x0", "util")
-        self.quota = 1.0 / proxies  # of what all proxies may do together
-        # Until some connections are held: this proxy's part of a few dozen in all.
-        self.capacity_estimate = 40.0 * self.quota
-        self.capacity_samples = deque(maxlen=5)  # the last of what it was found to be
-        self.settled_capacity_samples = deque(
-            maxlen=5
-        )  # the same, since sessions came slowly for the first time
-        self.previous_mean_sessions = 0.0  # on a warm server, a tick ago
-        # A proxy that has just started holds nothing on servers that others have loaded: without a floor it
-        # took each of its connections for a whole server and refused nearly all.
-        self.floor = floor
-        self.base = 1.0 if self.source == "queue" else 0.25
-
-    def record_sample(self, now, server, report):
-        if self.source and report and len(report) == len(self.names):
-            if (
-                figure := report[self.names.index(self.source)]
-            ) is not None and 0 <= figure < math.inf:
-                server.load_samples.append((now, figure))
-
-    def load(self, now, server):
-        # Smoothed over two that lie close together: an older one says how it was before the rush.
-        samples = (
-            server.load_samples
-        )  # two at most: asked for of dozens of servers a session
-        if not samples or samples[-1][0] <= now - self.fresh:
+        self._base_load = BASE_QUEUE if self._load_field == "queue" else BASE_LOAD
+        self._reports_late_messages = settings.reports_late_messages
+        self.overload_threshold = settings.overload_threshold
+        self.reports_utilisation = self._load_field in UTILISATION_FIELDS
+        self.quota = 1.0 / proxy_count
+        self.capacity_estimate = INITIAL_CAPACITY * self.quota
+        self.capacity_samples: deque[float] = deque(maxlen=CAPACITY_SAMPLES)
+        self.settled_capacity_samples: deque[float] = deque(maxlen=CAPACITY_SAMPLES)
+        self.previous_mean_sessions = 0.0
+
+    # Reports
+
+    def record_sample(
+        self, now_ms: float, server: Server, report: Sequence[float | None] | None
+    ) -> None:
+        """Take a load report of a server; one that can't be read counts as none."""
+        if not self._load_field or not report or len(report) != len(self._fields):
+            return
+        load = report[self._fields.index(self._load_field)]
+        if load is not None and 0 <= load < math.inf:
+            server.load_samples.append((now_ms, load))
+
+    def sample_age_ms(self, now_ms: float, server: Server) -> float:
+        """Return how old the last sample is, infinite where there is none."""
+        return now_ms - server.load_samples[-1][0] if server.load_samples else math.inf
+
+    def load(self, now_ms: float, server: Server) -> float | None:
+        """Return the corrected load by the last samples, None where it is unknown."""
+        # Two samples at most: this is called for dozens of servers a session.
+        samples = server.load_samples
+        if not samples or samples[-1][0] <= now_ms - SAMPLE_LIFETIME_MS:
             return None
-        (earlier, first), (when, last) = samples[0], samples[-1]
-        return (
-            (first + last) / 2 if earlier > when - self.together else last
-        ) * server.report_correction
+        (earlier_ms, earlier), (last_ms, last) = samples[0], samples[-1]
+        is_smoothed = earlier_ms > last_ms - SMOOTHING_WINDOW_MS
+        load = (earlier + last) / 2 if is_smoothed else last
+        return load * server.report_correction
+
+    def loads(self, now_ms: float, servers: Iterable[Server]) -> dict[Server, float]:
+        """Return the known loads.
 
-    def loads(self, now, servers):
-        """Of those that have one: with hundreds of proxies each sees few servers at a time."""
+        With hundreds of proxies each one sees few servers at a time.
+        """
         return {
-            server: found
+            server: load
             for server in servers
-            if (found := self.load(now, server)) is not None
+            if (load := self.load(now_ms, server)) is not None
         }
 
-    def update_capacity_estimate(self, now, warm):
-        """What a warm server bears at full load, in this proxy's own connections. A proxy among hundreds
-        holds less than one a server: only those on all together, over their mean load, tell it."""
-        fresh = [
+    def expected_load(self, now_ms: float, server: Server) -> float:
+        """Return the load with the attempts since its report; 0 where it is unknown.
+
+        Without these all sessions between two probes would crowd onto the server that
+        looked best.
+        """
+        load = self.load(now_ms, server) if self.reports_utilisation else None
+        if load is None:
+            return 0.0
+        since_ms = server.load_samples[-1][0] - REPORT_DELAY_MS
+        attempts = sum(at_ms > since_ms for at_ms in server.attempt_times_ms)
+        return load + attempts / max(MIN_CAPACITY, self.capacity_estimate)
+
+    # Capacity
+
+    def update_capacity_estimate(
+        self, now_ms: float, warm_servers: Sequence[Server]
+    ) -> None:
+        """Estimate what a warm server can take, in this proxy's own sessions.
+
+        A proxy among hundreds holds less than one session a server: only the sessions
+        on all servers together, over the servers' mean load, say it.
+        """
+        reported = [
             server
-            for server in warm
+            for server in warm_servers
             if self.reports_utilisation
-            and self.sample_age_ms(now, server) < self.together
+            and self.sample_age_ms(now_ms, server) < SMOOTHING_WINDOW_MS
         ]
         loads = [
             load / min(1.0, server.report_correction)
-            for server, load in self.loads(now, fresh).items()
+            for server, load in self.loads(now_ms, reported).items()
         ]
-        held = sum(len(server.sessions) for server in warm) / max(1, len(warm))
-        if held and loads:
-            # Not the last alone: one odd report would count for all.
-            self.capacity_samples.append(held / max(0.05, fmean(loads)))
-            self.capacity_estimate = median(self.capacity_samples)
-            # Loads are told later than sessions come: after a start, while they come fast, more stands there
-            # than was reported. A first finding of six times the truth pushed all cold servers over.
-            if (
-                self.settled_capacity_samples
-                or held <= 1.5 * self.previous_mean_sessions
-            ):
-                self.settled_capacity_samples.append(self.capacity_samples[-1])
-        self.previous_mean_sessions = held
+        session_count = sum(len(server.sessions) for server in warm_servers)
+        mean_sessions = session_count / max(1, len(warm_servers))
+        if mean_sessions and loads:
+            capacity = mean_sessions / max(MIN_MEAN_LOAD, fmean(loads))
+            self._add_capacity_sample(capacity, mean_sessions)
+        self.previous_mean_sessions = mean_sessions
+
+    def _add_capacity_sample(self, capacity: float, mean_sessions: float) -> None:
+        self.capacity_samples.append(capacity)
+        self.capacity_estimate = median(self.capacity_samples)
+        # Loads are reported later than sessions come: after a start, while they come
+        # fast, more of them are open than was reported. A first finding of six times
+        # the truth pushed all warming servers over.
+        if (
+            self.settled_capacity_samples
+            or mean_sessions <= SETTLED_GROWTH * self.previous_mean_sessions
+        ):
+            self.settled_capacity_samples.append(capacity)
 
     @property
-    def warm_up_capacity_estimate(self):
-        """The same, as far as cold servers may be filled by it."""
-        return (
-            median(self.settled_capacity_samples)
-            if self.settled_capacity_samples
-            else min(self.capacity_estimate, 40.0 * self.quota)
-        )
+    def warm_up_capacity_estimate(self) -> float:
+        """The capacity estimate as far as warming servers may be filled by it."""
+        if self.settled_capacity_samples:
+            return median(self.settled_capacity_samples)
+        return min(self.capacity_estimate, INITIAL_CAPACITY * self.quota)
 
-    def set_quota(self, share):
-        """What is found follows a larger share by itself, but a smaller one too late."""
-        less = min(1.0, share / self.quota) if self.quota else 1.0
-        self.capacity_samples, self.settled_capacity_samples = (
-            deque((each * less for each in kept), 5)
-            for kept in (self.capacity_samples, self.settled_capacity_samples)
-        )
-        self.capacity_estimate = (
-            self.capacity_estimate * less if self.capacity_samples else 40.0 * share
-        )
-        self.quota = share
+    def set_quota(self, quota: float) -> None:
+        """Set this proxy's part of what all proxies may do together.
 
-    def expected_load(self, now, server):
-        """The probed load with what this proxy has dialled since; 0 when nothing is known. Without
-        it all sessions between two probes would crowd onto the server that looked best."""
-        figure = self.load(now, server) if self.reports_utilisation else None
-        if figure is None:
-            return 0.0
-        since = server.load_samples[-1][0] - self.late
-        return figure + sum(when > since for when in server.attempt_times_ms) / max(
-            self.floor, self.capacity_estimate
+        What is found follows a larger part by itself, but a smaller one too late.
+        """
+        reduction = min(1.0, quota / self.quota) if self.quota else 1.0
+        self.capacity_samples = self._scaled(self.capacity_samples, reduction)
+        self.settled_capacity_samples = self._scaled(
+            self.settled_capacity_samples, reduction
         )
+        if self.capacity_samples:
+            self.capacity_estimate *= reduction
+        else:
+            self.capacity_estimate = INITIAL_CAPACITY * quota
+        self.quota = quota
+
+    @staticmethod
+    def _scaled(samples: deque[float], factor: float) -> deque[float]:
+        return deque((sample * factor for sample in samples), CAPACITY_SAMPLES)
+
+    # Late messages
+
+    def record_late_message(
+        self, now_ms: float, server: Server, lateness: float
+    ) -> None:
+        """Correct a server's reports by a message that missed its latency objective.
 
-    def record_late_message(self, now, server, times):
-        """Evidence before belief: where messages miss their target a server is near full at least, whatever
-        it reports; so late as `times` the target, and again within 3 s. Each second without such a notice
-        takes a part of the doubt back, more where connections of this proxy stand there to tell."""
-        again = now - server.last_late_message_ms < 2 * self.late_for
-        server.last_late_message_ms = now
-        figure = self.load(now, server) if self.reports_utilisation else None
-        if figure and times and again:
+        Evidence before reports: where messages miss their objective a server is near
+        its capacity at least, whatever it reports. The correction needs a second late
+        message within twice `LATE_PERIOD_MS`. Each tick without one takes a part of it
+        back, see `update_report_corrections`.
+
+        Args:
+            now_ms: the time.
+            server: where the message went.
+            lateness: its latency over the objective; 0 where the network path is to
+                blame.
+        """
+        is_repeated = now_ms - server.last_late_message_ms < 2 * LATE_PERIOD_MS
+        server.last_late_message_ms = now_ms
+        load = self.load(now_ms, server) if self.reports_utilisation else None
+        if load and lateness and is_repeated:
+            factor = max(1.0, LATE_LOAD * min(1.0, lateness) / load)
             server.report_correction = min(
-                8.0,
-                server.report_correction * max(1.0, 0.95 * min(1.0, times) / figure),
+                MAX_CORRECTION, server.report_correction * factor
             )
 
-    def update_report_corrections(self, now, servers):
-        """Also the other way: one that says it is past its capacity while this proxy's connections there
-        hear nothing late says too much. Where late ones are not told, nothing speaks against it."""
+    def is_late(self, now_ms: float, server: Server) -> bool:
+        """Return whether messages there miss their latency objective.
+
+        It is known without any probe, and means that the server is at its capacity; by
+        how much it is over is unknown.
+        """
+        return now_ms - server.last_late_message_ms < LATE_PERIOD_MS
+
+    def update_report_corrections(
+        self, now_ms: float, servers: Iterable[Server]
+    ) -> None:
+        """Take corrections back where no message is late.
+
+        Also the other way: a server that reports to be over its capacity, while no
+        message of this proxy's sessions there is late, reports too much. Where late
+        messages are not noticed nothing speaks against a report.
+        """
         for server in servers:
-            if server.report_correction > 1.0 and not self.is_late(now, server):
-                server.report_correction = max(
-                    1.0, server.report_correction * (0.85 if server.sessions else 0.93)
+            if server.report_correction > 1.0 and not self.is_late(now_ms, server):
+                decay = (
+                    CORRECTION_DECAY_WITH_SESSIONS
+                    if server.sessions
+                    else CORRECTION_DECAY_WITHOUT_SESSIONS
                 )
+                server.report_correction = max(1.0, server.report_correction * decay)
             elif (
-                self.tells_late
-                and now - server.last_late_message_ms > self.fresh
+                self._reports_late_messages
+                and now_ms - server.last_late_message_ms > SAMPLE_LIFETIME_MS
                 and server.report_correction <= 1.0
             ):
-                first = next(iter(server.sessions), None)
-                over = (self.load(now, server) or 0.0) >= server.report_correction
-                if (
-                    not over
-                    or first
-                    and first.accepted_ms is not None
-                    and now - first.accepted_ms > self.fresh
-                ):
-                    server.report_correction = (
-                        max(0.5, server.report_correction * 0.9)
-                        if over
-                        else min(1.0, server.report_correction * 1.01)
-                    )
-
-    def is_late(self, now, server):
-        """Told, free of any probe, that messages there miss their target: it is full, by how much unknown."""
-        return now - server.last_late_message_ms < self.late_for
-
-    def sample_age_ms(self, now, server):
-        return now - server.load_samples[-1][0] if server.load_samples else math.inf
-
-    def level(self, figure):
-        return 0 if figure < self.base else 1 + int(math.log2(figure / self.base))
-
-    def levels(self, now, servers):
-        if self.source:
-            known = self.loads(now, servers)
+                self._correct_over_report(now_ms, server)
+
+    def _correct_over_report(self, now_ms: float, server: Server) -> None:
+        load = self.load(now_ms, server) or 0.0
+        if load < server.report_correction:
+            recovered = server.report_correction * OVER_REPORT_RECOVERY
+            server.report_correction = min(1.0, recovered)
+            return
+        oldest = next(iter(server.sessions), None)
+        if oldest is None or oldest.accepted_ms is None:
+            return
+        if now_ms - oldest.accepted_ms > SAMPLE_LIFETIME_MS:
+            reduced = server.report_correction * OVER_REPORT_DECAY
+            server.report_correction = max(MIN_CORRECTION, reduced)
+
+    # Levels
+
+    def level(self, load: float) -> int:
+        """Return the level of a load: each one stands for twice that of the last."""
+        if load < self._base_load:
+            return 0
+        return 1 + int(math.log2(load / self._base_load))
+
+    def levels(
+        self, now_ms: float, servers: Sequence[Server] | dict[Server, None]
+    ) -> dict[Server, int]:
+        """Return the level of each server; where it is unknown the median of the others.
+
+        Exception: with most unknown, a level says nothing against the others'. Tables
+        of hundreds of proxies, each shifted by the few loads that it happened to see,
+        drift apart, and groups with them.
+        """
+        if self._load_field:
+            loads = self.loads(now_ms, servers)
         else:
-            mean = fmean([len(server.sessions) for server in servers] or [0]) or 1.0
-            known = {server: len(server.sessions) / mean for server in servers}
-        found = {server: self.level(figure) for server, figure in known.items()}
-        if 2 * len(found) < len(servers):
-            # Exception: with most unknown a level says nothing against the others'. Tables of hundreds of
-            # proxies, each shifted by the few figures it happened to see, drift apart, and groups with them.
-            found = {}
-        middle = int(median(found.values())) if found else 0
-        return {server: found.get(server, middle) for server in servers}
+            counts = [len(server.sessions) for server in servers]
+            mean = fmean(counts or [0]) or 1.0
+            loads = {server: len(server.sessions) / mean for server in servers}
+        levels = {server: self.level(load) for server, load in loads.items()}
+        if 2 * len(levels) < len(servers):
+            levels = {}
+        middle = int(median(levels.values())) if levels else 0
+        return {server: levels.get(server, middle) for server in servers}
--- a/wheathill/policy/slot_table.py
+++ b/wheathill/policy/slot_table.py
@@ -1,241 +1,330 @@
-"""Slot tables after INCAB: which server the key of a session leads to."""
+"""Slot tables after INCAB: which server the key of a session is mapped to.
+
+INCAB ("In-network Congestion-aware Load Balancing at Transport Layer", arXiv) hashes
+keys to slots, and keeps a current and a new table of slots. A slot that is shifted to
+another server has an entry in both until its old connections have ended: until then,
+new keys follow the new table and old ones the current table.
+"""
 
-import hashlib
 import math
-import sys
-from array import array
 from collections import Counter
+from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
+from typing import NamedTuple
+
+from wheathill.model import Server, Session
+from wheathill.policy.settings import SlotTableSettings
+from wheathill.policy.slot_claims import claim_slots, hash_draws, slot_of_key
+
+# A server keeps so many slots at the least when its slots are shifted.
+MIN_SLOTS_PER_SERVER = 4
+# The part of all slots that may be in transition at once.
+MAX_TRANSITION_SHARE = 0.2
+# A transition ends after so many ms whatever is still open; what is open then becomes
+# an exception by its key.
+TRANSITION_TIMEOUT_MS = 10_000.0
+# Keys that were moved, and exceptions, are kept up to this number and age in ms.
+MAX_TRACKED_KEYS = 4096
+TRACKED_KEY_LIFETIME_MS = 60_000.0
+# Where a slot's own server won't do, those of so many slots from it on are considered.
+MAX_FOLLOWING_SLOTS = 32
+# Draws that are made of a server when it joins.
+INITIAL_DRAWS = 16
+
+
+class KeyRoute(NamedTuple):
+    """Where a key leads, past the slot table.
+
+    Attributes:
+        server: the server that holds it.
+        since_ms: since when.
+    """
+
+    server: Server
+    since_ms: float
 
 
-def slot_of_key(text, size):
-    return (
-        int.from_bytes(hashlib.blake2b(text.encode(), digest_size=8).digest(), "big")
-        % size
-    )
+class SlotShift(NamedTuple):
+    """Slots that were shifted off an overloaded server.
 
+    Attributes:
+        server: that server.
+        slot_count: how many slots.
+    """
 
-def hash_draws(name, count):
-    """The first `count` draws of a server, the same on every machine, three numbers each: a slot, and the two
-    halves of a part of one."""
-    draws = array("H", hashlib.shake_128(name.encode()).digest(6 * count))
-    if sys.byteorder == "big":
-        draws.byteswap()
-    return draws
+    server: Server
+    slot_count: int
 
 
 class SlotTable:
-    """Current and new table; which server a session's key leads to."""
+    """The current and the new table, and the sessions of each slot.
+
+    Attributes:
+        size: the number of slots.
+        min_slots: see `MIN_SLOTS_PER_SERVER`.
+        preferred_servers: by slot, whose claim is the earliest of all listed servers,
+            whatever was shifted.
+        claim_scores: by slot, that claim.
+        current: by slot, the server of the current table.
+        new: by slot, the server of the new table where the slot is in transition.
+        transition_started_ms: when each slot in transition got its new entry.
+        sessions: by slot, the sessions that are open.
+        group_holders: by group, how many of its sessions are open at which server
+            through this proxy.
+        active_servers: servers that hold sessions, as of the last tick: far fewer to
+            walk over than slots.
+        moved_keys: new keys of slots in transition, oldest first.
+        exception_keys: keys that neither table leads to their server, oldest first.
+    """
 
     def __init__(
-        self,
-        choose,
-        size,
-        least,
-        moved_share,
-        hard_time_out,
-        keys_kept,
-        keys_age,
-        zone,
-        near,
-        reach,
-    ):
-        self.reach, self.zone, self.near, self.choose, self.size = (
-            reach,
-            zone,
-            near,
-            choose,
-            size,
-        )
-        self.min_slots, self.moved_share, self.hard_time_out = (
-            least,
-            moved_share,
-            hard_time_out,
-        )
-        self.keys_kept, self.keys_age = keys_kept, keys_age
-        # Highest hash of all that are listed, whatever was shifted, and its score.
-        self.preferred_servers, self.claim_scores = [None] * size, [math.inf] * size
-        self.current, self.new = [None] * size, [None] * size
-        self.sessions = [{} for _ in range(size)]
-        self.group_holders = {}  # group -> {server: how many of it are open there through this proxy}
-        self.active_servers = {}  # servers that hold sessions, as of the last tick: far fewer than these to walk over
-        self.transition_started_ms = {}  # slot -> when its entry in the new table was written
-        self.moved_keys, self.exception_keys = (
-            {},
-            {},
-        )  # key -> (server, when), oldest first
-
-    def slot_of(self, sess):
-        """Exception: where connections of a group share work, a server pays for the group as soon as
-        it holds one of it. The group's name is then hashed in place of the key, so that it meets."""
-        return slot_of_key(sess.key if sess.group is None else sess.group, self.size)
-
-    def assign(self, now, key, slot):
+        self, choose: Callable[[list[Server]], Server], settings: SlotTableSettings
+    ) -> None:
+        """Make an empty table.
+
+        Args:
+            choose: draws one server of a list at random.
+            settings: its size, and how zones are weighed.
+        """
+        self._choose = choose
+        self._zone = settings.zone
+        self._own_zone_weight = settings.own_zone_weight
+        size = self.size = settings.slot_count
+        self.min_slots = MIN_SLOTS_PER_SERVER
+        self.preferred_servers: list[Server | None] = [None] * size
+        self.claim_scores = [math.inf] * size
+        self.current: list[Server | None] = [None] * size
+        self.new: list[Server | None] = [None] * size
+        self.transition_started_ms: dict[int, float] = {}
+        self.sessions: list[dict[Session, None]] = [{} for _ in range(size)]
+        self.group_holders: dict[str, Counter[Server]] = {}
+        self.active_servers: dict[Server, None] = {}
+        self.moved_keys: dict[str, KeyRoute] = {}
+        self.exception_keys: dict[str, KeyRoute] = {}
+
+    # Sessions
+
+    def slot_of(self, session: Session) -> int:
+        """Return the slot that a session's key is hashed to.
+
+        Exception: where sessions of a group share work, a server pays for the group as
+        soon as it holds one of it. The group's name is then hashed in place of the key,
+        so that the group meets at one server.
+        """
+        key = session.key if session.group is None else session.group
+        return slot_of_key(key, self.size)
+
+    def assign(self, now_ms: float, key: str, slot: int) -> Server | None:
+        """Return the server for a new session, None where there is none."""
         server = self.new[slot]
         if server is None:
             return self.current[slot]
         self.moved_keys.pop(key, None)
-        self.moved_keys[key] = (server, now)
-        if len(self.moved_keys) > self.keys_kept:
+        self.moved_keys[key] = KeyRoute(server, now_ms)
+        if len(self.moved_keys) > MAX_TRACKED_KEYS:
             del self.moved_keys[next(iter(self.moved_keys))]
         return server
 
-    def find_mid_flow(self, key, slot):
-        """The server that should hold a connection whose packets arrive mid-flow."""
-        return (
-            self.exception_keys.get(key)
-            or self.moved_keys.get(key)
-            or (self.current[slot],)
-        )[0]
-
-    def add_session(self, now, sess):
-        self.sessions[sess.slot][sess] = self.active_servers[sess.server] = None
-        if sess.group is not None:
-            self.group_holders.setdefault(sess.group, Counter())[sess.server] += 1
-        if sess.server not in (self.current[sess.slot], self.new[sess.slot]):
-            self.add_exception(now, sess)
-
-    def remove_session(self, sess):
-        self.sessions[sess.slot].pop(sess, None)
-        self.exception_keys.pop(sess.key, None)
-        if sess.group is not None:
-            self.group_holders[sess.group] -= Counter(
-                (sess.server,)
-            )  # keeps what is above none
-            if not self.group_holders[sess.group]:
-                del self.group_holders[sess.group]
-
-    def add_exception(self, now, sess):
-        if len(self.exception_keys) < self.keys_kept:
-            self.exception_keys.pop(sess.key, None)
-            self.exception_keys[sess.key] = (sess.server, now)
-
-    def set_effective_weight(self, server):
-        """What a server's hash counts for: its registered size. Exception: where crossing to another zone
-        has a price, servers of the own zone weigh more; all proxies of a zone still fill alike."""
-        server.hash_draws = server.hash_draws or hash_draws(server.name, 16)
-        server.effective_weight = server.weight * (
-            self.near if server.zone == self.zone else 1.0
-        )
+    def find_mid_flow(self, key: str, slot: int) -> Server | None:
+        """Return the server that should hold a connection whose packets arrive."""
+        route = self.exception_keys.get(key) or self.moved_keys.get(key)
+        return route.server if route else self.current[slot]
 
-    def following_servers(self, slot):
-        """Whom the slots after this one lead to, for where its own server will not do. Every proxy finds the
-        same ones, and none goes over the whole fleet for a session."""
-        for at in range(slot + 1, slot + self.reach):
-            yield self.new[at % self.size] or self.current[at % self.size]
-
-    def claim_slots(self, slots, when, whom, pulls):
-        """Who claims these slots first: by slot `when`, and by `whom`, so far; `pulls`: server -> what it counts
-        for. A server's draws name slots one after another, the k-th at k and a part of one, over the pull. So slots
-        fall to servers in proportion, and only draws that can come first are made: some 14 a slot in all."""
-        at, mask = 0, self.size - 1
-        while True:
-            last = max(map(when.__getitem__, slots), default=0.0)
-            pulls = {server: pull for server, pull in pulls.items() if at < last * pull}
-            if not pulls:
-                return
-            upto = int(
-                min(
-                    at + 16 + 4 * self.size // len(pulls),
-                    1 + last * max(pulls.values()),
-                )
-            )
-            for server, pull in pulls.items():
-                if len(server.hash_draws) < 3 * upto:
-                    server.hash_draws = hash_draws(server.name, upto)
-                draws = server.hash_draws
-                for k, slot in enumerate(draws[3 * at : 3 * upto : 3], at):
-                    if k / pull < when[slot & mask]:
-                        claimed = (
-                            k + draws[3 * k + 1] / 2**16 + draws[3 * k + 2] / 2**32
-                        ) / pull
-                        if claimed < when[slot & mask]:
-                            when[slot & mask], whom[slot & mask] = claimed, server
-            at = upto
-
-    def claim_preferred(self, slots, servers):
-        self.claim_slots(
-            slots,
-            self.claim_scores,
-            self.preferred_servers,
-            {server: server.effective_weight for server in servers},
-        )
+    def add_session(self, now_ms: float, session: Session) -> None:
+        """Record a session that its server has accepted."""
+        server = session.server
+        assert server is not None, "an accepted session has a server"
+        self.sessions[session.slot][session] = self.active_servers[server] = None
+        if session.group is not None:
+            self.group_holders.setdefault(session.group, Counter())[server] += 1
+        if server not in (self.current[session.slot], self.new[session.slot]):
+            self._add_exception(now_ms, session)
+
+    def remove_session(self, session: Session) -> None:
+        """Forget a session that has ended."""
+        self.sessions[session.slot].pop(session, None)
+        self.exception_keys.pop(session.key, None)
+        if session.group is not None:
+            assert session.server is not None, "an accepted session has a server"
+            # Subtracting a counter keeps only what is above zero.
+            self.group_holders[session.group] -= Counter((session.server,))
+            if not self.group_holders[session.group]:
+                del self.group_holders[session.group]
+
+    def following_servers(self, slot: int) -> Iterator[Server | None]:
+        """Yield the servers of the slots after this one.
+
+        They take what the slot's own server can't. Every proxy finds the same ones, and
+        none goes over the whole fleet for a session.
+        """
+        for index in range(slot + 1, slot + MAX_FOLLOWING_SLOTS):
+            yield self.new[index % self.size] or self.current[index % self.size]
+
+    def _add_exception(self, now_ms: float, session: Session) -> None:
+        if len(self.exception_keys) < MAX_TRACKED_KEYS:
+            assert session.server is not None, "an accepted session has a server"
+            self.exception_keys.pop(session.key, None)
+            self.exception_keys[session.key] = KeyRoute(session.server, now_ms)
+
+    # The list of servers
+
+    def restore(
+        self,
+        servers: Sequence[Server],
+        current: Sequence[Server | None] | None,
+        new: Sequence[Server | None] | None,
+        transition_started_ms: dict[int, float],
+    ) -> None:
+        """Take the table over as another process of this proxy left it.
 
-    def restore(self, servers, slots, opened, known):
-        """As another process of this proxy left it; without slots where its table was of another size."""
+        Args:
+            servers: the ready ones.
+            current: the current table; None where that process had another number of
+                slots, so that this table is filled anew.
+            new: the new table, or None as well.
+            transition_started_ms: of the slots in transition.
+        """
         for server in servers:
             self.set_effective_weight(server)
-        self.claim_preferred(range(self.size), servers)
-        self.current, self.new = (
-            slots.get("current") or list(self.preferred_servers),
-            slots.get("new") or self.new,
-        )
-        self.transition_started_ms = opened
-        self.moved_keys, self.exception_keys = known["moved"], known["exceptions"]
+        self._claim_preferred(range(self.size), servers)
+        self.current = list(current or self.preferred_servers)
+        self.new = list(new or self.new)
+        self.transition_started_ms = transition_started_ms
+
+    def update(
+        self,
+        now_ms: float,
+        joined: Sequence[Server],
+        left: Mapping[Server, None],
+        ready: Iterable[Server],
+    ) -> None:
+        """Apply a change of the list of servers.
 
-    def update(self, now, joined, left, live):
-        # One list may bring joins and leaves at once, and a joiner may inherit from who leaves.
+        One update may bring joins and leaves at once, and a server that joins may
+        inherit from one that leaves.
+        """
         for server in joined:
             self.set_effective_weight(server)
-        self.leave(left, live)
-        self.join(now, joined)
-
-    def join(self, now, joined):
-        """Give joiners the slots that the highest hash gives them, about the mean count, whatever was
-        shifted: every proxy with the same list then arrives at the same slots."""
-        joined = dict.fromkeys(joined)
-        self.claim_preferred(range(self.size if joined else 0), joined)
-        for slot, server in enumerate(self.preferred_servers if joined else ()):
-            if server in joined and self.current[slot] is not server:
-                self.redirect_slot(now, slot, server)
-
-    def leave(self, left, live):
+        self._remove_servers(left, ready)
+        self._add_servers(now_ms, joined)
+
+    def set_effective_weight(self, server: Server) -> None:
+        """Set what a server's draws count for: its registered size.
+
+        Exception: where crossing to another zone has a price, servers of the own zone
+        weigh more; all proxies of a zone still fill their tables alike.
+        """
+        server.hash_draws = server.hash_draws or hash_draws(server.name, INITIAL_DRAWS)
+        is_own_zone = server.zone == self._zone
+        zone_weight = self._own_zone_weight if is_own_zone else 1.0
+        server.effective_weight = server.weight * zone_weight
+
+    def _claim_preferred(self, slots: Sequence[int], servers: Iterable[Server]) -> None:
+        weights = {server: server.effective_weight for server in servers}
+        claim_slots(slots, self.claim_scores, self.preferred_servers, weights)
+
+    def _add_servers(self, now_ms: float, joined: Sequence[Server]) -> None:
+        """Give servers that join the slots to which their claims are the earliest.
+
+        That is about the mean number of slots, whatever was shifted: every proxy with
+        the same list then arrives at the same slots.
+        """
+        if not joined:
+            return
+        newcomers = dict.fromkeys(joined)
+        self._claim_preferred(range(self.size), newcomers)
+        for slot, server in enumerate(self.preferred_servers):
+            if server in newcomers and self.current[slot] is not server:
+                self.redirect_slot(now_ms, slot, server)
+
+    def _remove_servers(
+        self, left: Mapping[Server, None], ready: Iterable[Server]
+    ) -> None:
+        if not left:
+            return
         freed = [
-            slot
-            for slot, home in enumerate(self.preferred_servers if left else ())
-            if home in left
+            slot for slot, server in enumerate(self.preferred_servers) if server in left
         ]
         for slot in freed:
             self.preferred_servers[slot], self.claim_scores[slot] = None, math.inf
-        self.claim_preferred(freed, live)
-        for slot in range(self.size if left else 0):
+        self._claim_preferred(freed, ready)
+        for slot in range(self.size):
             if self.new[slot] in left:
-                self.end_transition(slot)
+                self._end_transition(slot)
             if self.current[slot] in left:
-                # A server that is leaving gets nothing new, so the slot cannot wait for its end.
+                # A server that is leaving gets nothing new, so the slot can't wait for
+                # its connections to end.
                 self.current[slot] = self.new[slot] or self.preferred_servers[slot]
-                self.end_transition(slot)
+                self._end_transition(slot)
 
-    def redirect_slot(self, now, slot, server):
+    def redirect_slot(self, now_ms: float, slot: int, server: Server | None) -> None:
+        """Lead a slot to another server, by a transition where sessions are open."""
         if self.current[slot] is not None and self.sessions[slot]:
-            self.new[slot], self.transition_started_ms[slot] = server, now
+            self.new[slot], self.transition_started_ms[slot] = server, now_ms
         else:
             self.current[slot] = server
-            self.end_transition(slot)
+            self._end_transition(slot)
 
-    def end_transition(self, slot):
+    def _end_transition(self, slot: int) -> None:
         self.new[slot] = None
         self.transition_started_ms.pop(slot, None)
 
-    def shift_slots(self, now, levels, wait, usable):
-        """Shift half of one top-level server's free slots to servers on lower levels."""
+    # Load
+
+    def shift_slots(
+        self,
+        now_ms: float,
+        levels: Mapping[Server, int],
+        pause_ms: float,
+        is_usable: Callable[[Server], bool],
+    ) -> SlotShift | None:
+        """Shift half of the free slots of one server on the top level.
+
+        They go to servers on lower levels, and more of them to the lowest.
+
+        Args:
+            now_ms: the time.
+            levels: the load level of each ready server.
+            pause_ms: until the same server's slots may be shifted again.
+            is_usable: whether a server may be given slots.
+
+        Returns:
+            What was shifted, None where nothing was.
+        """
         top = max(levels.values(), default=0)
-        tops = [
+        overloaded = [
             server
             for server, level in levels.items()
-            if level == top and server.next_shift_ms <= now
+            if level == top and server.next_shift_ms <= now_ms
         ]
-        lower = [
-            server for server, level in levels.items() if level < top and usable(server)
-        ]
-        room = int(self.size * self.moved_share) - len(self.transition_started_ms)
-        if (
-            not lower
-            or not tops
-            or room <= 0
-            or len(self.exception_keys) >= self.keys_kept
-        ):
+        weights = {
+            server: server.effective_weight * 2.0 ** (top - level)
+            for server, level in levels.items()
+            if level < top and is_usable(server)
+        }
+        room = self._transition_room()
+        if not weights or not overloaded or room <= 0:
             return None
-        server = self.choose(tops)
+        server = self._choose(overloaded)
+        slots = self._slots_to_shift(server, room)
+        if not slots:
+            return None
+        server.next_shift_ms = now_ms + pause_ms
+        self._redirect_by_claims(now_ms, slots, weights)
+        return SlotShift(server, len(slots))
+
+    def _transition_room(self) -> int:
+        """Return how many slots more may be in transition; 0 without room for keys."""
+        if len(self.exception_keys) >= MAX_TRACKED_KEYS:
+            return 0
+        return int(self.size * MAX_TRANSITION_SHARE) - len(self.transition_started_ms)
+
+    def _slots_to_shift(self, server: Server, room: int) -> list[int]:
+        """Return the slots of a server that go first, at most `room`.
+
+        Which slots go, and where to, is settled by hash, so that proxies which see the
+        same levels shift alike, and a connection that arrives mid-flow at another proxy
+        still finds its server.
+        """
         free = [
             slot
             for slot in range(self.size)
@@ -243,51 +332,49 @@
         ]
         count = min(len(free) // 2, len(free) - self.min_slots, room)
         if count <= 0:
-            return None
-        server.next_shift_ms = now + wait
-        # Which slots go, and where to, is settled by hash, so that proxies which see the same levels
-        # shift alike and a connection that arrives mid-flow at another proxy still finds its server.
+            return []
         free.sort(
             key=lambda slot: (
                 self.preferred_servers[slot] is server,
                 -self.claim_scores[slot],
             )
         )
-        when, whom = [-math.inf] * self.size, [None] * self.size
-        for slot in free[:count]:
-            when[slot] = math.inf
-        self.claim_slots(
-            free[:count],
-            when,
-            whom,
-            {
-                other: other.effective_weight * 2.0 ** (top - levels[other])
-                for other in lower
-            },
-        )
-        for slot in free[:count]:
-            self.redirect_slot(now, slot, whom[slot])
-        return server, count
-
-    def finish_transitions(self, now):
-        """End the transition of slots whose old connections are over, or have had long enough."""
-        for known in (self.moved_keys, self.exception_keys):
-            while known and next(iter(known.values()))[1] < now - self.keys_age:
-                del known[next(iter(known))]
-        for slot, since in list(self.transition_started_ms.items()):
+        return free[:count]
+
+    def _redirect_by_claims(
+        self, now_ms: float, slots: Sequence[int], weights: dict[Server, float]
+    ) -> None:
+        claim_scores = [-math.inf] * self.size
+        owners: list[Server | None] = [None] * self.size
+        for slot in slots:
+            claim_scores[slot] = math.inf
+        claim_slots(slots, claim_scores, owners, weights)
+        for slot in slots:
+            self.redirect_slot(now_ms, slot, owners[slot])
+
+    def finish_transitions(self, now_ms: float) -> None:
+        """End the transition of slots whose old sessions are over or had their time."""
+        self._expire_keys(now_ms)
+        for slot, started_ms in list(self.transition_started_ms.items()):
             old = [
-                sess
-                for sess in self.sessions[slot]
-                if sess.server is not self.new[slot]
+                session
+                for session in self.sessions[slot]
+                if session.server is not self.new[slot]
             ]
             if old and (
-                now - since < self.hard_time_out
-                or len(self.exception_keys) + len(old) > self.keys_kept
+                now_ms - started_ms < TRANSITION_TIMEOUT_MS
+                or len(self.exception_keys) + len(old) > MAX_TRACKED_KEYS
             ):
                 continue
-            for sess in old:
-                self.add_exception(now, sess)
-            for sess in self.sessions[slot]:
-                self.moved_keys.pop(sess.key, None)
+            for session in old:
+                self._add_exception(now_ms, session)
+            for session in self.sessions[slot]:
+                self.moved_keys.pop(session.key, None)
             self.current[slot] = self.new[slot]
-            self.end_transition(slot)
+            self._end_transition(slot)
+
+    def _expire_keys(self, now_ms: float) -> None:
+        oldest_ms = now_ms - TRACKED_KEY_LIFETIME_MS
+        for routes in (self.moved_keys, self.exception_keys):
+            while routes and next(iter(routes.values())).since_ms < oldest_ms:
+                del routes[next(iter(routes))]
