--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -32,7 +32,7 @@
     """Sends and compares whole states.
 
     Attributes:
-        interval_ms: Until the next exchange but one. Short while exchanges bring
+        interval_ms: Mean time until the next exchange. Short while exchanges bring
             members that were not known: where hundreds start at once each has met few,
             and gossip takes long to spread so many.
     """
--- a/wheathill/peers/membership/context.py
+++ b/wheathill/peers/membership/context.py
@@ -16,9 +16,8 @@
 from wheathill.peers.membership.messages import MemberUpdate, Ping
 
 MAX_UPDATES = 8  # a message
-RETRANSMIT_MULTIPLIER = (
-    8.0  # times log10 of the members: how often an update is passed on
-)
+# How often an update is passed on, times log10 of the members.
+RETRANSMIT_MULTIPLIER = 8.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -56,10 +55,10 @@
             Member(
                 config.name,
                 config.address,
-                0,
-                config.generation,
-                MemberState.ALIVE,
-                0.0,
+                incarnation=0,
+                generation=config.generation,
+                state=MemberState.ALIVE,
+                state_since_ms=0.0,
             )
         )
         self.gossip = GossipQueue(RETRANSMIT_MULTIPLIER)
--- a/wheathill/peers/membership/failure_detector.py
+++ b/wheathill/peers/membership/failure_detector.py
@@ -1,6 +1,7 @@
 """SWIM's failure detector: it pings members in turn, if need be by way of others."""
 
 from dataclasses import dataclass
+from operator import attrgetter
 
 from wheathill.peers.membership.context import MembershipContext
 from wheathill.peers.membership.death_checks import DeathChecks
@@ -140,11 +141,17 @@
         """
         members = self._context.table.members
         local_name = self._context.local.name
-        for name in sorted(members):
-            member = members[name]
+        # Few of many: sorted last, as this is done each interval.
+        candidates = [
+            member
+            for member in members.values()
+            if member.unconfirmed_since_ms is not None
+            or member.state is MemberState.SUSPECT
+        ]
+        for member in sorted(candidates, key=attrgetter("name")):
             is_checked = member.is_active and member.unconfirmed_since_ms is not None
             is_suspected_here = (
-                member.state == MemberState.SUSPECT
+                member.state is MemberState.SUSPECT
                 and local_name in member.suspected_by
             )
             if is_checked or is_suspected_here:
--- a/wheathill/peers/membership/gossip_queue.py
+++ b/wheathill/peers/membership/gossip_queue.py
@@ -2,6 +2,7 @@
 
 import math
 from dataclasses import dataclass
+from operator import attrgetter
 
 from wheathill.peers.membership.member import Member
 from wheathill.peers.membership.messages import MemberUpdate
@@ -11,10 +12,14 @@
 class QueuedUpdate:
     """An update that is still being passed on."""
 
+    member: Member
     reported_by: str
     transmissions: int = 0
 
 
+_TRANSMISSIONS = attrgetter("transmissions")
+
+
 class GossipQueue:
     """The members whose last update is passed on, the least often sent first.
 
@@ -32,7 +37,7 @@
 
     def add(self, member: Member, reported_by: str) -> None:
         """Pass on the state of `member` from now on, as often as any new update."""
-        self._queued[member] = QueuedUpdate(reported_by)
+        self._queued[member] = QueuedUpdate(member, reported_by)
 
     def discard(self, member: Member) -> None:
         """Pass on nothing of `member` any more."""
@@ -49,13 +54,7 @@
 
         `first` is among them, and leads them, however often it was sent.
         """
-        # The members that are gone lead: at a start of hundreds the newcomers would
-        # delay them.
-        queued = sorted(
-            self._queued.items(),
-            key=lambda item: (item[0].is_active, item[1].transmissions),
-        )
-        chosen = [member for member, _ in queued[:limit]]
+        chosen = self._by_priority()[:limit]
         if first is not None and first not in chosen:
             chosen = [first, *chosen[: limit - 1]]
         most_transmissions = math.ceil(
@@ -63,6 +62,19 @@
         )
         return [self._take(member, most_transmissions) for member in chosen]
 
+    def _by_priority(self) -> list[Member]:
+        """Return the members, those gone first, each of both by transmissions.
+
+        At a start of hundreds the newcomers would delay news of the gone. The queue is
+        long then, and ordered for each message: hence two sorts by a key of C.
+        """
+        queued = self._queued.values()
+        gone = [update for update in queued if not update.member.is_active]
+        active = [update for update in queued if update.member.is_active]
+        gone.sort(key=_TRANSMISSIONS)
+        active.sort(key=_TRANSMISSIONS)
+        return [update.member for update in (*gone, *active)]
+
     def _take(self, member: Member, most_transmissions: int) -> MemberUpdate:
         queued = self._queued.get(member)
         if queued is None:
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -27,9 +27,8 @@
         self.is_isolated = False
         self.is_removed = False
         self.held_since_ms = 0.0
-        self._defences: dict[
-            int, int
-        ] = {}  # generation of the other process -> how many
+        # Generation of the other process -> how often the name was defended against it.
+        self._defences: dict[int, int] = {}
 
     def rejects_claim(self, claim: MemberUpdate) -> bool:
         """Answer a process that joins under a name that another one holds.
