--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow proxies: everything of a proxy's control part and no sessions, many in one process.
 
 `python -m wheathill.lab.scale.hollow` reads orders from its standard input, a line of JSON each, and answers each with
-a line. Under a `PeerService` stands what it asks of a proxy; its transport, frames, membership, facts, drains and witnesses are the
+a line. Under a `PeerService` stands what it asks of a proxy; its transport, frames, membership, cluster view, drains and health reports are the
 ones that a proxy runs, over real loopback sockets. Times are in the fleet's ms, which a rate of time stretches.
 """
 
