--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,7 +20,7 @@
 import time
 from collections import Counter
 
-from wheathill.model import Listener, UpdateKind, AttemptOutcome, Phase, Server, Session
+from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.policy.balancer import Balancer
 
 TRACES = pathlib.Path(__file__).parent / "traces"
@@ -93,7 +93,7 @@
     def answer(self, server):
         load = self.loads.get(server.name)
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
-        self.balancer.on_probed(self.now, server, answer, [load])
+        self.balancer.on_probe_result(self.now, server, answer, [load])
 
     def follow_list(self, on):
         self.say(f"follows the list: {on}")
@@ -116,11 +116,11 @@
                 name, Server(name, zone=len(self.servers) % 2)
             )
             found.append((server, phase, 1.0, started))
-        self.balancer.on_list(self.now, kind, found)
+        self.balancer.on_endpoint_update(self.now, kind, found)
 
     def hand(self, name, out):
         self.say(f"{name} {'out by hand' if out else 'put back'}")
-        self.balancer.on_hand(self.now, name, out, self.servers.get(name))
+        self.balancer.set_maintenance(self.now, name, out, self.servers.get(name))
 
     def session(self, name, listener=None, key=None, left=2000.0, **more):
         sess = Session(
@@ -133,7 +133,7 @@
     def accept(self, name, **more):
         sess = self.session(name, **more)
         if not sess.has_ended:
-            self.balancer.on_accepted(self.now, sess)
+            self.balancer.on_session_accepted(self.now, sess)
         return sess
 
     def outcome(self, sess, outcome, closed=False):
@@ -148,7 +148,7 @@
             if isinstance(alarm[2], Server):
                 self.answer(alarm[2])
             else:
-                self.balancer.on_alarm(self.now, alarm[2])
+                self.balancer.on_timer(self.now, alarm[2])
         self.now = then
 
     def pass_time(self, then):
@@ -158,7 +158,7 @@
             self.loud, loud = False, self.loud
             sess = self.session(f"passing {self.now:.0f}")
             if not sess.has_ended:
-                self.balancer.on_accepted(self.now, sess)
+                self.balancer.on_session_accepted(self.now, sess)
                 self.balancer.on_outcome(self.now, sess, AttemptOutcome.COMPLETED, True)
             self.loud = loud
 
@@ -168,7 +168,7 @@
         )
 
     def shares(self):
-        table = self.balancer.table
+        table = self.balancer.slot_table
         for name, server in sorted(self.servers.items()):
             self.say(
                 f"{name}: {table.current.count(server)} slots, {table.new.count(server)} to come"
@@ -269,8 +269,8 @@
         self.config = {
             "name": "n0",
             "seed": "5eed",
-            "listen": "%s:%d" % self.address,
-            "discovery": "%s:%d" % self.discovery.getsockname(),
+            "listen": "{}:{}".format(*self.address),
+            "discovery": "{}:{}".format(*self.discovery.getsockname()),
             "limits": {"sockets": 256, **limits},
             "known": self.list(*names) if known else {},
             "settings": {
@@ -297,7 +297,7 @@
         self.admin = "127.0.0.1", free_port()
         told = {
             "NODE_CONFIG": str(self.path),
-            "NODE_ADMIN_ADDR": "%s:%d" % self.admin,
+            "NODE_ADMIN_ADDR": "{}:{}".format(*self.admin),
             "TMPDIR": self.folder.name,
         }
         if self.inherited:
@@ -365,7 +365,7 @@
         hosts = [
             {
                 "host": name,
-                "dial": "%s:%d" % self.servers[name].getsockname(),
+                "dial": "{}:{}".format(*self.servers[name].getsockname()),
                 "site": "x",
                 "class": "m",
                 "block": 1,
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -146,7 +146,8 @@
         return self.until(
             lambda: (
                 sorted(
-                    server.name for server in self.turns.proxy.balancer.roster.servers
+                    server.name
+                    for server in self.turns.proxy.balancer.endpoint_list.servers
                 )
                 == sorted(names)
             ),
@@ -749,7 +750,7 @@
                     "seed": f"{number}",
                     "listen": f"127.0.0.1:{free_port()}",
                     "known": whole,
-                    "discovery": "%s:%d" % listening.getsockname(),
+                    "discovery": "{}:{}".format(*listening.getsockname()),
                     "limits": {"sockets": 256},
                     "settings": {
                         "listeners": [{"name": "any"}],
