--- a/tests/drive.py
+++ b/tests/drive.py
@@ -67,19 +67,19 @@
         if self.loud:
             self.lines.append(f"{self.now:8.0f} {text}")
 
-    def dial(self, sess, server, time_out):
-        self.say(f"{self.names[sess]} dials {server.name} for {time_out:.0f}")
+    def start_attempt(self, session, server, timeout_ms):
+        self.say(f"{self.names[session]} dials {server.name} for {timeout_ms:.0f}")
 
-    def refuse(self, sess, come_back_after):
-        self.say(f"{self.names[sess]} refused, back after {come_back_after:.0f}")
+    def reject(self, session, retry_after_ms):
+        self.say(f"{self.names[session]} refused, back after {retry_after_ms:.0f}")
 
-    def tear_down(self, sess):
-        self.say(f"{self.names[sess]} torn down")
+    def fail(self, session):
+        self.say(f"{self.names[session]} torn down")
 
-    def move(self, sess):
-        self.say(f"{self.names[sess]} moved off {sess.server.name}")
+    def migrate(self, session):
+        self.say(f"{self.names[session]} moved off {session.server.name}")
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probes += 1
         if not self.answers:
             return
@@ -95,11 +95,11 @@
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
         self.balancer.on_probed(self.now, server, answer, [load])
 
-    def follow_list(self, on):
-        self.say(f"follows the list: {on}")
+    def poll_endpoint_list(self, enabled):
+        self.say(f"follows the list: {enabled}")
 
-    def alarm(self, name, at):
-        self.alarms.append((at, len(self.alarms), name))
+    def set_timer(self, name, at_ms):
+        self.alarms.append((at_ms, len(self.alarms), name))
 
     def log(self, text):
         self.say(f"log: {text}")
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -115,7 +115,7 @@
 
     def moved(self):
         client, server = self.up()
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         self.turns.hears(client)
         self.over(client, server)
 
@@ -123,7 +123,7 @@
         client, server = self.up()
         server.say("half a li", end="")
         self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         server.say("ne")
         self.turns.hears(client)
         self.over(client, server)
@@ -132,7 +132,7 @@
         client, server = self.up()
         server.say("half a li", end="")
         self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         next(iter(self.proxy.clients.values())).dial.close()
         self.over(client, server)
 
@@ -381,7 +381,7 @@
 
         def ask():
             server = turns.proxy.servers["a"]
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             at = turns.taken("a")
             turns.hears(at)
             said, _, reset = (answer or "").partition(" reset")
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -348,13 +348,13 @@
         turns.watched("a")
         server = turns.proxy.servers["a"]
         for ends in ("finish", "reset"):
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             link = turns.taken()
             turns.hears(link)
             link.say("PONG x0=0.2")
             turns.until(lambda: not turns.proxy.links[server].asked)
             server.probe_sent_ms = turns.proxy.now()
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             getattr(link, ends)()
             again = turns.taken()
             turns.hears(again)
@@ -365,7 +365,7 @@
             turns.proxy.links[server].end(None)
             again.finish()
         # One that never answered is another thing.
-        turns.proxy.probe(server)
+        turns.proxy.send_probe(server)
         turns.taken().finish()
         turns.until(lambda: server.unanswered_probes)
         turns.lines.append(f"closed without an answer: {server.unanswered_probes}")
@@ -467,7 +467,7 @@
     """The client reads on, slowly, for longer than an end is waited for: it gets all, and MOVE."""
     with Turns(limits={"linger": 150.0}) as turns:
         client = blocked(turns)
-        turns.proxy.move(next(iter(turns.proxy.clients)))
+        turns.proxy.migrate(next(iter(turns.proxy.clients)))
         got, spent = read_slowly(turns, client, 20, 131_072)
         turns.lines.append(
             f"last come {got[-9:]}, longer than it lingers: {spent > 300}"
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -297,7 +297,7 @@
     for seed in range(40):
         d = Drive(seed=seed, must_ask=True, proxies=proxies, ask_every=60_000.0)
         asked = []
-        d.follow_list = lambda on, asked=asked, d=d: asked.append(d.now)
+        d.poll_endpoint_list = lambda on, asked=asked, d=d: asked.append(d.now)
         for _ in range(12):
             before = len(asked)
             while len(asked) == before:
@@ -602,7 +602,7 @@
     with Turns(names, settings=PROBED, sockets=96) as turns:
         turns.watched(*names)
         for name in names:
-            turns.proxy.probe(turns.proxy.servers[name])
+            turns.proxy.send_probe(turns.proxy.servers[name])
             link = turns.taken(name)
             turns.hears(link)
             link.say("PONG x0=0.1")
@@ -654,7 +654,7 @@
     ) as turns:
         full_of_sessions(turns)
         for server in turns.proxy.servers.values():
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
         turns.turn(2)
         assert turns.carrier.free <= 0 and all(
             link.asked for link in turns.proxy.links.values()
@@ -682,7 +682,7 @@
         server = turns.proxy.servers["a"]
         turns.carrier.lent = turns.carrier.free + turns.node().limits.spare_sockets
         server.probe_sent_ms = turns.proxy.now()
-        turns.proxy.probe(server)
+        turns.proxy.send_probe(server)
         turns.turn(2)
         assert (
             not turns.dialled()
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -159,28 +159,28 @@
     def order(self, name, *fields):
         self.orders.append([name, self.name, *fields])
 
-    def dial(self, sess, server, time_out):
-        self.order("forward", self.handles[sess], time_out / 1000, server.name)
+    def start_attempt(self, session, server, timeout_ms):
+        self.order("forward", self.handles[session], timeout_ms / 1000, server.name)
 
-    def refuse(self, sess, come_back_after):
-        self.order("notNow", self.handles[sess], come_back_after / 1000)
-        self.forget(sess)
+    def reject(self, session, retry_after_ms):
+        self.order("notNow", self.handles[session], retry_after_ms / 1000)
+        self.forget(session)
 
-    def tear_down(self, sess):
-        self.order("error", self.handles[sess])
-        self.forget(sess)
+    def fail(self, session):
+        self.order("error", self.handles[session])
+        self.forget(session)
 
-    def move(self, sess):
-        self.order("relocate", self.handles[sess])
+    def migrate(self, session):
+        self.order("relocate", self.handles[session])
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.order("sample", server.name)
 
-    def follow_list(self, on):
-        self.order("follow", on)
+    def poll_endpoint_list(self, enabled):
+        self.order("follow", enabled)
 
-    def alarm(self, name, at):
-        self.order("timer", name, at / 1000)
+    def set_timer(self, name, at_ms):
+        self.order("timer", name, at_ms / 1000)
 
     def log(self, text):
         self.order("trace", text)
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -55,9 +55,9 @@
     def give_up(self, sess):
         sess.has_ended = True
         if may_reject(sess):
-            self.balancer.actions.refuse(sess, sess.listener.handshake_target_ms)
+            self.balancer.actions.reject(sess, sess.listener.handshake_target_ms)
         else:
-            self.balancer.actions.tear_down(sess)
+            self.balancer.actions.fail(sess)
 
 
 class Baseline(Balancer):
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -9,21 +9,21 @@
 
 
 class AnswersTwice(Proxy):
-    def refuse(self, sess, come_back_after):
-        self.clients[sess].wire.send(b"ERR", END)
-        super().refuse(sess, come_back_after)
+    def reject(self, session, retry_after_ms):
+        self.clients[session].wire.send(b"ERR", END)
+        super().reject(session, retry_after_ms)
 
 
 class AnswersLate(Proxy):
     """Holds a refusal back until after the deadline."""
 
-    def refuse(self, sess, come_back_after):
-        self.clients[sess].timer.cancel()
-        self.clock.at(sess.deadline_ms + 200.0, self.refuse_late, sess, come_back_after)
+    def reject(self, session, retry_after_ms):
+        self.clients[session].timer.cancel()
+        self.clock.at(session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms)
 
     def refuse_late(self, sess, come_back_after):
         if sess in self.clients:
-            super().refuse(sess, come_back_after)
+            super().reject(sess, come_back_after)
 
 
 class MakesUpAnswers(Proxy):
@@ -86,8 +86,8 @@
 
 
 class RefusesWhatRan(Proxy):
-    def tear_down(self, sess):
-        self.refuse(sess, 0.0)
+    def fail(self, session):
+        self.reject(session, 0.0)
 
 
 class DialsWhatRan(Proxy):
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -89,7 +89,7 @@
     )
     log = lambda *_, **__: None  # noqa: E731
     found = Proxy(node, Carrier(loop, node.limits, log), Clock(loop), log)
-    found.alarm = log  # nothing rings: the clock's work is called by hand
+    found.set_timer = log  # nothing rings: the clock's work is called by hand
     return found, loop
 
 
@@ -221,17 +221,17 @@
         self.sent = 0
         self.dialled = []  # not up yet
 
-    def dial(self, sess, server, time_out):
-        self.dialled.append(sess)
+    def start_attempt(self, session, server, timeout_ms):
+        self.dialled.append(session)
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probed.append(server)
         self.sent += 1
 
     def nothing(self, *_):
         pass
 
-    refuse = tear_down = move = follow_list = alarm = log = nothing
+    reject = fail = migrate = poll_endpoint_list = set_timer = log = nothing
 
 
 def balancer(count, seed):
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -268,25 +268,25 @@
 class SessionEffects(Protocol):
     """What the decisions call for, carried out by a proxy or the simulator adapter."""
 
-    def dial(self, session: Session, server: Server, timeout_ms: float) -> None:
+    def start_attempt(self, session: Session, server: Server, timeout_ms: float) -> None:
         """Make an attempt at a server, which has so long to accept the session."""
 
-    def refuse(self, session: Session, retry_after_ms: float) -> None:
+    def reject(self, session: Session, retry_after_ms: float) -> None:
         """Reject the session: nothing of it was executed; the client may retry."""
 
-    def tear_down(self, session: Session) -> None:
+    def fail(self, session: Session) -> None:
         """Answer the session as failed: it may have been executed."""
 
-    def move(self, session: Session) -> None:
+    def migrate(self, session: Session) -> None:
         """Ask the client to reconnect, so that its session migrates."""
 
-    def probe(self, server: Server) -> None:
+    def send_probe(self, server: Server) -> None:
         """Send a health check to a server."""
 
-    def follow_list(self, enabled: bool) -> None:
+    def poll_endpoint_list(self, enabled: bool) -> None:
         """Poll the endpoint list, and watch it from then on."""
 
-    def alarm(self, name: str, at_ms: float) -> None:
+    def set_timer(self, name: str, at_ms: float) -> None:
         """Call `Balancer.on_alarm` with this name at that time."""
 
     def log(self, text: str) -> None:
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -482,14 +482,14 @@
 
     # What the decisions call for
 
-    def dial(self, sess, server, time_out):
-        client = self.clients[sess]
-        if len(sess.attempts) > 1:
+    def start_attempt(self, session, server, timeout_ms):
+        client = self.clients[session]
+        if len(session.attempts) > 1:
             self.figures.count("further dials")
         if not self.spare(DIALS):
-            self.clock.soon(self.no_socket, sess, sess.attempts[-1])
+            self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
-            self.connect(client, server, time_out)
+            self.connect(client, server, timeout_ms)
 
     def no_socket(self, sess, dial):
         """Of that very dial: another one may be out by now."""
@@ -498,14 +498,14 @@
                 self.now(), sess, AttemptOutcome.CONNECT_FAILED, False
             )
 
-    def refuse(self, sess, come_back_after):
-        self.answer(self.over(sess, "refused"), busy(come_back_after))
+    def reject(self, session, retry_after_ms):
+        self.answer(self.over(session, "refused"), busy(retry_after_ms))
 
-    def tear_down(self, sess):
-        self.answer(self.over(sess, "torn down"), b"ERR")
+    def fail(self, session):
+        self.answer(self.over(session, "torn down"), b"ERR")
 
-    def move(self, sess):
-        client = self.clients.get(sess)
+    def migrate(self, session):
+        client = self.clients.get(session)
         if client is not None and client.up and not client.moving:
             self.move_client(client)
 
@@ -520,8 +520,8 @@
     def moved(self, sess):
         self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
-    def alarm(self, name, at):
-        self.clock.at(at, self.ring, name)
+    def set_timer(self, name, at_ms):
+        self.clock.at(at_ms, self.ring, name)
 
     def ring(self, name):
         self.balancer.on_alarm(self.now(), name)
@@ -531,7 +531,7 @@
 
     # Probes
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.figures.count("probes")
         link = self.links.pop(server, None)
         if link is None:
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -156,7 +156,7 @@
         if watch is self.watch:
             self.open_watch()
 
-    def follow_list(self, on):
+    def poll_endpoint_list(self, enabled):
         """The watch is always open: the agent is on this machine and costs nothing."""
         self.clock.soon(self.followed)
 
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -76,6 +76,6 @@
         sess.has_ended = True
         if may_reject(sess):
             wait = max(sess.listener.handshake_target_ms, self.next_at - now)
-            self.actions.refuse(sess, min(self.longest_wait, wait))
+            self.actions.reject(sess, min(self.longest_wait, wait))
         else:
-            self.actions.tear_down(sess)
+            self.actions.fail(sess)
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -27,7 +27,7 @@
         # store must not be asked twice: most of the time goes to the first dial, not all of it.
         # One that has just answered a probe is not silent.
         alive = self.levels.age(now, sess.server) < self.alive
-        self.actions.dial(
+        self.actions.start_attempt(
             sess, sess.server, left if alive or len(sess.attempts) > 1 else left * 0.6
         )
 
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -185,7 +185,7 @@
         self.roster.begin(now)
         self.cold.since = now
         # Proxies that start together would otherwise probe every server in the same instant.
-        self.actions.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+        self.actions.set_timer("tick", now + self.uniform(0.1, 1.0) * self.TICK)
 
     def on_list(self, now, kind, entries):
         joined, left = self.roster.update(now, kind, entries)
@@ -327,7 +327,7 @@
         nothing at all came from there meanwhile, the others need not find out one by one."""
         server = sess.server
         if waited >= self.SILENCE:
-            self.actions.move(sess)
+            self.actions.migrate(sess)
         elif (
             now - server.last_received_ms >= self.QUIET
             and server.unanswered_session not in (None, sess)
@@ -355,13 +355,13 @@
         """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
         are set up anew, and at once they would swamp what set-ups depend on."""
         for sess in sessions[: math.ceil(len(sessions) / parts)]:
-            self.actions.move(sess)
+            self.actions.migrate(sess)
 
     def on_alarm(self, now, name):
         if name == "follow":
             self.roster.ask(now)
         elif name == "tick":
-            self.actions.alarm("tick", now + self.TICK)
+            self.actions.set_timer("tick", now + self.TICK)
             self.tick(now)
         elif name.startswith("wait "):
             self.placement.out_of_patience(now, int(name[5:]))
@@ -407,7 +407,7 @@
         )
         self.next_probes = deque(due)
         for place in range(len(due)):
-            self.actions.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
+            self.actions.set_timer("probe", now + self.TICK * (place + 0.5) / len(due))
 
     def relieve(self, now):
         """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
@@ -445,7 +445,7 @@
                     -self.table.lowest[sess.slot],
                 ),
             )[:count]:
-                self.actions.move(sess)
+                self.actions.migrate(sess)
             if count:
                 server.next_migration_ms = now + 2 * self.TICK
                 self.actions.log(
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -27,12 +27,12 @@
         """The list service is one for all and does not grow with them: a call by every proxy at the start
         would be turned away for most, and their next ones too."""
         if self.must_ask:
-            self.actions.alarm("follow", now + self.uniform(0.0, self.spread))
+            self.actions.set_timer("follow", now + self.uniform(0.0, self.spread))
 
     def ask(self, now):
         if self.must_ask and not self.following and self.asked is None:
             self.asked = now
-            self.actions.follow_list(True)
+            self.actions.poll_endpoint_list(True)
 
     def update(self, now, kind, entries):
         """Entries are (server, phase, weight, started). Returns (joined, left)."""
@@ -44,7 +44,7 @@
                 LIST_POLL_MAX_MS,
                 max(500.0, self.spread / 2) * 2.0 ** min(self.failures, 5),
             )
-            self.actions.alarm("follow", now + wait * self.uniform(0.5, 1.0))
+            self.actions.set_timer("follow", now + wait * self.uniform(0.5, 1.0))
             return [], []
         if kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT) and self.asked is not None:
             self.following, self.asked, self.failures = True, None, 0
--- a/wheathill/policy/probing.py
+++ b/wheathill/policy/probing.py
@@ -18,7 +18,7 @@
         if server.probe_sent_ms is None:
             server.probe_sent_ms = server.last_probe_ms = now
             self.earned -= 1.0
-            self.actions.probe(server)
+            self.actions.send_probe(server)
 
     def due(self, now, servers, figures):
         """Those near full first, then those not asked for longest."""
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -133,7 +133,7 @@
         self.waits += 1
         self.patience[self.waits] = sess, server
         patience = min(sess.listener.handshake_target_ms, sess.deadline_ms - now) / 4
-        self.actions.alarm(f"wait {self.waits}", now + patience)
+        self.actions.set_timer(f"wait {self.waits}", now + patience)
         self.probes.send(now, server)
 
     def answered(self, now, server, well):
