--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,6 +20,7 @@
 import time
 from collections import Counter
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.policy.balancer import Balancer
 
@@ -312,7 +313,7 @@
     def begin_beside(self):
         self.old.append(self.process)
         self.begin()
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
 
     def call(self, text, admin=None):
         """One call at the operators' door, as a line; the object that answers it."""
@@ -324,7 +325,7 @@
         return json.loads(body)
 
     def __enter__(self):
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
         return self
 
     def __exit__(self, *_):
@@ -422,7 +423,7 @@
         client.hear()
         return client, server
 
-    def reload(self, then="reloaded", **changed):
+    def reload(self, then=LogEvent.CONFIGURATION_RELOADED, **changed):
         self.path.write_text(json.dumps({**self.config, **changed}))
         self.process.send_signal(signal.SIGHUP)
         found = self.until_logged(then)
@@ -439,7 +440,7 @@
 
     def stop(self):
         self.process.send_signal(signal.SIGTERM)
-        self.until_logged("stopping")
+        self.until_logged(LogEvent.SHUTDOWN_STARTED)
 
     def end(self):
         self.lines.append(f"proxy exits with {self.process.wait(8)}")
--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -5,11 +5,12 @@
 
 from wheathill import __main__ as program
 from wheathill.config import Misconfigured, node_of, read_node
+from wheathill.log_events import LogEvent
 from wheathill.net import bans, log
 from wheathill.net.operators import OperatorsDoor
 from wheathill.peers.control import Control
 
-FIGURES = "figures"  # the event whose line tells the counts
+FIGURES = LogEvent.METRICS  # the event whose line tells the counts
 
 
 class Sink:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,6 +23,7 @@
 from wheathill.lab.scripts import language
 from wheathill.lab.scripts.run import play as processes
 from wheathill.lab.scripts.run import play as virtual
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -300,7 +301,7 @@
     assert all(
         now == 0.0
         for now, kind, fields in events[:100]
-        if kind == "log" and fields["event"] == "listening"
+        if kind == "log" and fields["event"] == LogEvent.LISTENING
     )
     truths = [
         (now, fields["starting"]) for now, kind, fields in events if kind == "truth"
--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -6,6 +6,7 @@
 from wheathill.lab.judging.fleet import Apart, Shares, Timing, ToldToAll, Views, Zones
 from wheathill.lab.judging.judges import BudgetOfDials, Drains
 from wheathill.lab.scripts.language import Odd
+from wheathill.log_events import LogEvent
 
 ZONE_OF = {"a": "e", "b": "e", "c": "w", "d": "w"}
 ALL = list(ZONE_OF)
@@ -472,7 +473,11 @@
     told.until(5000.0).start("c")  # knows nothing of d, and never says that it is dead
     for place, name in enumerate("ab"):
         told.until(6000.0 + 250.0 * place).see(
-            "log", node=name, event="peer", state="dead", peer="d"
+            "log",
+            node=name,
+            event=LogEvent.MEMBER_STATE_CHANGED,
+            state="dead",
+            peer="d",
         )
     assert found[0].found["first"] == [2000] and found[0].found["all"] == [2250]
 
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -20,6 +20,7 @@
 
 from wheathill.config import node_of
 from wheathill.handover.coordinator import UpgradeCoordinator
+from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
@@ -181,7 +182,12 @@
         self.receiver = self.transport.last_connection if beside else None
 
     def note(self, event, **values):
-        if "hand" in event or event in ("took over", "accepting", "fault"):
+        if "hand" in event or event in (
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+            LogEvent.INTERNAL_ERROR,
+            LogEvent.MAINTENANCE_ENTERED,
+        ):
             values.pop("after", None)
             self.events.append((event, values))
 
@@ -408,7 +414,7 @@
             ]
         )
         for event, values in events
-        if event != "accepting"
+        if event != LogEvent.ACCEPTING_CONNECTIONS
     )
 
 
@@ -602,7 +608,10 @@
         assert old.transport.dropped == 2 * len(SESSIONS)
     else:
         assert new.transport.adopted == 2 * len(SESSIONS)
-        assert [event for event, _ in new.events][:2] == ["took over", "accepting"]
+        assert [event for event, _ in new.events][:2] == [
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+        ]
 
 
 def test_a_state_from_before_is_passed_on_as_it_came():
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -7,7 +7,7 @@
 ROOT = pathlib.Path(__file__).parent.parent
 # From the bottom up; the longest name that fits counts, so that a new module of a package is in that package's layer.
 LAYERS = (
-    ("wheathill.model",),
+    ("wheathill.log_events", "wheathill.model"),
     ("wheathill.policy", "wheathill.config"),
     # State machines, told of what happens: no sockets, no loop.
     (
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -22,6 +22,7 @@
 from wheathill.handover.snapshot import collect_snapshot
 from wheathill.handover.state_codec import encode_snapshot
 from wheathill.handover.state_receiver import StateReceiver
+from wheathill.log_events import LogEvent
 from wheathill.model import Session, UpdateKind
 from wheathill.net import bans
 from wheathill.net.admin import Call
@@ -133,7 +134,7 @@
     ) as rig:
         rig.call("GET /status")
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         silent = [socket.create_connection(rig.admin) for _ in range(40)]
         for caller in silent[20:]:
             caller.sendall(b"GET /sta")
@@ -164,7 +165,7 @@
         settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         name = server.name[-1]
         other = "b" if name == "a" else "a"
@@ -185,7 +186,7 @@
         rig.up("k2", (name, other))
         rig.begin_beside()
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         rig.up("k3", (name, other))
         in_the_way = f"{bans_of(rig)}.{rig.process.pid}"
         os.mkdir(in_the_way)
@@ -518,7 +519,7 @@
         settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         server.say("half a li", end="")
         client.hear_bytes(9)
@@ -529,8 +530,8 @@
         rig.client("client that asks").ask("PING")  # so the one before it was let in
         old = rig.admin
         rig.begin_beside()
-        rig.until_logged("took over")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
+        rig.until_logged(LogEvent.READY)
         rig.watched("a", "b")
         rig.call("GET /status", old)
         rig.call("GET /status")
@@ -555,7 +556,7 @@
         rig.up("k4")
         rig.call("GET /status/metrics")
         rig.begin_beside()  # a second upgrade, at once
-        rig.until_logged("took over")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
         rig.watched("a", "b")
         client.say("and here")
         server.hear()
@@ -567,7 +568,7 @@
     something else, and by one that says nothing."""
     with Rig(inherited=True) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         for version, name in ((VERSION + 1, "n0"), (VERSION, "n9")):
             partner = Partner(rig)
@@ -594,9 +595,9 @@
         rig.lines.append(
             f"sessions on their way: {len(found['sessions'])}, handles {len(partner.handles)}"
         )
-        rig.until_logged("handed over")
+        rig.until_logged(LogEvent.HANDOVER_SENT)
         partner.close()
-        rig.until_logged("handover undone")
+        rig.until_logged(LogEvent.HANDOVER_ROLLED_BACK)
         client.say("two")
         server.hear()
         server.say("three")
@@ -604,7 +605,7 @@
         rig.up("k5")
         partner = Partner(rig)
         partner.take_over()
-        rig.until_logged("handover undone")  # it says nothing for too long
+        rig.until_logged(LogEvent.HANDOVER_ROLLED_BACK)  # it says nothing for too long
         rig.up("k6")
         rig.call("GET /status")
         partner.close()
@@ -619,7 +620,7 @@
         inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         rig.reload()
         rig.old.append(rig.process)
@@ -627,12 +628,12 @@
         second, _ = rig.process, rig.old.append(rig.process)
         rig.begin()
         rig.old[0].terminate()
-        rig.until_logged("accepting")
+        rig.until_logged(LogEvent.ACCEPTING_CONNECTIONS)
         rig.process, third = second, rig.process
-        rig.until_logged("accepting")
+        rig.until_logged(LogEvent.ACCEPTING_CONNECTIONS)
         # Whichever came first was taken over from by the other.
         found = {
-            process: rig.process_says(process, "handed over")
+            process: rig.process_says(process, LogEvent.HANDOVER_SENT)
             for process in (second, third)
         }
         last = next(process for process, handed in found.items() if not handed)
@@ -665,7 +666,7 @@
     """The new process starts as from nothing, says so, and keeps who is out by hand."""
     with Rig(inherited=True) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         rig.call("PUT /maintenance/enter?host=a")
         path = pathlib.Path(
             next(str(path) for path in pathlib.Path(rig.folder.name).glob("*.up"))
@@ -687,7 +688,9 @@
                     pass
                 if pieces:
                     partner.sock.shutdown(socket.SHUT_WR)
-                found = rig.until_logged(("no handover", "bad handover"))
+                found = rig.until_logged(
+                    (LogEvent.HANDOVER_UNAVAILABLE, LogEvent.HANDOVER_ERROR)
+                )
                 rig.lines.append(
                     f"{what}: {found['event']}, {found.get('why') or found.get('what')}"
                 )
@@ -707,7 +710,7 @@
     )
     with Rig(names=("s-1", "s-2")) as rig:
         rig.watched("s-1", "s-2")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         for method, target, status, body in calls:
             found = rig.call(f"{method or 'GET'} {target}")
             assert rig.lines[-1].split()[2] == status and (
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -9,6 +9,7 @@
 import pytest
 
 from wheathill.config import Misconfigured, checked, operator
+from wheathill.log_events import LogEvent
 
 GOOD = """
 name = "edge"
@@ -111,12 +112,12 @@
                 path.write_text(good + 'stat = "ready"')
                 process.send_signal(signal.SIGHUP)
                 assert (
-                    until("bad configuration")["what"]
+                    until(LogEvent.CONFIGURATION_ERROR)["what"]
                     == "server[0].stat: no such key; did you mean state?"
                 )
                 path.write_text(good + 'state = "draining"')
                 process.send_signal(signal.SIGHUP)
-                assert until("reloaded")["servers"] == 1
+                assert until(LogEvent.CONFIGURATION_RELOADED)["servers"] == 1
                 assert client.recv(100) == b"MOVE\r\n"
             process.send_signal(signal.SIGTERM)
             assert process.wait(8) == 0
--- a/tests/test_proxy.py
+++ b/tests/test_proxy.py
@@ -10,6 +10,7 @@
 import pytest
 
 from drive import Rig, kept, listener
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -159,7 +160,7 @@
             client.hear()
         found = rig.reload()
         rig.lines.append(
-            f"faults: {rig.seen['fault']}, moves of all at once: {rig.seen['decision']}, up {found['up']}"
+            f"faults: {rig.seen[LogEvent.INTERNAL_ERROR]}, moves of all at once: {rig.seen[LogEvent.POLICY_DECISION]}, up {found['up']}"
         )
         return rig.lines
 
@@ -321,7 +322,7 @@
         prober.say("PING")
         prober.hear()
         rig.lines.append(rig.watched("a"))
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         prober.say("PING")
         prober.hear()
         rig.up()
@@ -347,7 +348,7 @@
     with Rig() as rig:
         rig.watched("a", "b")
         client, server = rig.up()
-        rig.reload("bad configuration", limits={"sockets": "many"})
+        rig.reload(LogEvent.CONFIGURATION_ERROR, limits={"sockets": "many"})
         old, old_list = rig.watch, rig.discovery
         rig.discovery = listener()
         there = "{}:{}".format(*rig.discovery.getsockname())
@@ -432,7 +433,7 @@
         address = rig.servers["a"].getsockname()
         rig.servers["a"].close()
         client = rig.open(at="a")
-        rig.until_logged("dial failed")
+        rig.until_logged(LogEvent.ATTEMPT_FAILED)
         rig.servers["a"] = socket.create_server(address)
         server = rig.taken(("a",))
         server.hear()
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -11,6 +11,7 @@
 
 from drive import Rig, kept, listener
 from turns import Turns, blocked, read_slowly
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -438,7 +439,9 @@
         assert not turns.proxy.clients and not any(
             server.sessions for server in turns.proxy.servers.values()
         )
-        assert not [event for event, _ in turns.logged if event == "fault"]
+        assert not [
+            event for event, _ in turns.logged if event == LogEvent.INTERNAL_ERROR
+        ]
 
 
 def server_gone_while_it_is_probed():
@@ -457,7 +460,7 @@
         other = turns.taken("b" if name == "a" else "a")
         turns.lines.append(f"asked elsewhere: {turns.hears(other)}")
         turns.lines.append(
-            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == 'fault']}"
+            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
         )
         del client
         return turns.lines[-2:]
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -8,6 +8,7 @@
 
 from drive import Peer, kept, listener
 from turns import Turns
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -197,7 +198,7 @@
             turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
         turns.until(lambda: turns.proxy.watch.answered)
         turns.for_ms(20)
-        told = [event for event, _ in turns.logged if event == "bad input"]
+        told = [event for event, _ in turns.logged if event == LogEvent.PROTOCOL_ERROR]
         turns.lines.append(
             f"one of the two is left: {turns.proxy.beside is None}, {told}"
         )
--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -7,6 +7,7 @@
 
 from drive import Rig, kept
 from turns import Turns, blocked, read_slowly
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -128,9 +129,9 @@
     with stopping(known=False) as rig:
         rig.process.send_signal(signal.SIGTERM)
         rig.process.send_signal(signal.SIGTERM)
-        rig.until_logged("stopping")
+        rig.until_logged(LogEvent.SHUTDOWN_STARTED)
         rig.process.send_signal(signal.SIGHUP)
-        rig.until_logged("reloaded")
+        rig.until_logged(LogEvent.CONFIGURATION_RELOADED)
         prober = rig.client("prober")
         prober.say("PING")
         prober.hear()
@@ -160,7 +161,7 @@
         left.hear()
         told.hear()
         told.hear()
-        rig.until_logged("took over")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
         server.say("and back")
         client.hear()
         rig.old[0].send_signal(signal.SIGTERM)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -19,6 +19,7 @@
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.reals import numbers as real_numbers
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.net.driver import Carrier
 from wheathill.net.machine import Machine
 
@@ -103,7 +104,7 @@
     _, found, _ = run
     assert 0.5 < found["largest_sum_of_shares"] <= 1.0 + fleet.ROUNDING
     assert found["told_otherwise"] == 0 and not [
-        key for key in found["counts"] if key.startswith("fault")
+        key for key in found["counts"] if key.startswith(LogEvent.INTERNAL_ERROR)
     ]
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -18,6 +18,7 @@
 
 from drive import Drive, Peer, Rig, free_port
 from turns import Turns
+from wheathill.log_events import LogEvent
 from wheathill.model import UpdateKind
 from wheathill.net.carried import NEWCOMERS
 
@@ -566,7 +567,11 @@
         assert served.until_heard(connected).startswith("UP")
         assert descriptors(rig) <= most
         rig.process.kill()
-        assert [line for line in rig.process.stdout if b'"fault"' in line] == []
+        assert [
+            line
+            for line in rig.process.stdout
+            if f'"{LogEvent.INTERNAL_ERROR}"'.encode() in line
+        ] == []
 
 
 def test_a_dial_is_kept_a_descriptor_while_newcomers_fill_the_rest():
@@ -608,7 +613,7 @@
             link.say("PONG x0=0.1")
             turns.until(
                 lambda name=name: (
-                    not turns.proxy.links[turns.proxy.servers[name]].last_probe_ms
+                    not turns.proxy.links[turns.proxy.servers[name]].asked
                 )
             )
         assert turns.carrier.free <= 7
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -8,6 +8,7 @@
 from dataclasses import replace
 
 from wheathill.config import Misconfigured
+from wheathill.log_events import LogEvent
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
 from wheathill.net.garbage import keep_collections_short
@@ -19,7 +20,7 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: log(
-            "fault",
+            LogEvent.INTERNAL_ERROR,
             what=repr(context.get("exception") or context["message"]),
             where=str(context.get("handle")),
         )
@@ -40,12 +41,12 @@
         if proxy.peers:
             door.paths["/peers"] = {"GET": (proxy.peers.status.table,)}
         listen(carrier, "admin_addr", door.call, node.admin, door.room)
-        log("operators' door", at=":".join(map(str, node.admin)))
+        log(LogEvent.ADMIN_LISTENING, at=":".join(map(str, node.admin)))
     proxy.door = listen(
         carrier, "listen", proxy.client, node.listen, proxy.room, node.listen_fd
     )
     log(
-        "listening",
+        LogEvent.LISTENING,
         at=":".join(map(str, node.listen)),
         inherited=node.listen_fd is not None,
     )
@@ -103,7 +104,7 @@
     try:
         proxy.reload(allow_sockets(read()))
     except Misconfigured as wrong:
-        log("bad configuration", what=str(wrong))
+        log(LogEvent.CONFIGURATION_ERROR, what=str(wrong))
 
 
 def allow_sockets(node):
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -11,6 +11,7 @@
 from wheathill.handover.protocol import HandoverProtocol
 from wheathill.handover.receiver import HandoverReceiver
 from wheathill.handover.sender import HandoverSender
+from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
 
 BUSY = "another upgrade is under way"
@@ -65,10 +66,10 @@
             refusal: why its state could not be used, or None.
         """
         if refusal:
-            self.log_event("bad handover", what=refusal)
+            self.log_event(LogEvent.HANDOVER_ERROR, what=refusal)
         else:
             self.log_event(
-                "took over",
+                LogEvent.HANDOVER_RECEIVED,
                 servers=len(self._proxy.servers),
                 after=self._elapsed_ms(),
             )
@@ -77,7 +78,7 @@
     def on_receiver_over(self, receiver: HandoverReceiver, reason: str) -> None:
         """Serve from nothing, unless the state is here; or ask again for a while."""
         if receiver.has_state:
-            self.log_event("old process gone", why=reason)
+            self.log_event(LogEvent.PREVIOUS_PROCESS_EXITED, why=reason)
         elif reason == BUSY and self._elapsed_ms() < self._proxy.limits.handover:
             self._clock.after(self._proxy.limits.handover_again, self.begin)
         else:
@@ -88,7 +89,7 @@
         return round(self._clock.now() - (self._began_at_ms or 0.0), 1)
 
     def _start_from_nothing(self, reason: str | None) -> None:
-        self.log_event("no handover", why=reason)
+        self.log_event(LogEvent.HANDOVER_UNAVAILABLE, why=reason)
         self._serve(with_state=False)
 
     def _serve(self, with_state: bool) -> None:
@@ -96,7 +97,7 @@
         self._proxy.start(with_state)
         if self._proxy.stopping is None:
             self._proxy.door.hold(False)
-            self.log_event("accepting")
+            self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
     def _await_successor(self) -> None:
         try:
@@ -107,7 +108,8 @@
             )
         except OSError as error:
             self.log_event(
-                "no handover", why=f"nobody can take over from here: {error.strerror}"
+                LogEvent.HANDOVER_UNAVAILABLE,
+                why=f"nobody can take over from here: {error.strerror}",
             )
 
     # The old process
@@ -135,7 +137,7 @@
         """Leave the place to the new process, which accepts from now on."""
         self._proxy.handed_over = True
         self.log_event(
-            "handed over", whole=with_state, sessions=len(self._proxy.clients)
+            LogEvent.HANDOVER_SENT, whole=with_state, sessions=len(self._proxy.clients)
         )
         if self._server_socket:
             self._server_socket.close()
@@ -148,7 +150,7 @@
         self._sender = None
         self._proxy.handed_over = False
         self._take_budgets_back()
-        self.log_event("handover undone", why=reason)
+        self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
         if self._proxy.stopping is None:
             self._proxy.door.hold(False)
             if self._server_socket is None:
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -28,6 +28,7 @@
 from wheathill.handover.messages import MaintenanceChange
 from wheathill.handover.restore import build_session
 from wheathill.handover.session_codec import decode_session
+from wheathill.log_events import LogEvent
 from wheathill.net.machine import Machine
 from wheathill.net.proxy import Proxy
 
@@ -149,7 +150,7 @@
                 self._adopt_session(fields, pair)
             except ValueError as error:
                 self.wire.carrier.drop(pair)
-                self._coordinator.log_event("bad handover", what=str(error))
+                self._coordinator.log_event(LogEvent.HANDOVER_ERROR, what=str(error))
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
         record = decode_session(fields)
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -6,6 +6,7 @@
 """
 
 from wheathill.lab.judging.judges import Judge
+from wheathill.log_events import LogEvent
 
 GONE = ("dead", "left")
 
@@ -144,7 +145,7 @@
 
     def on_log(self, now, node, event, **fields):
         """However short: one that answers is not buried by who reaches it."""
-        if event == "peer" and fields["state"] == "dead":
+        if event == LogEvent.MEMBER_STATE_CHANGED and fields["state"] == "dead":
             since = self.fine.get((node, fields["peer"]))
             if since is not None and now - since > self.false:
                 self.once(
@@ -611,7 +612,7 @@
 
     def on_log(self, now, node, event, **fields):
         if (
-            event != "peer"
+            event != LogEvent.MEMBER_STATE_CHANGED
             or fields["state"] != "dead"
             or fields["peer"] not in self.deaths
         ):
--- a/wheathill/lab/judging/judges.py
+++ b/wheathill/lab/judging/judges.py
@@ -7,6 +7,8 @@
 import math
 from collections import deque
 
+from wheathill.log_events import LogEvent
+
 
 class Breach:
     def __init__(self, rule, now, what, sess=None, server=None, last=()):
@@ -485,7 +487,7 @@
     rule = "none"
 
     def on_log(self, now, event, **fields):
-        if event == "fault":
+        if event == LogEvent.INTERNAL_ERROR:
             self.breach(
                 now,
                 f"{fields.get('node')}: {fields.get('where')} {fields.get('what')} "
--- a/wheathill/lab/scale/fleet.py
+++ b/wheathill/lab/scale/fleet.py
@@ -15,6 +15,7 @@
 from wheathill.lab.scale.layout import Layout, free_net, region_of, zone_of
 from wheathill.lab.scale.reals import GRACE, Reals
 from wheathill.lab.scale.reals import numbers as real_numbers
+from wheathill.log_events import LogEvent
 
 WITHIN = 6.0  # s for a change to be in force, and for a death to be known
 RACK = 20  # one in so many of a zone
@@ -668,7 +669,9 @@
             yield f"views of {found['running'] - found['views_right']} members are wrong at the end"
         if found["deaths_not_known"]:
             yield f"{found['deaths_not_known']} times a death was not known at the end"
-        faults = [key for key in found["counts"] if key.startswith("fault")]
+        faults = [
+            key for key in found["counts"] if key.startswith(LogEvent.INTERNAL_ERROR)
+        ]
         if faults:
             yield f"faults in the program: {faults}"
         yield from self.session_breaches(found.get("real"))
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -24,6 +24,7 @@
 from wheathill.lab.scale.layout import Layout
 from wheathill.lab.scale.memory import allocated_mb, resident_mb
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
@@ -238,12 +239,12 @@
         if self.crew.log_line:
             self.crew.log_line(event, **fields)
         if (
-            event == "peer"
+            event == LogEvent.MEMBER_STATE_CHANGED
             and fields["state"] in ("dead", "left")
             and fields["peer"] in self.crew.gone
         ):
             self.crew.known.setdefault((self.name, fields["peer"]), self.clock.now())
-        elif event in ("fault", "peers: dropped"):
+        elif event in (LogEvent.INTERNAL_ERROR, LogEvent.FRAME_DROPPED):
             self.crew.counts[f"{event} {fields.get('why') or fields.get('what')}"] += 1
 
     def figures(self):
@@ -447,7 +448,8 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: crew.log(
-            "fault", what=repr(context.get("exception") or context["message"])
+            LogEvent.INTERNAL_ERROR,
+            what=repr(context.get("exception") or context["message"]),
         )
     )
     crew = make(loop)
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -19,6 +19,7 @@
 from wheathill.lab.scale.memory import resident_mb
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.net.log import Log
 
 
@@ -47,7 +48,7 @@
         )
         serving.add_done_callback(
             lambda task: self.log(
-                "fault", what=repr(task.exception() or "it has ended")
+                LogEvent.INTERNAL_ERROR, what=repr(task.exception() or "it has ended")
             )
         )
 
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -31,6 +31,7 @@
 )
 from wheathill.lab.scripts.record import Record
 from wheathill.lab.worlds.tap import Cut
+from wheathill.log_events import LogEvent
 
 FIELDS = ["inflight", "waiting", "cpu", "x0"]
 SAMPLE_MS = 500.0
@@ -461,7 +462,7 @@
         if self.armed and (
             kind in ("open", "dial", "up")
             or kind == "log"
-            and fields["event"] == "peer"
+            and fields["event"] == LogEvent.MEMBER_STATE_CHANGED
         ):
             for event in list(self.armed):
                 met = self.met(event, kind, fields)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -3,6 +3,7 @@
 
 from itertools import islice
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
@@ -187,7 +188,9 @@
             else 0.0
         )
         self.log_event(
-            "late" if behind >= self.limits.sweep or now < self.old_until else "fault",
+            LogEvent.DEADLINE_MISSED
+            if behind >= self.limits.sweep or now < self.old_until
+            else LogEvent.INTERNAL_ERROR,
             where="decisions",
             what="no answer in time",
             behind=round(behind),
@@ -238,7 +241,9 @@
             self.bad_since, self.bad_logged = now, 0
         self.bad_logged += 1
         if self.bad_logged <= self.limits.bad_lines:
-            self.log_event("bad input", what=why, so_far=self.figures.counts["bad"])
+            self.log_event(
+                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.figures.counts["bad"]
+            )
         client.lines.rest = b""
         self.answer(client, b"ERR")
 
@@ -268,7 +273,7 @@
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
-            "session",
+            LogEvent.SESSION_ENDED,
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
@@ -303,7 +308,7 @@
         try:
             load = float(text)
         except ValueError:
-            return self.log_event("bad input", what="LOAD without a number")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
         if client.sess is not None:
             self.balancer.on_notice(self.now(), client.sess, load=load)
 
@@ -336,7 +341,7 @@
         if client.sess is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
-            self.log_event("lost standing", server=name)
+            self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
             self.answer(client, b"ERR")
         elif name in self.servers:
             sess.server = self.servers[name]
@@ -452,7 +457,7 @@
         if not dial.up:
             self.figures.count("dial: " + outcome.value)
             self.log_event(
-                "dial failed",
+                LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
                 outcome=outcome.value,
                 after=round(now - dial.started, 1),
@@ -473,7 +478,9 @@
             self.balancer.on_outcome(now, sess, outcome, False)
 
     def odd_answer(self, dial, line):
-        self.log_event("bad input", server=dial.server.name, what=repr(line[:80]))
+        self.log_event(
+            LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
+        )
 
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
@@ -527,7 +534,7 @@
         self.balancer.on_alarm(self.now(), name)
 
     def log(self, text):
-        self.log_event("decision", what=text)
+        self.log_event(LogEvent.POLICY_DECISION, what=text)
 
     # Probes
 
--- a/wheathill/net/driver.py
+++ b/wheathill/net/driver.py
@@ -11,6 +11,7 @@
 import termios
 from collections import deque
 
+from wheathill.log_events import LogEvent
 from wheathill.net.machine import NoMachine
 
 
@@ -138,7 +139,9 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as wrong:
-                self.carrier.log("fault", where="accept", what=repr(wrong))
+                self.carrier.log(
+                    LogEvent.INTERNAL_ERROR, where="accept", what=repr(wrong)
+                )
                 return self.pause()
             wire = Wire(self.carrier, self.make_machine)
             wire.count(True)
@@ -606,7 +609,7 @@
 
 def tell_fault(log, call, wrong):
     log(
-        "fault",
+        LogEvent.INTERNAL_ERROR,
         where=getattr(call, "__qualname__", str(call)),
         what=repr(wrong),
         line=fault_line(wrong),
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -9,6 +9,7 @@
 from collections import OrderedDict
 from dataclasses import replace
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase, UpdateKind
 from wheathill.net.carried import Carried
 from wheathill.net.figures import Figures
@@ -85,7 +86,7 @@
         self.first_list_over()
         if not self.ready and self.stopping is None:
             self.ready = True
-            self.log_event("ready", servers=len(self.servers))
+            self.log_event(LogEvent.READY, servers=len(self.servers))
 
     def stop(self, stopped):
         """Newcomers still come for a while and are served; `stopped` is called when all is done."""
@@ -101,7 +102,7 @@
                 else self.limits.stop_hold
             )
             self.stop_last = self.stopping + most
-            self.log_event("stopping", sessions=len(self.clients))
+            self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
             if self.node.listen_fd is not None and self.door:
                 # Others listen on the same socket: whoever waits there is theirs.
                 self.door.close()
@@ -124,7 +125,7 @@
             self.answer_all()
         if last or not self.expected():
             self.log_event(
-                "stopped",
+                LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
                 since_start=self.figures.since_start(),
             )
@@ -164,7 +165,7 @@
     def log_figures(self):
         self.clock.after(self.limits.figures, self.log_figures)
         self.log_event(
-            "figures",
+            LogEvent.METRICS,
             **self.beliefs(),
             worst_delay=round(self.worst_delay, 1),
             since_start=self.figures.since_start(),
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,6 +4,7 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
@@ -29,7 +30,9 @@
         old = self.node
         self.take(node)
         changed = needs_restart(self.started_with, node.told)
-        self.log_event("reloaded", needs_restart=changed, **self.beliefs())
+        self.log_event(
+            LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
+        )
         if node.discovery is None:
             self.leave_watch()
             self.listed(node.known, UpdateKind.SNAPSHOT)
@@ -59,8 +62,14 @@
                 if told is None:
                     raise
                 # The other process has kept it, and said yes: it counts here all the same.
-                self.log_event("bad bans", path=path, what=str(wrong))
-        self.log_event("out by hand" if out else "put back", server=name, out=len(held))
+                self.log_event(
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong)
+                )
+        self.log_event(
+            LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
+            server=name,
+            out=len(held),
+        )
         self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
             self.upgrade.forward_maintenance(name, out, told)
@@ -75,10 +84,12 @@
                 self.names[name] = None
                 self.balancer.roster.out.setdefault(name, self.clock.from_wall(since))
                 self.log_event(
-                    "out by hand", server=name, out=len(self.balancer.roster.out)
+                    LogEvent.MAINTENANCE_ENTERED,
+                    server=name,
+                    out=len(self.balancer.roster.out),
                 )
         except (OSError, ValueError) as wrong:
-            self.log_event("bad bans", path=path, what=str(wrong))
+            self.log_event(LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong))
 
     # The list of servers
 
@@ -133,7 +144,7 @@
         if watch is not self.watch:
             return
         if why != self.watch_why:
-            self.log_event("watch over", why=why)
+            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
         self.leave_watch()
         if self.limits.list_spread:
@@ -167,7 +178,7 @@
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
-            return self.log_event("bad input", what="a list without hosts")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="a list without hosts")
         kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
         version = found.get("seq") if isinstance(found.get("seq"), int) else None
         entries, moved, unread = [], [], 0
@@ -175,7 +186,9 @@
             try:
                 entries.append(self.entry(host, version, moved))
             except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-                self.log_event("bad input", what=f"an entry of the list: {wrong!r}")
+                self.log_event(
+                    LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
+                )
                 unread += 1
                 entries += self.what_is_left(host)
         if unread and not entries:
@@ -198,7 +211,7 @@
         self.forget_gone()
         if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
-                self.log_event("watch back")
+                self.log_event(LogEvent.ENDPOINT_WATCH_RESTORED)
             self.watch_why = None
             self.first_list_over()
             self.get_ready()
@@ -259,7 +272,9 @@
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
             started or 0.0
         ):
-            self.log_event("told by a peer", server=server.name, phase=phase.value)
+            self.log_event(
+                LogEvent.ENDPOINT_PHASE_FROM_PEER, server=server.name, phase=phase.value
+            )
             self.balancer.on_list(
                 self.now(),
                 UpdateKind.MAINTENANCE,
@@ -298,7 +313,9 @@
         ):
             # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
             # come back by an older one, unless it has started since.
-            self.log_event("older list", server=name, version=version, newer=left)
+            self.log_event(
+                LogEvent.STALE_ENDPOINT_LIST, server=name, version=version, newer=left
+            )
             phase, started = (
                 server.listed_phase if name in self.servers else Phase.GONE,
                 since,
--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Server
 from wheathill.peers.environment import ServedProxy
 from wheathill.peers.messages import HealthEvidence
@@ -96,7 +97,7 @@
         if verdict != self.verdict:
             self.verdict = verdict
             self._log_event(
-                "peers say",
+                LogEvent.PEER_HEALTH_VERDICT,
                 fail_for_all=list(verdict.failing_for_all),
                 fail_here_alone=list(verdict.failing_here_alone),
             )
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from wheathill.config.peers import PeerSettings
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.peers.cluster_view import ClusterView, ViewState
 from wheathill.peers.derived_config import cluster_view_config, membership_config
@@ -155,7 +156,7 @@
     def start(self) -> None:
         """Join the cluster, and limit the balancer by what follows from it."""
         self.log_event(
-            "peers",
+            LogEvent.MEMBERSHIP,
             at=self.settings.advertise_address,
             cluster=self.settings.cluster,
             seeds=len(self.settings.seeds),
@@ -359,7 +360,7 @@
             self.health.forget_source(member.name)
         is_suspect, is_dead = state == MemberState.SUSPECT, state == MemberState.DEAD
         self.log_event(
-            "peer",
+            LogEvent.MEMBER_STATE_CHANGED,
             peer=member.name,
             state=state.value,
             was=None if previous_state is None else previous_state.value,
@@ -373,7 +374,7 @@
 
     def log(self, text: str) -> None:
         """Write a line of membership to the log."""
-        self.log_event("peers", what=text)
+        self.log_event(LogEvent.MEMBERSHIP, what=text)
 
     def update_view(self, now_ms: float) -> None:
         """Work out the state of the view anew, and with it the quota."""
@@ -383,7 +384,7 @@
         state = view.update_state(now_ms, self.membership.unanswered_probes)
         if state != state_before:
             self.log_event(
-                "peers are",
+                LogEvent.CLUSTER_VIEW_CHANGED,
                 state=state.value,
                 was=state_before.value,
                 after=round(now_ms - since_ms),
--- a/wheathill/peers/transport_metrics.py
+++ b/wheathill/peers/transport_metrics.py
@@ -4,6 +4,7 @@
 from enum import StrEnum
 from typing import Any
 
+from wheathill.log_events import LogEvent
 from wheathill.peers.environment import Clock
 from wheathill.peers.frames import RejectReason
 
@@ -48,7 +49,7 @@
         if now_ms - logged_at_ms >= LOG_INTERVAL_MS:
             self._logged_at_ms[text] = now_ms
             self._log_event(
-                "peers: dropped",
+                LogEvent.FRAME_DROPPED,
                 why=text,
                 came_from=source,
                 so_far=self.dropped[text],
--- a/wheathill/peers/zoned.py
+++ b/wheathill/peers/zoned.py
@@ -6,6 +6,7 @@
 
 from functools import partial
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.fleet_limits import FleetLimits
@@ -393,7 +394,7 @@
         if states != self.states:
             self.states = states
             self.log_event(
-                "zones are",
+                LogEvent.ZONE_VIEW_CHANGED,
                 region=states[0].value,
                 fleet=states[1].value,
                 out_of_reach=self.zones.unreached(),
