--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -147,7 +147,8 @@
         return self.until(
             lambda: (
                 sorted(
-                    server.name for server in self.turns.proxy.balancer.roster.servers
+                    server.name
+                    for server in self.turns.proxy.balancer.endpoint_list.servers
                 )
                 == sorted(names)
             ),
@@ -612,9 +613,7 @@
             turns.hears(link)
             link.say("PONG x0=0.1")
             turns.until(
-                lambda name=name: (
-                    not turns.proxy.links[turns.proxy.servers[name]].asked
-                )
+                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
             )
         assert turns.carrier.free <= 7
         for number in range(10):
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -258,7 +258,7 @@
             client.dial.wire.abort()
         if sess in self.clients:
             self.over(sess, "hung up")
-            self.balancer.on_hang_up(self.now(), sess)
+            self.balancer.on_client_left(self.now(), sess)
         client.sess = None
 
     def over(self, sess, how):
@@ -291,7 +291,7 @@
         return client
 
     def heard(self, server):
-        self.balancer.on_heard(self.now(), server)
+        self.balancer.on_server_activity(self.now(), server)
 
     def asks(self, client):
         """A line of it went to its server."""
@@ -302,7 +302,7 @@
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
             self.figures.count("late messages")
-            self.balancer.on_notice(self.now(), client.sess, message_ms=spent)
+            self.balancer.on_message_latency(self.now(), client.sess, spent)
 
     def load_told(self, client, text):
         try:
@@ -310,7 +310,7 @@
         except ValueError:
             return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
         if client.sess is not None:
-            self.balancer.on_notice(self.now(), client.sess, load=load)
+            self.balancer.on_load_declared(self.now(), client.sess, load)
 
     def sweep(self):
         self.clock.after(self.limits.sweep, self.sweep)
@@ -327,7 +327,9 @@
                 and not client.wire.full
                 and now - client.asked >= self.limits.unanswered
             ):
-                self.balancer.on_unanswered(now, client.sess, now - client.asked)
+                self.balancer.on_message_unanswered(
+                    now, client.sess, now - client.asked
+                )
                 if client.moving and now - client.asked >= self.limits.half_line:
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.dial.close()
@@ -368,7 +370,7 @@
         client.wire.abort()
         client.dial.wire.abort()
         self.over(sess, "handed over")
-        self.balancer.on_hang_up(self.now(), sess)
+        self.balancer.on_client_left(self.now(), sess)
         return handles
 
     def carry(self, line, sess, handles, came, asked, server, rest):
@@ -392,7 +394,7 @@
         self.clients[sess] = client
         self.ids[head.id] = sess
         self.figures.know([sess.listener.name])
-        self.balancer.on_carried(self.now(), sess, dial.server)
+        self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
             self.carrier.adopt(handle, machine)
 
@@ -424,7 +426,7 @@
         if sess not in self.clients:
             return True
         # The window of an earlier dial may have ended meanwhile as well.
-        may = self.balancer.roster.may_dial(
+        may = self.balancer.endpoint_list.may_attempt(
             now, dial.server, sess.mid_flow
         ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
@@ -445,10 +447,10 @@
         self.heard(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
-            self.balancer.on_accepted(now, sess)
+            self.balancer.on_session_accepted(now, sess)
         else:
             self.clients[sess] = client
-            self.balancer.on_open_session(now, sess, dial.server)
+            self.balancer.on_session_taken_over(now, sess, dial.server)
 
     def dial_over(self, dial, outcome):
         client, now = dial.client, self.now()
@@ -485,7 +487,7 @@
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
         if figures:
-            self.balancer.on_report(self.now(), server, figures)
+            self.balancer.on_load_report(self.now(), server, figures)
 
     # What the decisions call for
 
@@ -531,7 +533,7 @@
         self.clock.at(at, self.ring, name)
 
     def ring(self, name):
-        self.balancer.on_alarm(self.now(), name)
+        self.balancer.on_timer(self.now(), name)
 
     def log(self, text):
         self.log_event(LogEvent.POLICY_DECISION, what=text)
@@ -552,7 +554,9 @@
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
-        self.balancer.on_probed(self.now(), server, AttemptOutcome.AT_CAPACITY, None)
+        self.balancer.on_probe_result(
+            self.now(), server, AttemptOutcome.AT_CAPACITY, None
+        )
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
@@ -566,7 +570,9 @@
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
-            self.balancer.on_probed(self.now(), server, AttemptOutcome.RESET, None)
+            self.balancer.on_probe_result(
+                self.now(), server, AttemptOutcome.RESET, None
+            )
 
     def close_link(self):
         for link in list(self.links.values()):
@@ -581,4 +587,4 @@
         figures = report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
-        self.balancer.on_probed(self.now(), link.server, outcome, figures)
+        self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
