--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -5,6 +5,7 @@
 
 import pytest
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase, Server
 from wheathill.peers.cluster_view import ClusterView, ClusterViewConfig, ViewState
 from wheathill.peers.drain_registry import DrainRecord
@@ -228,7 +229,7 @@
     exchange.apply_verdict(1001.0, {}, is_partitioned=False)
     assert proxy.verdicts == [(["g"], []), (["g"], [])]
     assert lines == [
-        ("peers say", {"fail_for_all": ["g"], "fail_here_alone": []}),
+        (LogEvent.PEER_HEALTH_VERDICT, {"fail_for_all": ["g"], "fail_here_alone": []}),
     ]
     exchange.apply_verdict(1002.0, {}, is_partitioned=True)
     assert len(proxy.verdicts) == 2 and not exchange.verdict
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -185,7 +185,7 @@
         self.endpoint_list.start(now)
         self.slow_start.process_started_ms = now
         # Proxies that start together would otherwise probe every server in the same instant.
-        self.effects.alarm("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+        self.effects.set_timer("tick", now + self.uniform(0.1, 1.0) * self.TICK)
 
     def on_endpoint_update(self, now, kind, entries):
         joined, left = self.endpoint_list.update(now, kind, entries)
@@ -330,7 +330,7 @@
         nothing at all came from there meanwhile, the others need not find out one by one."""
         server = sess.server
         if waited >= self.SILENCE:
-            self.effects.move(sess)
+            self.effects.migrate(sess)
         elif (
             now - server.last_received_ms >= self.QUIET
             and server.unanswered_session not in (None, sess)
@@ -358,13 +358,13 @@
         """Clients are told to move before their server leaves, or this proxy. A part at a time: all of them
         are set up anew, and at once they would swamp what set-ups depend on."""
         for sess in sessions[: math.ceil(len(sessions) / parts)]:
-            self.effects.move(sess)
+            self.effects.migrate(sess)
 
     def on_timer(self, now, name):
         if name == "follow":
             self.endpoint_list.poll(now)
         elif name == "tick":
-            self.effects.alarm("tick", now + self.TICK)
+            self.effects.set_timer("tick", now + self.TICK)
             self.tick(now)
         elif name.startswith("wait "):
             self.server_selector.out_of_patience(now, int(name[5:]))
@@ -417,7 +417,7 @@
         )
         self.due_probes = deque(due)
         for place in range(len(due)):
-            self.effects.alarm("probe", now + self.TICK * (place + 0.5) / len(due))
+            self.effects.set_timer("probe", now + self.TICK * (place + 0.5) / len(due))
 
     def relieve(self, now):
         """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
@@ -458,7 +458,7 @@
                     -self.slot_table.claim_scores[sess.slot],
                 ),
             )[:count]:
-                self.effects.move(sess)
+                self.effects.migrate(sess)
             if count:
                 server.next_migration_ms = now + 2 * self.TICK
                 self.effects.log(
