--- a/tests/drive.py
+++ b/tests/drive.py
@@ -21,6 +21,7 @@
 from collections import Counter
 from dataclasses import replace
 
+from wheathill.log_events import LogEvent
 from wheathill.model import (
     AttemptOutcome,
     EndpointEntry,
@@ -76,19 +77,19 @@
         if self.loud:
             self.lines.append(f"{self.now:8.0f} {text}")
 
-    def dial(self, sess, server, time_out):
-        self.say(f"{self.names[sess]} dials {server.name} for {time_out:.0f}")
+    def start_attempt(self, session, server, timeout_ms):
+        self.say(f"{self.names[session]} dials {server.name} for {timeout_ms:.0f}")
 
-    def refuse(self, sess, come_back_after):
-        self.say(f"{self.names[sess]} refused, back after {come_back_after:.0f}")
+    def reject(self, session, retry_after_ms):
+        self.say(f"{self.names[session]} refused, back after {retry_after_ms:.0f}")
 
-    def tear_down(self, sess):
-        self.say(f"{self.names[sess]} torn down")
+    def fail(self, session):
+        self.say(f"{self.names[session]} torn down")
 
-    def move(self, sess):
-        self.say(f"{self.names[sess]} moved off {sess.server.name}")
+    def migrate(self, session):
+        self.say(f"{self.names[session]} moved off {session.server.name}")
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probes += 1
         if not self.answers:
             return
@@ -104,11 +105,11 @@
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
         self.balancer.on_probe_result(self.now, server, answer, [load])
 
-    def follow_list(self, on):
-        self.say(f"follows the list: {on}")
+    def poll_endpoint_list(self, enabled):
+        self.say(f"follows the list: {enabled}")
 
-    def alarm(self, name, at):
-        self.alarms.append((at, len(self.alarms), name))
+    def set_timer(self, name, at_ms):
+        self.alarms.append((at_ms, len(self.alarms), name))
 
     def log(self, text):
         self.say(f"log: {text}")
@@ -321,7 +322,7 @@
     def begin_beside(self):
         self.old.append(self.process)
         self.begin()
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
 
     def call(self, text, admin=None):
         """One call at the operators' door, as a line; the object that answers it."""
@@ -333,7 +334,7 @@
         return json.loads(body)
 
     def __enter__(self):
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
         return self
 
     def __exit__(self, *_):
@@ -431,7 +432,7 @@
         client.hear()
         return client, server
 
-    def reload(self, then="reloaded", **changed):
+    def reload(self, then=LogEvent.CONFIGURATION_RELOADED, **changed):
         self.path.write_text(json.dumps({**self.config, **changed}))
         self.process.send_signal(signal.SIGHUP)
         found = self.until_logged(then)
@@ -448,7 +449,7 @@
 
     def stop(self):
         self.process.send_signal(signal.SIGTERM)
-        self.until_logged("stopping")
+        self.until_logged(LogEvent.SHUTDOWN_STARTED)
 
     def end(self):
         self.lines.append(f"proxy exits with {self.process.wait(8)}")
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -11,6 +11,7 @@
 
 from drive import Rig, kept, listener
 from turns import Turns, blocked, read_slowly
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -348,13 +349,13 @@
         turns.watched("a")
         server = turns.proxy.servers["a"]
         for ends in ("finish", "reset"):
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             link = turns.taken()
             turns.hears(link)
             link.say("PONG x0=0.2")
             turns.until(lambda: not turns.proxy.links[server].asked)
             server.probe_sent_ms = turns.proxy.now()
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             getattr(link, ends)()
             again = turns.taken()
             turns.hears(again)
@@ -365,7 +366,7 @@
             turns.proxy.links[server].end(None)
             again.finish()
         # One that never answered is another thing.
-        turns.proxy.probe(server)
+        turns.proxy.send_probe(server)
         turns.taken().finish()
         turns.until(lambda: server.unanswered_probes)
         turns.lines.append(f"closed without an answer: {server.unanswered_probes}")
@@ -438,7 +439,9 @@
         assert not turns.proxy.clients and not any(
             server.sessions for server in turns.proxy.servers.values()
         )
-        assert not [event for event, _ in turns.logged if event == "fault"]
+        assert not [
+            event for event, _ in turns.logged if event == LogEvent.INTERNAL_ERROR
+        ]
 
 
 def server_gone_while_it_is_probed():
@@ -457,7 +460,7 @@
         other = turns.taken("b" if name == "a" else "a")
         turns.lines.append(f"asked elsewhere: {turns.hears(other)}")
         turns.lines.append(
-            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == 'fault']}"
+            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
         )
         del client
         return turns.lines[-2:]
@@ -467,7 +470,7 @@
     """The client reads on, slowly, for longer than an end is waited for: it gets all, and MOVE."""
     with Turns(limits={"linger": 150.0}) as turns:
         client = blocked(turns)
-        turns.proxy.move(next(iter(turns.proxy.clients)))
+        turns.proxy.migrate(next(iter(turns.proxy.clients)))
         got, spent = read_slowly(turns, client, 20, 131_072)
         turns.lines.append(
             f"last come {got[-9:]}, longer than it lingers: {spent > 300}"
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -55,9 +55,9 @@
     def give_up(self, sess):
         sess.has_ended = True
         if may_reject(sess):
-            self.balancer.effects.refuse(sess, sess.listener.handshake_target_ms)
+            self.balancer.effects.reject(sess, sess.listener.handshake_target_ms)
         else:
-            self.balancer.effects.tear_down(sess)
+            self.balancer.effects.fail(sess)
 
 
 class Baseline(Balancer):
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -3,6 +3,7 @@
 
 from itertools import islice
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
@@ -187,7 +188,9 @@
             else 0.0
         )
         self.log_event(
-            "late" if behind >= self.limits.sweep or now < self.old_until else "fault",
+            LogEvent.DEADLINE_MISSED
+            if behind >= self.limits.sweep or now < self.old_until
+            else LogEvent.INTERNAL_ERROR,
             where="decisions",
             what="no answer in time",
             behind=round(behind),
@@ -238,7 +241,9 @@
             self.bad_since, self.bad_logged = now, 0
         self.bad_logged += 1
         if self.bad_logged <= self.limits.bad_lines:
-            self.log_event("bad input", what=why, so_far=self.figures.counts["bad"])
+            self.log_event(
+                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.figures.counts["bad"]
+            )
         client.lines.rest = b""
         self.answer(client, b"ERR")
 
@@ -268,7 +273,7 @@
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
-            "session",
+            LogEvent.SESSION_ENDED,
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
@@ -303,7 +308,7 @@
         try:
             load = float(text)
         except ValueError:
-            return self.log_event("bad input", what="LOAD without a number")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
         if client.sess is not None:
             self.balancer.on_load_declared(self.now(), client.sess, load)
 
@@ -338,7 +343,7 @@
         if client.sess is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
-            self.log_event("lost standing", server=name)
+            self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
             self.answer(client, b"ERR")
         elif name in self.servers:
             sess.server = self.servers[name]
@@ -454,7 +459,7 @@
         if not dial.up:
             self.figures.count("dial: " + outcome.value)
             self.log_event(
-                "dial failed",
+                LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
                 outcome=outcome.value,
                 after=round(now - dial.started, 1),
@@ -475,7 +480,9 @@
             self.balancer.on_outcome(now, sess, outcome, False)
 
     def odd_answer(self, dial, line):
-        self.log_event("bad input", server=dial.server.name, what=repr(line[:80]))
+        self.log_event(
+            LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
+        )
 
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
@@ -484,14 +491,14 @@
 
     # What the decisions call for
 
-    def dial(self, sess, server, time_out):
-        client = self.clients[sess]
-        if len(sess.attempts) > 1:
+    def start_attempt(self, session, server, timeout_ms):
+        client = self.clients[session]
+        if len(session.attempts) > 1:
             self.figures.count("further dials")
         if not self.spare(DIALS):
-            self.clock.soon(self.no_socket, sess, sess.attempts[-1])
+            self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
-            self.connect(client, server, time_out)
+            self.connect(client, server, timeout_ms)
 
     def no_socket(self, sess, dial):
         """Of that very dial: another one may be out by now."""
@@ -500,14 +507,14 @@
                 self.now(), sess, AttemptOutcome.CONNECT_FAILED, False
             )
 
-    def refuse(self, sess, come_back_after):
-        self.answer(self.over(sess, "refused"), busy(come_back_after))
+    def reject(self, session, retry_after_ms):
+        self.answer(self.over(session, "refused"), busy(retry_after_ms))
 
-    def tear_down(self, sess):
-        self.answer(self.over(sess, "torn down"), b"ERR")
+    def fail(self, session):
+        self.answer(self.over(session, "torn down"), b"ERR")
 
-    def move(self, sess):
-        client = self.clients.get(sess)
+    def migrate(self, session):
+        client = self.clients.get(session)
         if client is not None and client.up and not client.moving:
             self.move_client(client)
 
@@ -522,18 +529,18 @@
     def moved(self, sess):
         self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
-    def alarm(self, name, at):
-        self.clock.at(at, self.ring, name)
+    def set_timer(self, name, at_ms):
+        self.clock.at(at_ms, self.ring, name)
 
     def ring(self, name):
         self.balancer.on_timer(self.now(), name)
 
     def log(self, text):
-        self.log_event("decision", what=text)
+        self.log_event(LogEvent.POLICY_DECISION, what=text)
 
     # Probes
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.figures.count("probes")
         link = self.links.pop(server, None)
         if link is None:
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -167,7 +167,7 @@
         # Proxies that start together would otherwise probe every server in the same
         # instant.
         delay_ms = self.uniform(0.1, 1.0) * TICK_INTERVAL_MS
-        self.effects.alarm(TICK_TIMER, now_ms + delay_ms)
+        self.effects.set_timer(TICK_TIMER, now_ms + delay_ms)
 
     def on_stop(self, now_ms: float, is_last: bool) -> None:
         """Send clients away, as this proxy stops.
@@ -184,7 +184,7 @@
         if name == POLL_TIMER:
             self.endpoint_list.poll(now_ms)
         elif name == TICK_TIMER:
-            self.effects.alarm(TICK_TIMER, now_ms + TICK_INTERVAL_MS)
+            self.effects.set_timer(TICK_TIMER, now_ms + TICK_INTERVAL_MS)
             self.tick(now_ms)
         elif name.startswith(WAIT_TIMER_PREFIX):
             number = int(name[len(WAIT_TIMER_PREFIX) :])
@@ -236,7 +236,7 @@
         self.due_probes = deque(due)
         for index in range(len(due)):
             delay_ms = TICK_INTERVAL_MS * (index + 0.5) / len(due)
-            self.effects.alarm(PROBE_TIMER, now_ms + delay_ms)
+            self.effects.set_timer(PROBE_TIMER, now_ms + delay_ms)
 
     # The list of servers and the fleet
 
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -91,13 +91,13 @@
         """
         if self._is_polled:
             delay_ms = self._uniform(0.0, self.poll_spread_ms)
-            self._effects.alarm(POLL_TIMER, now_ms + delay_ms)
+            self._effects.set_timer(POLL_TIMER, now_ms + delay_ms)
 
     def poll(self, now_ms: float) -> None:
         """Poll the list, unless it is watched already or a poll is under way."""
         if self._is_polled and not self._is_watching and self._polled_at_ms is None:
             self._polled_at_ms = now_ms
-            self._effects.follow_list(True)
+            self._effects.poll_endpoint_list(True)
 
     def set_quota(self, quota: float) -> None:
         """Spread the polls by this proxy's part of what all proxies may do together."""
@@ -115,7 +115,7 @@
         first_ms = max(MIN_BACKOFF_MS, self.poll_spread_ms / 2)
         wait_ms = min(LIST_POLL_MAX_MS, first_ms * 2.0**doublings)
         delay_ms = wait_ms * self._uniform(0.5, 1.0)
-        self._effects.alarm(POLL_TIMER, now_ms + delay_ms)
+        self._effects.set_timer(POLL_TIMER, now_ms + delay_ms)
 
     def _end_poll(self, *, is_watching: bool, failed_polls: int) -> None:
         self._is_watching = is_watching
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -68,7 +68,7 @@
         of them are set up anew, and at once they would overload what set-ups depend on.
         """
         for session in sessions[: math.ceil(len(sessions) / parts)]:
-            self._effects.move(session)
+            self._effects.migrate(session)
 
     def migrate_all(self, *, is_last: bool) -> None:
         """Migrate a part of all sessions, as this proxy stops; all the last time."""
@@ -94,7 +94,7 @@
         assert server is not None, "a session that waits for an answer has a server"
         is_second = server.unanswered_session not in (None, session)
         if waited_ms >= UNANSWERED_MS:
-            self._effects.move(session)
+            self._effects.migrate(session)
         elif is_second and now_ms - server.last_received_ms >= UNRESPONSIVE_MS:
             server.unanswered_probes = UNRESPONSIVE_PROBES if self._may_probe else 0
             self._effects.log(
@@ -142,7 +142,7 @@
         # session each, all sessions would go.
         count = int(len(server.sessions) * share + self._uniform(0.0, 1.0))
         for session in self._in_order_of_migration(server)[:count]:
-            self._effects.move(session)
+            self._effects.migrate(session)
         if count:
             server.next_migration_ms = now_ms + MIGRATION_PAUSE_MS
             self._effects.log(
--- a/wheathill/policy/slot_table.py
+++ b/wheathill/policy/slot_table.py
@@ -277,9 +277,7 @@
         pause_ms: float,
         is_usable: Callable[[Server], bool],
     ) -> SlotShift | None:
-        """Shift half of the free slots of one server on the top level.
-
-        They go to servers on lower levels, and more of them to the lowest.
+        """Shift half of one top-level server's free slots to lower levels.
 
         Args:
             now_ms: the time.
