--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -80,6 +80,7 @@
     (
         "wheathill.net",
         "wheathill.drill",
+        "wheathill.simulator",
         "wheathill.peers",
         "wheathill.store",
         "wheathill.handover",
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,7 +8,6 @@
 import pytest
 
 from drive import USUAL, Drive, kept
-from wheathill.drill.__main__ import main
 from wheathill.model import (
     AttemptOutcome,
     Idempotency,
@@ -19,6 +18,7 @@
 )
 from wheathill.policy.settings import LoadEstimatorSettings, RetryBudgetSettings
 from wheathill.policy.slot_table import KeyRoute
+from wheathill.simulator.adapter import main
 
 FLEET = ("a", "b", "c", "d")
 
--- a/wheathill/drill/__init__.py
+++ b/wheathill/drill/__init__.py
@@ -0,0 +1,1 @@
+"""An entry for the simulator, see `wheathill.simulator`."""
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -1,6 +1,6 @@
 """Records made of a running proxy: the one place where its state is read."""
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 
 from wheathill.handover.records import (
     AttemptRecord,
@@ -69,13 +69,20 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred=[indexes.get(server) for server in table.preferred_servers],
-        current=[indexes.get(server) for server in table.current],
-        new=[indexes.get(server) for server in table.new],
+        preferred=_indexes_of(table.preferred_servers, indexes),
+        current=_indexes_of(table.current, indexes),
+        new=_indexes_of(table.new, indexes),
         transition_started_ms=dict(table.transition_started_ms),
     )
 
 
+def _indexes_of(
+    servers: Iterable[Server | None], indexes: ServerIndexes
+) -> list[int | None]:
+    """Return the servers' indexes, None for those that are no longer known."""
+    return [None if server is None else indexes.get(server) for server in servers]
+
+
 def _collect_key_routes(
     routes: Mapping[str, KeyRoute], indexes: ServerIndexes
 ) -> list[KeyRouteRecord]:
--- /dev/null
+++ b/wheathill/simulator/__init__.py
@@ -0,0 +1,1 @@
+"""The simulator's adapter: plays proxies in the simulator's world, without sockets."""
--- /dev/null
+++ b/wheathill/simulator/simulated_proxy.py
@@ -0,0 +1,282 @@
+"""One simulated proxy: a `Balancer`, and the wire's identifiers of what it decides on.
+
+Identifiers become objects where an event enters, and objects become identifiers where
+an order leaves; nothing is decided here.
+"""
+
+import random
+from collections.abc import Mapping
+from typing import Any
+
+from wheathill.config import Reader, read_listeners, read_policy
+from wheathill.model import (
+    AttemptOutcome,
+    EndpointEntry,
+    Idempotency,
+    Listener,
+    Phase,
+    Server,
+    Session,
+)
+from wheathill.policy.balancer import Balancer
+from wheathill.simulator.wire import (
+    CLIENT_RETRY,
+    ENTRY_VALUES,
+    LATENCY_NOTICE,
+    LOAD_DECLARED,
+    LOAD_NOTICE,
+    MID_FLOW,
+    MS_PER_S,
+    OUTCOMES,
+    PHASES,
+    RETURNING,
+    UPDATE_KINDS,
+    MalformedBatchError,
+)
+
+Report = list[float | None]
+
+
+class SimulatedProxy:
+    """An instance: takes its events, and carries out what its balancer decides.
+
+    Attributes:
+        orders: where orders go, set for each batch.
+    """
+
+    def __init__(
+        self,
+        name: str,
+        orders: list[list[Any]],
+        seed: Any,  # noqa: ANN401 - whatever JSON value the simulator draws
+        settings: Mapping[str, Any],
+    ) -> None:
+        """Read the settings; nothing is decided before `start`.
+
+        Raises:
+            Misconfigured: the settings are wrong.
+        """
+        self.orders = orders
+        self._name = name
+        self._servers: dict[str, Server] = {}
+        self._sessions: dict[str, Session] = {}
+        self._handles: dict[Session, str] = {}
+        reader = Reader(settings)
+        self._listeners = read_listeners(reader)
+        self._balancer = Balancer(self, random.Random(seed), read_policy(reader))
+
+    def start(self, now_ms: float) -> None:
+        """Begin to decide."""
+        self._balancer.on_start(now_ms)
+
+    # Events
+
+    def on_endpoint_update(
+        self, now_ms: float, scope: int, _version: int, entries: list[Any] | None
+    ) -> None:
+        """Take an update of the endpoint list.
+
+        Raises:
+            MalformedBatchError: the scope is unknown, or an entry has other values.
+        """
+        entries = entries or []
+        if scope not in UPDATE_KINDS or any(
+            not isinstance(entry, list) or len(entry) != ENTRY_VALUES
+            for entry in entries
+        ):
+            raise MalformedBatchError(
+                "rosterChange takes a known scope and entries of 7 values"
+            )
+        decoded = [self._decode_entry(*entry) for entry in entries]
+        self._balancer.on_endpoint_update(now_ms, UPDATE_KINDS[scope], decoded)
+
+    def on_session(self, now_ms: float, *fields: Any) -> None:  # noqa: ANN401 - see `_add_session`
+        """Take a session that is to be placed."""
+        self._balancer.on_session(now_ms, self._add_session(now_ms, *fields))
+
+    def on_session_taken_over(
+        self,
+        now_ms: float,
+        *fields: Any,  # noqa: ANN401 - see `_add_session`
+    ) -> None:
+        """Take an open session that another instance has set up."""
+        *session_fields, server_name = fields
+        server = self._servers.get(server_name)
+        if not server:
+            server = self._servers.setdefault(server_name, Server(server_name))
+        session = self._add_session(now_ms, *session_fields)
+        self._balancer.on_session_taken_over(now_ms, session, server)
+
+    def on_accepted(
+        self, now_ms: float, handle: str, _server: str, _attempt: int, _spent_s: float
+    ) -> None:
+        """Note that a server has accepted a session."""
+        if handle in self._sessions:
+            self._balancer.on_session_accepted(now_ms, self._sessions[handle])
+
+    def on_outcome(
+        self,
+        now_ms: float,
+        handle: str,
+        _attempt: int,
+        server_name: str,
+        outcome: str,
+        _spent_s: float,
+        is_closed: bool,
+        report: Report | None,
+    ) -> None:
+        """Take the end of an attempt or of an open session."""
+        if report and server_name in self._servers:
+            self._balancer.on_load_report(now_ms, self._servers[server_name], report)
+        session = self._sessions.get(handle)
+        if session is None:
+            return
+        if is_closed:
+            self._forget(session)
+        known = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
+        self._balancer.on_outcome(now_ms, session, known, bool(is_closed))
+
+    def on_client_left(self, now_ms: float, handle: str) -> None:
+        """Forget a session whose client has left."""
+        session = self._sessions.get(handle)
+        if session is not None:
+            self._forget(session)
+            self._balancer.on_client_left(now_ms, session)
+
+    def on_notice(
+        self,
+        now_ms: float,
+        handle: str,
+        _attempt: int,
+        _server: str,
+        topic: int,
+        value: float,
+    ) -> None:
+        """Take a declared load or the latency in ms of a message."""
+        session = self._sessions.get(handle)
+        if session is None:
+            return
+        if topic == LOAD_NOTICE:
+            self._balancer.on_load_declared(now_ms, session, value)
+        elif topic == LATENCY_NOTICE:
+            self._balancer.on_message_latency(now_ms, session, value)
+
+    def on_probe_result(
+        self,
+        now_ms: float,
+        server_name: str,
+        outcome: str,
+        _spent_s: float,
+        report: Report | None,
+    ) -> None:
+        """Take the answer to a probe."""
+        server = self._servers.get(server_name)
+        if server is not None:
+            known = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
+            self._balancer.on_probe_result(now_ms, server, known, report)
+
+    def on_datagram(self, now_ms: float, _sender: str, _message: str) -> None:
+        """Ignore what another instance sends: here instances send nothing."""
+
+    def on_timer(self, now_ms: float, name: str) -> None:
+        """Pass on that a timer is due."""
+        self._balancer.on_timer(now_ms, name)
+
+    # Effects, see `SessionEffects`
+
+    def start_attempt(
+        self, session: Session, server: Server, timeout_ms: float
+    ) -> None:
+        """Order an attempt."""
+        handle = self._handles[session]
+        self._order("forward", handle, timeout_ms / MS_PER_S, server.name)
+
+    def reject(self, session: Session, retry_after_ms: float) -> None:
+        """Order that the session is rejected."""
+        self._order("notNow", self._handles[session], retry_after_ms / MS_PER_S)
+        self._forget(session)
+
+    def fail(self, session: Session) -> None:
+        """Order that the session is answered as failed."""
+        self._order("error", self._handles[session])
+        self._forget(session)
+
+    def migrate(self, session: Session) -> None:
+        """Order that the client is asked to reconnect."""
+        self._order("relocate", self._handles[session])
+
+    def send_probe(self, server: Server) -> None:
+        """Order a probe."""
+        self._order("sample", server.name)
+
+    def poll_endpoint_list(self, enabled: bool) -> None:
+        """Order a poll of the endpoint list."""
+        self._order("follow", enabled)
+
+    def set_timer(self, name: str, at_ms: float) -> None:
+        """Order a timer."""
+        self._order("timer", name, at_ms / MS_PER_S)
+
+    def log(self, text: str) -> None:
+        """Order a line of the log."""
+        self._order("trace", text)
+
+    # Identifiers
+
+    def _decode_entry(
+        self,
+        weight: float | None,
+        zone: int,
+        name: str,
+        cell: int,
+        started_s: float | None,
+        _machine: int,
+        phase: int,
+    ) -> EndpointEntry:
+        server = self._servers.get(name)
+        if server is None:
+            server = self._servers[name] = Server(name)
+        server.zone, server.cell = zone, cell
+        started_ms = started_s * MS_PER_S if started_s else None
+        return EndpointEntry(server, PHASES.get(phase, Phase.GONE), weight, started_ms)
+
+    def _add_session(
+        self,
+        now_ms: float,
+        handle: str,
+        listener: int | None,
+        tenant: int | None,
+        key: str | None,
+        left_s: float | None,
+        load: float | None,
+        group: str | None,
+        flags: int | None,
+    ) -> Session:
+        flags = flags or 0
+        session = Session(
+            listener=self._listener(listener),
+            key=key or handle,
+            deadline_ms=now_ms + (left_s or 0.0) * MS_PER_S,
+            tenant=tenant or 0,
+            group=group,
+            load=load if flags & LOAD_DECLARED else None,
+            mid_flow=bool(flags & MID_FLOW),
+            returning=bool(flags & RETURNING),
+            is_client_retry=bool(flags & CLIENT_RETRY),
+        )
+        self._sessions[handle] = session
+        self._handles[session] = handle
+        return session
+
+    def _listener(self, index: int | None) -> Listener:
+        if index is not None and 0 <= index < len(self._listeners):
+            return self._listeners[index]
+        return Listener("", Idempotency.NON_IDEMPOTENT)
+
+    def _forget(self, session: Session) -> None:
+        handle = self._handles.pop(session, None)
+        if handle is not None:
+            self._sessions.pop(handle, None)
+
+    def _order(self, name: str, *values: Any) -> None:  # noqa: ANN401 - JSON values
+        self.orders.append([name, self._name, *values])
