--- a/tests/golden_lines.py
+++ b/tests/golden_lines.py
@@ -5,6 +5,7 @@
 
 from golden_proxy import Scene, started
 
+START_MS = 1_700_000_000_000.0  # the virtual world's wall clock at its start, Unix milliseconds
 HTTP = "HTTP/1.1 200 OK\r\n"
 CHUNKED = HTTP + "Transfer-Encoding: chunked\r\n\r\n"
 
@@ -314,6 +315,53 @@
     return scene.lines
 
 
+def placed(scene: Scene, first: int, sessions: int) -> None:
+    """Opens sessions one by one, each ended by its server: the transcript shows where they went."""
+    for number in range(first, first + sessions):
+        scene.open(number, "c=any,d=300")
+        server = scene.server()
+        server.send("UP r\r\nBYE\r\n")
+        scene.proxy.run(10.0)
+        server.finish()
+        scene.proxy.run(100.0)
+
+
+def weights() -> list[str]:
+    """Servers of two weights, which change: the heavier one gets more, and what is no weight counts as 1."""
+    scene = started(known=False, discovery=True, weightSource="nominal")
+    scene.accepted["disco"][-1].send(CHUNKED)
+    for number, share in enumerate((4.0, 0.25, 0, None)):
+        scene.tell(scene.list("a"))
+        scene.tell(scene.list("b", whole=False, share=share))
+        scene.lines.append(f"-- b has a share of {share}")
+        placed(scene, 20 * number, 20)
+    return scene.lines
+
+
+def starts() -> list[str]:
+    """Servers that started just now, before, and again: one that is warming gets less, also beside a drain."""
+    duties = {"drainGraceS": 0.5, "startCapacity": 0.1, "coldS": 4.0, "tipMultiple": 2}
+    scene = started("a", "b", "c", known=False, discovery=True, obligations=duties)
+    scene.accepted["disco"][-1].send(CHUNKED)
+    scene.tell(scene.list("a", "b", "c"))
+    placed(scene, 0, 8)
+    changes = (
+        ("b started long ago", {"born_ms": 1.0}),
+        ("b starts", {"born_ms": START_MS + 3000.0}),
+        ("b drains, with its old start", {"health": "draining", "born_ms": 1.0}),
+        ("b is back with the old start", {"born_ms": 1.0}),
+        ("b starts once more", {"born_ms": START_MS + 9000.0}),
+        ("b drains, started anew", {"health": "draining", "born_ms": START_MS + 9500}),
+        ("b is back, started anew", {"born_ms": START_MS + 9500.0}),
+        ("no start is named", {"born_ms": None}),
+    )
+    for number, (what, values) in enumerate(changes, 1):
+        scene.lines.append(f"-- {what}")
+        scene.tell(scene.list("b", whole=False, **values))
+        placed(scene, 20 * number, 12)
+    return scene.lines
+
+
 SCENARIOS = {
     scenario.__name__: scenario
     for scenario in (
@@ -328,6 +376,6 @@
             standing,
             stopping,
         ),
-        *(probes, watches, lists),
+        *(probes, watches, lists, weights, starts),
     )
 }
