--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -4,7 +4,9 @@
 from typing import Any
 
 from wheathill import __main__ as program
-from wheathill.config import Misconfigured, node_of, read_node
+from wheathill.config.environment import EnvironmentDefaults
+from wheathill.config.errors import ConfigurationError
+from wheathill.config.platform import build_node_config, read_platform_config
 from wheathill.log_events import LogEvent
 from wheathill.net import bans, log
 from wheathill.net.operators import OperatorsDoor
@@ -61,7 +63,9 @@
 
 def maintenance_path(values: dict, folder: str | None) -> str | None:
     """Returns the path of the file of servers in maintenance, of a platform's configuration."""
-    return bans.path_of(node_of(values, {"state": folder}))
+    return bans.path_of(
+        build_node_config(values, EnvironmentDefaults(state_directory=folder))
+    )
 
 
 def write_maintenance(path: pathlib.Path, out: dict[str, float]) -> None:
@@ -77,8 +81,8 @@
 def platform_error(values: Any) -> str:
     """Returns the error of a platform's configuration, or nothing."""
     try:
-        node_of(values)
-    except Misconfigured as wrong:
+        build_node_config(values)
+    except ConfigurationError as wrong:
         return str(wrong)
     return ""
 
@@ -86,8 +90,8 @@
 def environment_error(environment: dict[str, str]) -> str:
     """Returns the error of the platform's environment, or nothing."""
     try:
-        read_node(environment)
-    except Misconfigured as wrong:
+        read_platform_config(environment)
+    except ConfigurationError as wrong:
         return str(wrong)
     return ""
 
--- a/tests/golden_proxy.py
+++ b/tests/golden_proxy.py
@@ -9,11 +9,16 @@
 from typing import Any
 
 from golden_files import text_of
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.lab.worlds.virtual import VirtualWorld
 
 NETWORK = {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
-LIMITS = Limits(sockets=1000, connect=100.0, longest_dial=1000.0, idle=1000.0)
+LIMITS = ProxyLimits(
+    max_sockets=1000,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 
 # Adapters: one place for each name of the program that may change.
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.judging.mutated import MUTANTS
 from wheathill.lab.scripts import language
 from wheathill.lab.scripts.run import play as processes
@@ -329,7 +329,7 @@
     ],
 )
 def test_script_faults(change, fault):
-    with pytest.raises(Misconfigured) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         language.read(path_of("flapping"), [change])
     assert fault in str(wrong.value)
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -13,7 +13,7 @@
 
 from turns import Turns
 from wheathill import daemon
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.handover.restore import build_session
 from wheathill.handover.session_codec import decode_session, encode_session
 from wheathill.handover.snapshot import collect_session
@@ -93,7 +93,7 @@
         client, server = self.up()
         client.finish()
         self.turns.hears(server)
-        self.turns.for_ms(1.5 * self.proxy.limits.linger)
+        self.turns.for_ms(1.5 * self.proxy.limits.linger_ms)
         self.over(client, server)
 
     def client_resets(self):
@@ -105,7 +105,7 @@
         client, server = self.up()
         server.finish()
         self.turns.hears(client)
-        self.turns.for_ms(1.5 * self.proxy.limits.linger)
+        self.turns.for_ms(1.5 * self.proxy.limits.linger_ms)
         self.over(client, server)
 
     def server_resets(self):
@@ -140,7 +140,7 @@
         client, server = self.up()
         client.say("a line")
         self.turns.hears(server)
-        self.turns.for_ms(2 * self.proxy.limits.sweep)
+        self.turns.for_ms(2 * self.proxy.limits.sweep_interval_ms)
         client.sock.close()
         self.over(client, server)
         for server in (
@@ -330,12 +330,12 @@
 KINDS = (Wire, Client, Dialled, ProbeLink, Watch, Call, Session)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
-    "linger": 60.0,
-    "line_in": 80.0,
-    "sweep": 25.0,
-    "unanswered": 40.0,
-    "second_answer": 5.0,
-    "probe": 60.0,
+    "linger_ms": 60.0,
+    "first_line_timeout_ms": 80.0,
+    "sweep_interval_ms": 25.0,
+    "unanswered_after_ms": 40.0,
+    "second_answer_timeout_ms": 5.0,
+    "probe_timeout_ms": 60.0,
 }
 
 
@@ -404,8 +404,12 @@
 @pytest.mark.parametrize("ends", ("silent", "closed", "nonsense", "no list", "left"))
 def test_no_watch_is_left_to_the_collector(ends):
     """They come again and again for as long as discovery is out of reach."""
-    patience = {"list_silence": 60.0, "list_again": 40.0} if ends == "silent" else {}
-    with Turns(limits={"list_retry": 20.0, **patience}) as turns:
+    patience = (
+        {"watch_silence_timeout_ms": 60.0, "watch_hedge_delay_ms": 40.0}
+        if ends == "silent"
+        else {}
+    )
+    with Turns(limits={"min_watch_interval_ms": 20.0, **patience}) as turns:
         turns.proxy.leave_watch()
 
         def answer():
@@ -512,7 +516,7 @@
         seen.append(gc.get_freeze_count() - seen[0])
         del kept
 
-    node = node_of(
+    node = build_node_config(
         {
             "name": "n0",
             "listen": "127.0.0.1:1",
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -18,7 +18,7 @@
 
 import pytest
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
@@ -170,7 +170,7 @@
 class Process:
     def __init__(self, beside=False, **changed):
         """`beside`: another process is there, which is asked for its state."""
-        node = node_of({**CONFIGURATION, **changed})
+        node = build_node_config({**CONFIGURATION, **changed})
         self.events = []
         self.transport = Transport(node.limits)
         self.transport.reaches = beside
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 import pytest
 
 from drive import kept
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.judging.baselines import by_weight
 from wheathill.lab.judging.mutants import MUTANTS
 from wheathill.lab.scripts import language as scripts
@@ -423,7 +423,7 @@
     ],
 )
 def test_script_faults(old, new, fault):
-    with pytest.raises(Misconfigured) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         scripts.script_of(
             tomllib.loads(open(MUTANTS_SCRIPT).read().replace(old, new, 1))
         )
@@ -454,7 +454,7 @@
         .replace('weights = "registered"', 'weights = "off"')
     )
     with pytest.raises(
-        Misconfigured, match='a weight_error needs proxies.weights = "registered"'
+        ConfigurationError, match='a weight_error needs proxies.weights = "registered"'
     ):
         scripts.read(script)
 
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -3,7 +3,7 @@
 import pytest
 
 from drive import kept
-from wheathill.config import Limits, buffers
+from wheathill.config.limits import ProxyLimits, buffer_sizes
 from wheathill.model import Server
 from wheathill.net.client import Client
 from wheathill.net.discovery import Watch
@@ -48,7 +48,12 @@
         return Hand("timer", [])
 
 
-LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
+LIMITS = ProxyLimits(
+    max_sockets=100,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 
 
 def dialled():
@@ -166,7 +171,12 @@
 
 def buffers_and_memory():
     for memory, sockets in ((192, 1024), (80, 384), (32, 1024), (32, 256)):
-        yield f"{memory} MB, {sockets} descriptors: {buffers(memory, sockets)}"
+        sizes = buffer_sizes(memory, sockets)
+        shown = {
+            "read": sizes.receive_buffer_bytes,
+            "list_line": sizes.max_list_line_bytes,
+        }
+        yield f"{memory} MB, {sockets} descriptors: {shown}"
 
 
 def too_many_pings():
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -15,7 +15,7 @@
 from test_net import LIMITS, Hand
 
 from drive import Rig, kept
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.handover import sender as sender_module
 from wheathill.handover.messages import VERSION
 from wheathill.handover.sender import HandoverSender
@@ -220,7 +220,7 @@
 
 
 def test_state_goes_over_whole():
-    node = node_of(
+    node = build_node_config(
         {
             "name": "n",
             "listen": "h:1",
@@ -298,7 +298,7 @@
 
 
 def large(servers=(), **limits):
-    node = node_of(
+    node = build_node_config(
         {
             "name": "n",
             "listen": "h:1",
@@ -329,7 +329,7 @@
 def encoded_state(proxy):
     return list(
         encode_snapshot(
-            collect_snapshot(proxy), proxy.now(), proxy.limits.list_line / 2
+            collect_snapshot(proxy), proxy.now(), proxy.limits.max_list_line_bytes / 2
         )
     )
 
@@ -382,10 +382,12 @@
     for server in old.servers.values():
         server.attempt_times_ms.extend(70_000.0 + place / 7 for place in range(128))
     parts = state_messages(old)
-    assert max(len(orjson.dumps(part)) for part in parts) < old.limits.list_line
+    assert (
+        max(len(orjson.dumps(part)) for part in parts) < old.limits.max_list_line_bytes
+    )
     assert (
         sum(len(orjson.dumps(part)) for part in parts if "servers" in part)
-        > 2 * old.limits.list_line
+        > 2 * old.limits.max_list_line_bytes
     )
     apply_state(new, parts)
     assert (
@@ -399,10 +401,10 @@
     proxy = large(sockets=1000, memory_mb=32)
     limits = proxy.limits
     for name, most in (
-        ("ids", limits.ids + 1000),
-        ("names", limits.names),
-        ("servers", limits.list_line // 40),
-        ("moved", limits.ids + limits.names),
+        ("ids", limits.max_session_ids + 1000),
+        ("names", limits.max_unlisted_names),
+        ("servers", limits.max_list_line_bytes // 40),
+        ("moved", limits.max_session_ids + limits.max_unlisted_names),
     ):
         receiver = StateReceiver(limits)
         receiver.add(name, ["x"] * most)
@@ -426,7 +428,7 @@
             list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
             UpdateKind.SNAPSHOT,
         )
-    assert len(proxy.names) == 8000 + proxy.limits.names
+    assert len(proxy.names) == 8000 + proxy.limits.max_unlisted_names
 
 
 class Counted(dict):
@@ -458,10 +460,10 @@
     assert held == ((), {"held": proxy.limits.own_sockets})
     handles, told = batch
     assert (
-        len(told["sessions"]) == proxy.limits.carried
-        and len(handles) == 2 * proxy.limits.carried
+        len(told["sessions"]) == proxy.limits.handover_batch_size
+        and len(handles) == 2 * proxy.limits.handover_batch_size
     )
-    assert proxy.clients.looked <= 1.25 * proxy.limits.carried + 1
+    assert proxy.clients.looked <= 1.25 * proxy.limits.handover_batch_size + 1
 
 
 @pytest.mark.parametrize(
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,8 @@
 
 import pytest
 
-from wheathill.config import Misconfigured, checked, operator
+from wheathill.config import checked, operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.log_events import LogEvent
 
 GOOD = """
@@ -77,8 +78,8 @@
 def test_faults(tmp_path, monkeypatch, old, new, faults):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "file.toml").write_text((GOOD % 1).replace(old, new, 1))
-    with pytest.raises(Misconfigured) as wrong:
-        operator.file_of(checked.load("file.toml"))
+    with pytest.raises(ConfigurationError) as wrong:
+        operator.check_file(checked.load_toml("file.toml"))
     assert str(wrong.value).splitlines() == faults
 
 
@@ -126,7 +127,7 @@
 
 
 def test_the_documented_file():
-    file = operator.file_of(checked.load("deploy/daemon.toml"))
+    file = operator.check_file(checked.load_toml("deploy/daemon.toml"))
     for part in (
         file,
         file.limits,
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -395,7 +395,7 @@
 
 def more_open_than_ids_are_kept():
     """Every id that is kept is of an open session: the newest one was forgotten, and a thief of it served."""
-    with Turns(limits={"ids": 2}) as turns:
+    with Turns(limits={"max_session_ids": 2}) as turns:
         turns.watched("a", "b")
         held = [turns.open(f"k{number}") for number in range(5)]
         turns.until(lambda: len(turns.proxy.clients) == 5)
@@ -418,7 +418,7 @@
 )
 def test_both_sides_end(first, then, one_turn):
     """In each order, with bytes of both on their way: nothing is left, and nothing goes wrong."""
-    with Turns(limits={"linger": 100.0}) as turns:
+    with Turns(limits={"linger_ms": 100.0}) as turns:
         turns.watched("a", "b")
         client = turns.open()
         server = turns.taken()
@@ -468,7 +468,7 @@
 
 def move_behind_unread_lines():
     """The client reads on, slowly, for longer than an end is waited for: it gets all, and MOVE."""
-    with Turns(limits={"linger": 150.0}) as turns:
+    with Turns(limits={"linger_ms": 150.0}) as turns:
         client = blocked(turns)
         turns.proxy.migrate(next(iter(turns.proxy.clients)))
         got, spent = read_slowly(turns, client, 20, 131_072)
--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -16,7 +16,9 @@
     """The end of this process follows the bytes, within the time in which it may be killed."""
     # Who reads nothing for as long as ends linger is cut off, stop or not: here it reads again before.
     with Turns(
-        dial=4.0, limits={"linger": 6000.0}, settings={"familyInfo": {"mode": "proxy"}}
+        dial=4.0,
+        limits={"linger_ms": 6000.0},
+        settings={"familyInfo": {"mode": "proxy"}},
     ) as turns:
         client = blocked(turns)
         ended = []
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -12,7 +12,8 @@
 
 import pytest
 
-from wheathill.config import Misconfigured, operator
+from wheathill.config import operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.scale import fit, fleet, honest, judge
 from wheathill.lab.scale.hollow import StretchedClock, idle_node
 from wheathill.lab.scale.layout import PORT, Layout, free_net, region_of
@@ -318,7 +319,7 @@
             str(tmp_path / "key"),
         )
     )
-    assert operator.read(str(path)).peers == told.told(7)
+    assert operator.read_operator_config(str(path)).peers == told.told(7)
     assert [told.zone(number) for number in real_numbers(40, 4, 8)] == [
         0,
         1,
@@ -735,5 +736,5 @@
         told.number_at(told.host(number)) == number for number in (0, 249, 250, 2799)
     )
     assert told.told(3).listen == (told.host(3), PORT)
-    with pytest.raises(Misconfigured, match="--cut"):
+    with pytest.raises(ConfigurationError, match="--cut"):
         region_of("r3", told)
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -50,7 +50,7 @@
 
 @pytest.mark.processes
 def test_a_newcomer_costs_two_looks_at_ids_however_many_are_open():
-    with Turns(limits={"ids": 10}) as turns:
+    with Turns(limits={"max_session_ids": 10}) as turns:
         proxy = turns.proxy
         held(proxy)
         for number in range(5):
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -8,7 +8,7 @@
 import pytest
 
 from drive import kept
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.lab.cores.ways import Faults, SocketPeers, VirtualPeers
 from wheathill.lab.scripts import language as scripts
 from wheathill.lab.scripts.run import play
@@ -17,7 +17,12 @@
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.net.machine import Machine
 
-LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
+LIMITS = ProxyLimits(
+    max_sockets=100,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 STILL = {"same": 1.0, "cross": 4.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
 
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,7 +9,8 @@
 import pytest
 from test_peers import authenticator, rejected
 
-from wheathill.config import Misconfigured, operator
+from wheathill.config import operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers import replicated_table
@@ -735,7 +736,7 @@
 def test_the_zone_layout_of_a_file():
     from wheathill.config.peers import read_zone_layout
 
-    file = operator.file_of(tomllib.loads(FILE))
+    file = operator.check_file(tomllib.loads(FILE))
     found = read_zone_layout(file.peers)
     assert found.version == 2 and [
         (zone.name, zone.region, zone.quota, zone.previous_quota)
@@ -745,13 +746,13 @@
     for zone in bare["peers"]["zones"]:
         del zone["part"], zone["was"]
     assert [
-        zone.quota for zone in read_zone_layout(operator.file_of(bare).peers).zones
+        zone.quota for zone in read_zone_layout(operator.check_file(bare).peers).zones
     ] == [
         4 / 6,
         2 / 6,
     ]
     del bare["peers"]["zone"], bare["peers"]["zones"]
-    assert read_zone_layout(operator.file_of(bare).peers) is None
+    assert read_zone_layout(operator.check_file(bare).peers) is None
 
 
 @pytest.mark.parametrize(
@@ -785,6 +786,6 @@
 )
 def test_a_layout_that_can_not_be_used_names_its_key(change, key):
     assert FILE.count(change[0]) == 1
-    with pytest.raises(Misconfigured) as wrong:
-        operator.file_of(tomllib.loads(FILE.replace(*change)))
+    with pytest.raises(ConfigurationError) as wrong:
+        operator.check_file(tomllib.loads(FILE.replace(*change)))
     assert key in str(wrong.value)
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 
 from drive import Peer, listener
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
@@ -72,12 +72,12 @@
         self.carrier = Carrier(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
         self.proxy.door = self.carrier.listen(
-            self.proxy.client, node.listen, self.proxy.room
+            self.proxy.client, node.listen_address, self.proxy.room
         )
         self.proxy.start()
 
     def node(self, **changed):
-        node = node_of({**self.config, **changed})
+        node = build_node_config({**self.config, **changed})
         return replace(node, limits=replace(node.limits, **self.limits))
 
     def note(self, event, **told):
--- a/wheathill/__main__.py
+++ b/wheathill/__main__.py
@@ -15,10 +15,10 @@
         from wheathill.cli import main as command
 
         return command()
-    from wheathill.config import read_node
+    from wheathill.config.platform import read_platform_config
     from wheathill.daemon import run
 
-    return run(lambda: read_node(os.environ))
+    return run(lambda: read_platform_config(os.environ))
 
 
 if __name__ == "__main__":
--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -5,7 +5,7 @@
 
 import click
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 
 
 class Commands(click.Group):
@@ -13,7 +13,7 @@
         """A file that can't be used is answered with its faults and exit code 2, by every command."""
         try:
             return super().invoke(context)
-        except Misconfigured as wrong:
+        except ConfigurationError as wrong:
             click.echo(str(wrong), err=True)
             sys.exit(2)
 
@@ -30,7 +30,7 @@
     from wheathill.config import operator
     from wheathill.daemon import run
 
-    sys.exit(run(lambda: operator.read(file)))
+    sys.exit(run(lambda: operator.read_operator_config(file)))
 
 
 @main.command()
@@ -39,10 +39,10 @@
     """Read FILE whole; name every faulty key, and exit with 2 if there is one."""
     from wheathill.config import operator
 
-    node = operator.read(file)
+    node = operator.read_operator_config(file)
     click.echo(
-        f"{file}: good; {len(node.listeners)} listeners, {len(node.known['hosts'])} servers listed, "
-        f"discovery {':'.join(map(str, node.discovery)) if node.discovery else 'off'}"
+        f"{file}: good; {len(node.listeners)} listeners, {len(node.initial_endpoints['hosts'])} servers listed, "
+        f"discovery {':'.join(map(str, node.discovery_address)) if node.discovery_address else 'off'}"
     )
 
 
@@ -51,7 +51,7 @@
     """Print the JSON schema of the operator's file."""
     import msgspec
 
-    from wheathill.config.operator import File
+    from wheathill.config.operator_tables import File
 
     click.echo(json.dumps(msgspec.json.schema(File), indent=2))
 
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -6,7 +6,8 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from wheathill.config import Misconfigured, address
+from wheathill.config.addresses import parse_address
+from wheathill.config.errors import ConfigurationError
 
 # The tables need msgspec, which a reader of settings alone does without.
 if TYPE_CHECKING:
@@ -172,8 +173,8 @@
 
 def _address_faults(key: str, text: str) -> Iterator[str]:
     try:
-        address(text, key)
-    except Misconfigured as error:
+        parse_address(text, key)
+    except ConfigurationError as error:
         yield str(error)
 
 
@@ -181,7 +182,7 @@
     """Return the settings, with the shared key read from its file.
 
     Raises:
-        Misconfigured: The key can't be used.
+        ConfigurationError: The key can't be used.
     """
     layout = read_zone_layout(table)
     seeds: Sequence[str] = table.seeds
@@ -190,7 +191,7 @@
     return PeerSettings(
         name=table.name or proxy_name,
         cluster=table.cluster,
-        listen=address(table.listen, "peers.listen"),
+        listen=parse_address(table.listen, "peers.listen"),
         advertise_address=table.advertise or table.listen,
         seeds=tuple(seeds),
         shared_key=_read_key(table.key_file),
@@ -214,14 +215,14 @@
             state = os.fstat(source.fileno())
             key = source.read(LONGEST_KEY + 1).rstrip()
     except OSError as error:
-        raise Misconfigured(f"peers.key_file: {error}") from None
+        raise ConfigurationError(f"peers.key_file: {error}") from None
     if state.st_uid != os.geteuid() or stat.S_IMODE(state.st_mode) & 0o077:
-        raise Misconfigured(
+        raise ConfigurationError(
             f"peers.key_file: {path} must be readable by its owner alone,"
             " who starts the proxy"
         )
     if not SHORTEST_KEY <= len(key) <= LONGEST_KEY:
-        raise Misconfigured(
+        raise ConfigurationError(
             f"peers.key_file: {path} holds {len(key)} bytes,"
             f" expected {SHORTEST_KEY} to {LONGEST_KEY}"
         )
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -7,7 +7,7 @@
 import sys
 from dataclasses import replace
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.log_events import LogEvent
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
@@ -34,23 +34,23 @@
     loop.add_signal_handler(signal.SIGINT, stop, proxy, stopped)
     if node.peers:
         join(proxy, carrier, clock, log)
-    if node.admin:
+    if node.admin_address:
         from wheathill.net.operators import OperatorsDoor
 
         door = OperatorsDoor(proxy)
         if proxy.peers:
             door.paths["/peers"] = {"GET": (proxy.peers.status.table,)}
-        listen(carrier, "admin_addr", door.call, node.admin, door.room)
-        log(LogEvent.ADMIN_LISTENING, at=":".join(map(str, node.admin)))
+        listen(carrier, "admin_addr", door.call, node.admin_address, door.room)
+        log(LogEvent.ADMIN_LISTENING, at=":".join(map(str, node.admin_address)))
     proxy.door = listen(
-        carrier, "listen", proxy.client, node.listen, proxy.room, node.listen_fd
+        carrier, "listen", proxy.client, node.listen_address, proxy.room, node.listen_fd
     )
     log(
         LogEvent.LISTENING,
-        at=":".join(map(str, node.listen)),
+        at=":".join(map(str, node.listen_address)),
         inherited=node.listen_fd is not None,
     )
-    if node.listen_fd is not None and node.state:
+    if node.listen_fd is not None and node.state_directory:
         from wheathill.handover.coordinator import UpgradeCoordinator
 
         UpgradeCoordinator(proxy, carrier, clock, log).begin()
@@ -76,7 +76,7 @@
         )
     except OSError as wrong:
         if node.listen_fd is None:
-            raise Misconfigured(f"peers: {wrong}") from None
+            raise ConfigurationError(f"peers: {wrong}") from None
         # The process that this one takes over from holds the address until it ends.
         clock.after(node.peers.probe_interval_ms, join, proxy, carrier, clock, log)
     else:
@@ -96,14 +96,14 @@
     try:
         return carrier.listen(*told)
     except OSError as wrong:
-        raise Misconfigured(f"{key}: {wrong}") from None
+        raise ConfigurationError(f"{key}: {wrong}") from None
 
 
 def reload(proxy, log, read):
     """Read and checked whole first: with a faulty file the proxy goes on as it was."""
     try:
         proxy.reload(allow_sockets(read()))
-    except Misconfigured as wrong:
+    except ConfigurationError as wrong:
         log(LogEvent.CONFIGURATION_ERROR, what=str(wrong))
 
 
@@ -111,23 +111,23 @@
     """As many descriptors as the proxy is told it may hold, where the system lets it."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
     most = (
-        node.limits.sockets
+        node.limits.max_sockets
         if hard == resource.RLIM_INFINITY
-        else min(node.limits.sockets, hard)
+        else min(node.limits.max_sockets, hard)
     )
     if soft != resource.RLIM_INFINITY and soft < most:
         resource.setrlimit(resource.RLIMIT_NOFILE, (most, hard))
-    return replace(node, limits=replace(node.limits, sockets=most))
+    return replace(node, limits=replace(node.limits, max_sockets=most))
 
 
 def run(read):
-    """Serves until it is told to stop. `read` gives the node, or raises Misconfigured; called again on
+    """Serves until it is told to stop. `read` gives the node, or raises ConfigurationError; called again on
     SIGHUP. Returns the exit code."""
     # Until the proxy can read its configuration again, the order to do so must not end it.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         node = allow_sockets(read())
-        log = Log(node.name, node.limits.log_lines)
+        log = Log(node.name, node.limits.max_queued_log_lines)
         keep_collections_short()
         serving = serve(node, log, read)
         del node
@@ -135,7 +135,7 @@
             asyncio.run(serving)
         finally:
             log.close()
-    except Misconfigured as wrong:
+    except ConfigurationError as wrong:
         print(wrong, file=sys.stderr)
         return 2
     return 0
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -31,7 +31,7 @@
         self._proxy = proxy
         self._transport = transport
         self._clock = clock
-        self._socket_name = f"wheathill-{proxy.node.mark}.up"
+        self._socket_name = f"wheathill-{proxy.node.file_tag}.up"
         self._receiver: HandoverReceiver | None = None
         self._sender: HandoverSender | None = None
         self._server_socket: ServerSocket | None = (
@@ -52,7 +52,7 @@
             self._began_at_ms = self._clock.now()
         try:
             self._receiver = self._transport.reach(
-                self._proxy.node.state,
+                self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverReceiver(connection, self._proxy, self),
             ).machine
@@ -79,8 +79,11 @@
         """Serve from nothing, unless the state is here; or ask again for a while."""
         if receiver.has_state:
             self.log_event(LogEvent.PREVIOUS_PROCESS_EXITED, why=reason)
-        elif reason == BUSY and self._elapsed_ms() < self._proxy.limits.handover:
-            self._clock.after(self._proxy.limits.handover_again, self.begin)
+        elif (
+            reason == BUSY
+            and self._elapsed_ms() < self._proxy.limits.handover_timeout_ms
+        ):
+            self._clock.after(self._proxy.limits.handover_retry_interval_ms, self.begin)
         else:
             self._start_from_nothing(reason)
 
@@ -102,7 +105,7 @@
     def _await_successor(self) -> None:
         try:
             self._server_socket = self._transport.meet(
-                self._proxy.node.state,
+                self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverSender(connection, self._proxy, self),
             )
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -14,8 +14,8 @@
 
 From `took` on this goes on until the old process has no session left, and ends.
 
-Bounded: a line by `limits.list_line`, waits by `limits.handover`. Whoever is in doubt
-closes.
+Bounded: a line by `limits.max_list_line_bytes`, waits by `limits.handover_timeout_ms`.
+Whoever is in doubt closes.
 """
 
 from collections.abc import Sequence
@@ -89,7 +89,7 @@
         self._received_handles += handles
         *lines, self._unfinished_line = (self._unfinished_line + data).split(b"\n")
         try:
-            if len(self._unfinished_line) > self.limits.list_line:
+            if len(self._unfinished_line) > self.limits.max_list_line_bytes:
                 raise HandoverError("a message too long")
             for line in lines:
                 self._receive_line(line)
@@ -125,7 +125,7 @@
 
     def await_answer(self) -> None:
         """Give the other process so long to answer."""
-        self.set_timer(self.limits.handover, self.end, "no answer in time")
+        self.set_timer(self.limits.handover_timeout_ms, self.end, "no answer in time")
 
     def end(self, reason: str) -> None:
         """End the conversation, once; descriptors of no message are closed."""
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -101,7 +101,7 @@
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
         # Versions count at one address.
-        if self.decisions.discovery_address == list(proxy.node.discovery or ()):
+        if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
             proxy.seen = self.decisions.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -115,7 +115,10 @@
         self._coordinator.on_state_requested(self)
         self.await_answer()
         snapshot = collect_snapshot(self._proxy)
-        now_ms, max_server_bytes = self._proxy.now(), self.limits.list_line / 2
+        now_ms, max_server_bytes = (
+            self._proxy.now(),
+            self.limits.max_list_line_bytes / 2,
+        )
         for fields in encode_snapshot(snapshot, now_ms, max_server_bytes):
             self.send_object(fields)
         self.send_message(StateComplete())
@@ -138,7 +141,7 @@
         if batch:
             self._batch, self._batch_handles = batch, handles
             self.send_message(SessionBatch(batch), handles)
-        self.set_timer(self.limits.carry_every, self.send_sessions)
+        self.set_timer(self.limits.handover_batch_interval_ms, self.send_sessions)
 
     def _send_descriptors_held(self) -> None:
         held = self.wire.carrier.sockets + self.limits.own_sockets
@@ -149,7 +152,9 @@
     def _take_sessions(self) -> tuple[list[dict], list[Handle]]:
         """Let go of some sessions: their forms on the wire and their descriptors."""
         batch, handles = [], []
-        for session, client in list(islice(self._quiet(), self.limits.carried)):
+        for session, client in list(
+            islice(self._quiet(), self.limits.handover_batch_size)
+        ):
             fields = encode_session(collect_session(client))
             pair = self._proxy.hand_over(session, client)
             if pair:
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -36,7 +36,7 @@
         session_ids=list(proxy.ids),
         server_names=list(proxy.names),
         decisions=collect_decisions(
-            balancer, indexes, proxy.seen, proxy.node.discovery
+            balancer, indexes, proxy.seen, proxy.node.discovery_address
         ),
     )
 
--- a/wheathill/handover/state_receiver.py
+++ b/wheathill/handover/state_receiver.py
@@ -1,6 +1,6 @@
 """The messages of another process's state, collected and bounded."""
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.handover.errors import HandoverError
 from wheathill.handover.restore import RestoredState
 from wheathill.handover.state_codec import decode_snapshot
@@ -15,7 +15,7 @@
 class StateReceiver:
     """Collects the sections of a state, each from one message or many."""
 
-    def __init__(self, limits: Limits) -> None:
+    def __init__(self, limits: ProxyLimits) -> None:
         self._limits = limits
         # Where nothing is known of the others no message comes; one with servers does.
         self._sections: dict = {
@@ -60,9 +60,11 @@
         limits = self._limits
         match section:
             case "servers":
-                return limits.list_line // SHORTEST_LIST_ENTRY
+                return limits.max_list_line_bytes // SHORTEST_LIST_ENTRY
             case "ids":
-                return limits.ids + limits.sockets
+                return limits.max_session_ids + limits.max_sockets
             case "names":
-                return limits.names + len(self._sections.get("servers", ()))
-        return limits.ids + limits.names
+                return limits.max_unlisted_names + len(
+                    self._sections.get("servers", ())
+                )
+        return limits.max_session_ids + limits.max_unlisted_names
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -4,7 +4,7 @@
 
 import random
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.config.peers import PeerSettings, ZoneLayout, ZoneSettings
 from wheathill.lab.cast.sessionless import Sessionless
 from wheathill.lab.worlds.host import raise_fault
@@ -13,7 +13,12 @@
 from wheathill.model import Phase, Server
 from wheathill.peers import PeerEnvironment, create_peer_service
 
-LIMITS = Limits(sockets=1000, connect=100.0, longest_dial=1000.0, idle=1000.0)
+LIMITS = ProxyLimits(
+    max_sockets=1000,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 NETWORK = {"same": 1.0, "cross": 5.0, "client": 1.0, "jitter": 0.2, "hop": 0.0}
 LOOK = 100.0  # ms between two looks at the shares
 
--- a/wheathill/lab/cores/membership_cluster.py
+++ b/wheathill/lab/cores/membership_cluster.py
@@ -10,7 +10,7 @@
 from statistics import median
 from typing import Any
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.lab.cores.ways import Faults, VirtualPeers
 from wheathill.lab.worlds.network import VirtualHost
 from wheathill.lab.worlds.virtual import VirtualWorld
@@ -38,7 +38,12 @@
     retention_ms=60_000.0,
     sync_interval_ms=10_000.0,
 )
-LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
+LIMITS = ProxyLimits(
+    max_sockets=100,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 # The datagrams' own faults are those of `Faults`.
 NETWORK = {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
 
--- a/wheathill/lab/cores/store_cluster.py
+++ b/wheathill/lab/cores/store_cluster.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.lab.cores.ways import Faults, VirtualPeers
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.store.anti_entropy import (
@@ -29,7 +29,12 @@
 from wheathill.store.replica import Replica
 from wheathill.store.version_vector import VersionVector
 
-HOST_LIMITS = Limits(sockets=100, connect=100.0, longest_dial=1000.0, idle=1000.0)
+HOST_LIMITS = ProxyLimits(
+    max_sockets=100,
+    connect_timeout_ms=100.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 # All latencies are those of the faults, none of the environment's own.
 HOP_LATENCIES_MS = {
     "same": 1.0,
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -20,7 +20,9 @@
 
     def reject(self, session, retry_after_ms):
         self.clients[session].timer.cancel()
-        self.clock.at(session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms)
+        self.clock.at(
+            session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms
+        )
 
     def refuse_late(self, sess, come_back_after):
         if sess in self.clients:
@@ -52,7 +54,7 @@
             second.start(
                 self.carrier.connect(second, second.address),
                 time_out,
-                self.limits.connect,
+                self.limits.connect_timeout_ms,
             )
 
 
--- a/wheathill/lab/mutant.py
+++ b/wheathill/lab/mutant.py
@@ -16,7 +16,7 @@
     if command != "daemon":
         raise SystemExit(f"{command}: a mutant is started as a daemon only")
     VARIANTS[name]()
-    return run(lambda: operator.read(path))
+    return run(lambda: operator.read_operator_config(path))
 
 
 if __name__ == "__main__":
--- a/wheathill/lab/scale/fleet.py
+++ b/wheathill/lab/scale/fleet.py
@@ -9,7 +9,7 @@
 import time
 from dataclasses import dataclass
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.scale import judge
 from wheathill.lab.scale.crew import Crews, Lost
 from wheathill.lab.scale.layout import Layout, free_net, region_of, zone_of
@@ -62,11 +62,11 @@
 class Fleet:
     def __init__(self, plan, say=lambda text: None):
         if plan.regions > plan.zones or plan.zones > plan.members:
-            raise Misconfigured(
+            raise ConfigurationError(
                 "--zones: must be as many as --regions at the least, and --members as --zones"
             )
         if plan.real >= plan.members:
-            raise Misconfigured("--real: must be fewer than --members")
+            raise ConfigurationError("--real: must be fewer than --members")
         self.plan, self.say = plan, say
         net, self.held = free_net(os.getpid())
         ways = (1.0, 5.0, 80.0, 200.0) if plan.one_way else Layout.ways
@@ -84,7 +84,7 @@
             ways,
         )
         if plan.cut is not None and plan.cut_out is not None:
-            raise Misconfigured(
+            raise ConfigurationError(
                 "--cut-out: there is one cut at a time, and --cut asks for another"
             )
         self.out = plan.cut_out is not None
@@ -706,8 +706,8 @@
 
 
 def play(plan, say=lambda text: None):
-    """The object that `--json` keeps. Raises Misconfigured."""
+    """The object that `--json` keeps. Raises ConfigurationError."""
     try:
         return asyncio.run(Fleet(plan, say).play())
     except Lost as wrong:
-        raise Misconfigured(str(wrong)) from None
+        raise ConfigurationError(str(wrong)) from None
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -281,7 +281,9 @@
         if prompt:
             # Beside a proxy without sessions, as a real one: what that costs is taken off.
             self.log_line = Log(
-                node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+                node.name,
+                node.limits.max_queued_log_lines,
+                os.open(os.devnull, os.O_WRONLY),
             )
             self.proxy = Proxy(node, self.carrier, self.clock, self.log_line)
             self.proxy.start()
@@ -441,7 +443,7 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(FILE.format(sockets))
         file.flush()
-        return operator.read(file.name)
+        return operator.read_operator_config(file.name)
 
 
 async def serve(make):
--- a/wheathill/lab/scale/honest.py
+++ b/wheathill/lab/scale/honest.py
@@ -11,7 +11,7 @@
 from concurrent.futures import ThreadPoolExecutor
 from statistics import mean, median
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.scale import fleet
 from wheathill.lab.scale.layout import Layout, free_net
 from wheathill.lab.scale.memory import resident_mb
@@ -147,9 +147,9 @@
         try:
             waiting[-1].links()
             waiting.pop()
-        except Misconfigured:
+        except ConfigurationError:
             if time.monotonic() > until:
-                raise Misconfigured(
+                raise ConfigurationError(
                     f"{len(waiting)} of the real proxies do not answer"
                 ) from None
             time.sleep(0.2)
--- a/wheathill/lab/scale/layout.py
+++ b/wheathill/lab/scale/layout.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from functools import cache
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.config.peers import PeerSettings, ZoneLayout, ZoneSettings
 
 PORT = 19_700
@@ -128,18 +128,18 @@
 
 
 def region_of(text, layout, option="--cut"):
-    """The number of region `rN`; raises Misconfigured."""
+    """The number of region `rN`; raises ConfigurationError."""
     for region in range(layout.regions):
         if text == f"r{region + 1}":
             return region
-    raise Misconfigured(f"{option}: {text!r} is none of r1 to r{layout.regions}")
+    raise ConfigurationError(f"{option}: {text!r} is none of r1 to r{layout.regions}")
 
 
 def zone_of(text, layout, option="--kill-zone"):
     for zone in range(layout.zones):
         if text == f"z{zone + 1}":
             return zone
-    raise Misconfigured(f"{option}: {text!r} is none of z1 to z{layout.zones}")
+    raise ConfigurationError(f"{option}: {text!r} is none of z1 to z{layout.zones}")
 
 
 def free_net(first):
@@ -152,4 +152,4 @@
             return net, held
         except OSError:
             held.close()
-    raise Misconfigured("no loopback addresses are free")
+    raise ConfigurationError("no loopback addresses are free")
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -39,12 +39,16 @@
         wheathill.peers.create_peer_service = partial(
             self.join, wheathill.peers.create_peer_service
         )
-        node = daemon.allow_sockets(operator.read(self.crew.path))
+        node = daemon.allow_sockets(operator.read_operator_config(self.crew.path))
         self.crew.log_line = Log(
-            node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+            node.name,
+            node.limits.max_queued_log_lines,
+            os.open(os.devnull, os.O_WRONLY),
         )
         serving = self.crew.loop.create_task(
-            daemon.serve(node, self.log, lambda: operator.read(self.crew.path))
+            daemon.serve(
+                node, self.log, lambda: operator.read_operator_config(self.crew.path)
+            )
         )
         serving.add_done_callback(
             lambda task: self.log(
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -13,7 +13,7 @@
 
 import orjson
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.lab.scale import fit
 from wheathill.model import (
     AttemptOutcome,
@@ -74,7 +74,7 @@
 def proxy():
     """One that holds no sockets; its log goes nowhere."""
     loop = asyncio.new_event_loop()
-    node = node_of(
+    node = build_node_config(
         {
             "name": "p",
             "seed": "1",
@@ -154,8 +154,8 @@
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
     pieces = [
-        text[start : start + here.limits.read]
-        for start in range(0, len(text) + 1, here.limits.read)
+        text[start : start + here.limits.receive_buffer_bytes]
+        for start in range(0, len(text) + 1, here.limits.receive_buffer_bytes)
     ]
 
     def take(parts):
@@ -163,7 +163,7 @@
             watch.take(part)
         watch.take(b"\n")
 
-    found = {"list_bytes": len(text), "list_longest": here.limits.list_line}
+    found = {"list_bytes": len(text), "list_longest": here.limits.max_list_line_bytes}
     with Timer() as first:
         take(pieces)
     ready = len(here.balancer.endpoint_list.servers)
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -29,7 +29,7 @@
         loop.close()
     say(
         f"{count:6} connections: {found['a_handshake_ids_ms']:.4f} ms at the ids of each that comes, "
-        f"{found['sweep_ms']:.3f} ms a sweep, so {found['sweep_ms'] * 1000 / here.limits.sweep / 10:.2f}% of a core"
+        f"{found['sweep_ms']:.3f} ms a sweep, so {found['sweep_ms'] * 1000 / here.limits.sweep_interval_ms / 10:.2f}% of a core"
     )
     return found
 
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -5,8 +5,9 @@
 
 from msgspec import Meta, field
 
-from wheathill.config import Misconfigured, checked
-from wheathill.config.operator import ListenerTable
+from wheathill.config import checked
+from wheathill.config.errors import ConfigurationError
+from wheathill.config.operator_tables import ListenerTable
 from wheathill.config.tables import (
     Count,
     Ms,
@@ -504,17 +505,17 @@
 
 
 def script_of(values):
-    script = checked.read(values, Script)
+    script = checked.convert(values, Script)
     wrong = list(contradictions(script))
     if wrong:
-        raise Misconfigured("\n".join(wrong))
+        raise ConfigurationError("\n".join(wrong))
     return script
 
 
 def read(path, changes=()):
     """The script at `path`, with (key path, TOML value) pairs set on top, as `proxies.count`,
     `gateways.0.cores`."""
-    values = checked.load(path)
+    values = checked.load_toml(path)
     for key, value in changes:
         *way, last = key.split(".")
         place = values
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -7,7 +7,10 @@
 from collections import Counter
 from functools import partial
 
-from wheathill.config import Limits, Misconfigured, operator
+from wheathill.config import operator_tables
+from wheathill.config.errors import ConfigurationError
+from wheathill.config.limits import ProxyLimits
+from wheathill.config.operator_platform import platform_values
 from wheathill.lab.cast.callers import Callers
 from wheathill.lab.cast.clients import Crowd
 from wheathill.lab.cast.discovery import Agent, Registry
@@ -40,14 +43,14 @@
 def stand_in_limits(script):
     """Stand-ins take what comes: only proxies are held to limits here."""
     longest = max(item.dial_timeout_ms for item in script.listener)
-    return Limits(
-        sockets=200_000,
-        connect=10_000.0,
-        longest_dial=longest,
-        idle=60_000.0,
-        backlog=4096,
-        accepts=64,
-        keep_alive=600_000.0,
+    return ProxyLimits(
+        max_sockets=200_000,
+        connect_timeout_ms=10_000.0,
+        max_dial_timeout_ms=longest,
+        probe_idle_timeout_ms=60_000.0,
+        listen_backlog=4096,
+        accepts_per_turn=64,
+        keepalive_idle_ms=600_000.0,
     )
 
 
@@ -152,22 +155,26 @@
             if event.do in ("proxy-upgrade", "by-hand", "callers", "way")
         ]
         if only and world.name != "virtual":
-            raise Misconfigured(f"event: {only[0]} is played in the virtual world only")
+            raise ConfigurationError(
+                f"event: {only[0]} is played in the virtual world only"
+            )
         if script.proxies.peers:
             if world.name == "sockets":
-                raise Misconfigured(
+                raise ConfigurationError(
                     "proxies.peers: is played in the virtual world and among processes"
                 )
             if any(event.when and SENT.fullmatch(event.when) for event in script.event):
                 world.ways.watchers.append(self.watch_message)
         for event in script.event if world.name == "processes" else ():
             if event.do not in PROVEN:
-                raise Misconfigured(
+                raise ConfigurationError(
                     f"event: whether {event.do} took effect is not proven in this world"
                 )
         for event in script.event if world.name != "processes" else ():
             if event.do in ("proxy-starve", "stranger"):
-                raise Misconfigured(f"event: {event.do} is played among processes only")
+                raise ConfigurationError(
+                    f"event: {event.do} is played among processes only"
+                )
         front = world.host("front", None, self.limits)
         shares = script.front.shares and {
             name: self.drawn(f"share {name}", script.front.shares) for name, _ in peers
@@ -190,7 +197,7 @@
                 name, self.registry, host, self.limits, self.dial
             )
             file = self.file_of(name, zone, agent)
-            values = {**operator.platform_form(file), "seed": f"{self.seed}/{name}"}
+            values = {**platform_values(file), "seed": f"{self.seed}/{name}"}
             more = (
                 {"held": held}
                 if held
@@ -249,7 +256,7 @@
         script, proxies = self.script, self.script.proxies
         kind = script.gateways[0]
         own = next((item for item in script.instance if item.on == name), None)
-        return operator.File(
+        return operator_tables.File(
             name=name,
             listen=self.world.proxy_address(name),
             listener=script.listener,
@@ -267,14 +274,14 @@
             )
             if proxies.peers and self.world.name == "processes"
             else None,
-            limits=operator.Limits(
+            limits=operator_tables.Limits(
                 sockets=own and own.sockets or proxies.sockets,
                 dials=proxies.dials,
                 memory_mb=own and own.memory_mb or proxies.memory_mb,
                 connect_ms=proxies.connect_ms,
                 longest_wait_ms=proxies.longest_wait_ms,
             ),
-            fleet=operator.Fleet(
+            fleet=operator_tables.Fleet(
                 proxies=proxies.meant or proxies.count,
                 weights=proxies.weights,
                 drain_grace_ms=script.rules.drain_grace_ms,
--- a/wheathill/lab/tools/experiments.py
+++ b/wheathill/lab/tools/experiments.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.judging.baselines import POLICIES
 from wheathill.lab.scripts import language as scripts
 from wheathill.lab.scripts.run import play
@@ -81,9 +81,11 @@
 
 def check_policy(policy, world):
     if policy not in POLICIES:
-        raise Misconfigured(f"--policy: {policy!r} is none of {', '.join(POLICIES)}")
+        raise ConfigurationError(
+            f"--policy: {policy!r} is none of {', '.join(POLICIES)}"
+        )
     if policy != "module" and world != "virtual":
-        raise Misconfigured(
+        raise ConfigurationError(
             "--policy: baselines stand in for the module in the virtual world only"
         )
 
@@ -95,7 +97,7 @@
     from wheathill.lab.judging.mutated import VARIANTS, program
 
     if world == "sockets" or mutant not in VARIANTS:
-        raise Misconfigured(
+        raise ConfigurationError(
             f"--mutant: {mutant!r} is none of {', '.join(VARIANTS)}, not in --world sockets"
         )
     if world == "virtual":
@@ -168,7 +170,7 @@
     try:
         return range(int(first), int(last if between else first) + 1)
     except ValueError:
-        raise Misconfigured(f"--seeds: {text!r} is not A..B") from None
+        raise ConfigurationError(f"--seeds: {text!r} is not A..B") from None
 
 
 def grid(changes):
@@ -177,7 +179,7 @@
     for change in changes:
         key, between, values = change.partition("=")
         if not between:
-            raise Misconfigured(f"--set: {change!r} is not KEY=V1,V2")
+            raise ConfigurationError(f"--set: {change!r} is not KEY=V1,V2")
         choices.append([(key, parse(value)) for value in values.split(",")])
     return list(itertools.product(*choices))
 
@@ -236,7 +238,7 @@
         try:
             scripts.read(path, combination)
         except (KeyError, IndexError, TypeError, AttributeError) as wrong:
-            raise Misconfigured(f"--set: {combination}: {wrong!r}") from None
+            raise ConfigurationError(f"--set: {combination}: {wrong!r}") from None
     cells = [
         (combination, policy) for combination in combinations for policy in policies
     ]
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -3,7 +3,8 @@
 
 from dataclasses import replace
 
-from wheathill.config import Limits, node_of
+from wheathill.config.limits import ProxyLimits
+from wheathill.config.platform import build_node_config
 from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.lab.worlds.network import Door, VirtualCarrier, VirtualHost
 from wheathill.lab.worlds.seat import Seat
@@ -20,12 +21,12 @@
 
     def accept(self):
         self.due = False
-        for _ in range(self.carrier.limits.accepts):
+        for _ in range(self.carrier.limits.accepts_per_turn):
             view = next((view for view in self.views if view.accepts), None)
             if not self.backlog or view is None:
                 return
             if not view.room():
-                return self.look(self.carrier.limits.accept_pause)
+                return self.look(self.carrier.limits.accept_pause_ms)
             wire = self.backlog.popleft()
             if not wire.gone:
                 rehome(wire, view.carrier)
@@ -160,7 +161,12 @@
             self.guard(self.machine.lost, False)
 
 
-PLATFORM = Limits(sockets=1_000_000, connect=1000.0, longest_dial=1000.0, idle=1000.0)
+PLATFORM = ProxyLimits(
+    max_sockets=1_000_000,
+    connect_timeout_ms=1000.0,
+    max_dial_timeout_ms=1000.0,
+    probe_idle_timeout_ms=1000.0,
+)
 
 
 class HeldSeat(Seat):
@@ -174,7 +180,7 @@
 
     def start(self):
         self.starts += 1
-        node = replace(node_of(self.values), listen_fd=3, state="")
+        node = replace(build_node_config(self.values), listen_fd=3, state_directory="")
         self.host.begin()
         carrier = ProcessCarrier(
             self.host, node.limits, self.log, self.door, self.places
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -102,11 +102,11 @@
 
     def accept(self):
         self.due = False
-        for _ in range(self.carrier.limits.accepts):
+        for _ in range(self.carrier.limits.accepts_per_turn):
             if not self.backlog:
                 return
             if not self.room():
-                return self.look(self.carrier.limits.accept_pause)
+                return self.look(self.carrier.limits.accept_pause_ms)
             wire = self.backlog.popleft()
             if not wire.gone:
                 wire.accepted(self.make_machine)
@@ -133,7 +133,7 @@
 
     @property
     def free(self):
-        return self.limits.sockets - self.limits.spare_sockets - self.sockets
+        return self.limits.max_sockets - self.limits.reserved_sockets - self.sockets
 
     def listen(self, make_machine, address, room):
         return Door(self, make_machine, tuple(address), room)
@@ -341,7 +341,7 @@
         if door is None or not door.host.alive:
             other = self.hosts_by_address.get(address) or wire.host
             return self.transmit(wire, other, wire.host, wire.turned_away)
-        if len(door.backlog) >= door.carrier.limits.backlog:
+        if len(door.backlog) >= door.carrier.limits.listen_backlog:
             self.clock.after(
                 1000.0, self.syn, wire, address
             )  # dropped; the system asks again
@@ -519,10 +519,10 @@
         self.parted = True
         if self.gone:
             return
-        if self.carrier.free < self.carrier.limits.spare_sockets:
+        if self.carrier.free < self.carrier.limits.reserved_sockets:
             return self.close()
         self.carrier.parting[self] = None
-        self.host.clock.after(self.carrier.limits.linger, self.close)
+        self.host.clock.after(self.carrier.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
         if self.over:
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from functools import partial
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
 from wheathill.net.operators import OperatorsDoor
 
@@ -46,7 +46,7 @@
 
     def start(self):
         self.starts += 1
-        node = replace(node_of(self.values), peers=self.told)
+        node = replace(build_node_config(self.values), peers=self.told)
         self.host.begin()
         carrier = VirtualCarrier(self.host, node.limits, self.log)
         self.proxy = self.world.make_proxy(
@@ -101,7 +101,7 @@
         stopped()
 
     def reload(self):
-        self.proxy.reload(node_of(self.values))
+        self.proxy.reload(build_node_config(self.values))
 
     def pause(self):
         """There is no process to stop where none runs, and the next one starts as any other."""
--- a/wheathill/net/admin.py
+++ b/wheathill/net/admin.py
@@ -73,7 +73,7 @@
         super().__init__(None, limits, clock)
         self.wire = wire
         self.answer = answer
-        self.lines.longest = limits.call_head
+        self.lines.longest = limits.max_admin_head_bytes
         self.read = Call.request_line
         self.method = self.target = None
         self.head = self.headers = 0  # bytes and lines so far
@@ -81,7 +81,7 @@
         self.done = False
 
     def connected(self):
-        self.set_timer(self.limits.call, self.too_slow)
+        self.set_timer(self.limits.admin_request_timeout_ms, self.too_slow)
 
     def received(self, data):
         if self.done:
@@ -91,15 +91,17 @@
             while not self.done and self.read(self):
                 pass
         except Malformed:
-            self.say_no(No(431, f"a head of over {self.limits.call_head} bytes"))
+            self.say_no(
+                No(431, f"a head of over {self.limits.max_admin_head_bytes} bytes")
+            )
         except No as no:
             self.say_no(no)
 
     def head_line(self):
         line = self.lines.next()
         self.head += 0 if line is None else len(line) + len(END)
-        if self.head > self.limits.call_head:
-            raise No(431, f"a head of over {self.limits.call_head} bytes")
+        if self.head > self.limits.max_admin_head_bytes:
+            raise No(431, f"a head of over {self.limits.max_admin_head_bytes} bytes")
         return line
 
     def request_line(self):
@@ -130,8 +132,8 @@
             self.read = Call.skip_body
             return True
         self.headers += 1
-        if self.headers > self.limits.call_headers:
-            raise No(431, f"more than {self.limits.call_headers} headers")
+        if self.headers > self.limits.max_admin_headers:
+            raise No(431, f"more than {self.limits.max_admin_headers} headers")
         name, between, value = line.partition(b":")
         if not between or not TOKEN.fullmatch(name):
             raise No(400, "a header is not NAME: VALUE")
@@ -142,8 +144,10 @@
             if not value.isdigit() or self.body not in (None, int(value[:20])):
                 raise No(400, "Content-Length is not one number")
             self.body = int(value[:20])
-            if self.body > self.limits.call_body:
-                raise No(413, f"a body of over {self.limits.call_body} bytes")
+            if self.body > self.limits.max_admin_body_bytes:
+                raise No(
+                    413, f"a body of over {self.limits.max_admin_body_bytes} bytes"
+                )
         return True
 
     def skip_body(self):
@@ -172,7 +176,12 @@
         self.say(no.status, {"error": no.what}, **no.headers)
 
     def too_slow(self):
-        self.say_no(No(408, f"no whole call within {self.limits.call:.0f} ms"))
+        self.say_no(
+            No(
+                408,
+                f"no whole call within {self.limits.admin_request_timeout_ms:.0f} ms",
+            )
+        )
 
     def ended(self):
         self.say_no(No(400, "half a call"))
--- a/wheathill/net/bans.py
+++ b/wheathill/net/bans.py
@@ -9,7 +9,9 @@
 
 def path_of(node):
     """None where no folder outlives the process."""
-    return node.state and os.path.join(node.state, f"wheathill-{node.mark}.out")
+    return node.state_directory and os.path.join(
+        node.state_directory, f"wheathill-{node.file_tag}.out"
+    )
 
 
 def write(path, out):
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -36,21 +36,21 @@
         that has come and was not read yet is asked for."""
         if self.fits():
             return True
-        for client in self.asking_nothing(self.limits.accepts):
+        for client in self.asking_nothing(self.limits.accepts_per_turn):
             self.shut(client)
         return self.fits()
 
     def fits(self):
-        return len(self.silent) < self.limits.sockets // 6 and self.spare(NEWCOMERS)
+        return len(self.silent) < self.limits.max_sockets // 6 and self.spare(NEWCOMERS)
 
     def spare(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
         one: who may be most may take least."""
-        return self.carrier.free > -self.limits.spare_sockets * eighths / 8
+        return self.carrier.free > -self.limits.reserved_sockets * eighths / 8
 
     def asking_nothing(self, count):
         """Of so many that have sent no line, the oldest."""
-        late = self.now() - self.limits.ask_within
+        late = self.now() - self.limits.min_silence_to_evict_ms
         return [
             client
             for client, since in islice(self.silent.items(), count)
@@ -90,7 +90,7 @@
         left = min(
             head.number("d", listener.dial_timeout_ms), listener.dial_timeout_ms
         ) - (now - came)
-        if left < -self.limits.too_late:
+        if left < -self.limits.max_answer_delay_ms:
             return self.give_up(client)
         tenant = head.values.get("t")
         if tenant is not None and self.tenants and tenant not in self.tenants:
@@ -102,9 +102,9 @@
         sess = Session(
             listener=listener,
             key=head.key,
-            deadline_ms=now + left - self.limits.answer_margin,
+            deadline_ms=now + left - self.limits.answer_margin_ms,
             tenant=self.tenants.get(tenant, 0),
-            group=head.values.get("g") if self.node.groups else None,
+            group=head.values.get("g") if self.node.uses_groups else None,
             load=head.number("h"),
             mid_flow=head.flag("mid"),
             returning=head.flag("again"),
@@ -116,7 +116,7 @@
             self.answer(client, self.come_back(listener))
         elif "at" in head.values:
             client.sess = sess
-            sess.deadline_ms = now + self.limits.standing
+            sess.deadline_ms = now + self.limits.restore_timeout_ms
             self.stand(client, sess)
         else:
             self.clients[sess] = client
@@ -154,8 +154,8 @@
 
     def stood_still(self, now):
         """Where a sweep is late by a whole one, what is read now and in a moment has waited as well."""
-        if now - self.swept > self.limits.sweep:
-            self.old_until = now + 2 * self.limits.sweep
+        if now - self.swept > self.limits.sweep_interval_ms:
+            self.old_until = now + 2 * self.limits.sweep_interval_ms
 
     def give_up(self, client):
         """Its time was over long before its line was read."""
@@ -170,7 +170,7 @@
         self.ids[head.id] = sess
         # Those that are open stay, and may be far more than the limit. Two looks for each that comes keep those that
         # are over fewer than the open ones and the limit; as many as there are above it took seconds for each client.
-        for _ in range(2 if len(self.ids) > self.limits.ids else 0):
+        for _ in range(2 if len(self.ids) > self.limits.max_session_ids else 0):
             oldest, held = next(iter(self.ids.items()))
             if held is sess or held in self.clients:
                 self.ids.move_to_end(oldest)
@@ -183,19 +183,19 @@
         now = self.now()
         self.stood_still(now)
         behind = (
-            now - client.sess.deadline_ms - self.limits.answer_margin
+            now - client.sess.deadline_ms - self.limits.answer_margin_ms
             if client.sess
             else 0.0
         )
         self.log_event(
             LogEvent.DEADLINE_MISSED
-            if behind >= self.limits.sweep or now < self.old_until
+            if behind >= self.limits.sweep_interval_ms or now < self.old_until
             else LogEvent.INTERNAL_ERROR,
             where="decisions",
             what="no answer in time",
             behind=round(behind),
         )
-        if behind < self.limits.too_late:
+        if behind < self.limits.max_answer_delay_ms:
             self.answer_alone(client)
         else:
             self.hung_up(client)
@@ -237,10 +237,10 @@
         self.figures.count("bad")
         # They come by hundreds, at full speed: most are only counted.
         now = self.now()
-        if now - self.bad_since >= self.limits.bad_every:
+        if now - self.bad_since >= self.limits.protocol_error_window_ms:
             self.bad_since, self.bad_logged = now, 0
         self.bad_logged += 1
-        if self.bad_logged <= self.limits.bad_lines:
+        if self.bad_logged <= self.limits.max_protocol_errors_logged:
             self.log_event(
                 LogEvent.PROTOCOL_ERROR, what=why, so_far=self.figures.counts["bad"]
             )
@@ -313,11 +313,11 @@
             self.balancer.on_load_declared(self.now(), client.sess, load)
 
     def sweep(self):
-        self.clock.after(self.limits.sweep, self.sweep)
+        self.clock.after(self.limits.sweep_interval_ms, self.sweep)
         now = self.now()
         self.worst_delay = max(self.worst_delay, now - self.swept)
         self.stood_still(now)
-        self.swept = now + self.limits.sweep
+        self.swept = now + self.limits.sweep_interval_ms
         # These alone, and not all that are open: looking at each of them took a part of a core that grew with them.
         for client in list(self.asking):
             # Who reads nothing itself can't be brought an answer. One may end others of the same server.
@@ -325,12 +325,15 @@
                 client.sess is not None
                 and client.asked is not None
                 and not client.wire.full
-                and now - client.asked >= self.limits.unanswered
+                and now - client.asked >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
                     now, client.sess, now - client.asked
                 )
-                if client.moving and now - client.asked >= self.limits.half_line:
+                if (
+                    client.moving
+                    and now - client.asked >= self.limits.partial_line_timeout_ms
+                ):
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.dial.close()
 
@@ -349,7 +352,7 @@
             sess.server = self.servers[name]
             self.connect(client, sess.server, sess.deadline_ms - now)
         else:
-            self.clock.after(self.limits.sweep, self.stand, client, sess)
+            self.clock.after(self.limits.sweep_interval_ms, self.stand, client, sess)
 
     # Sessions of another process of this proxy, and for it
 
@@ -406,7 +409,9 @@
             client.sess.attempts[-1].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
         dial.start(
-            self.carrier.connect(dial, dial.address), time_out, self.limits.connect
+            self.carrier.connect(dial, dial.address),
+            time_out,
+            self.limits.connect_timeout_ms,
         )
 
     @property
@@ -438,7 +443,10 @@
 
     def dial_up(self, dial, line):
         client, sess, now = dial.client, dial.client.sess, self.now()
-        if sess in self.clients and now > sess.deadline_ms + self.limits.answer_margin:
+        if (
+            sess in self.clients
+            and now > sess.deadline_ms + self.limits.answer_margin_ms
+        ):
             # This process stood still over the dial timeout, and what its server said waited to be read before the
             # alarm that was due: UP is not said any more.
             return self.late(client)
@@ -468,7 +476,7 @@
             pass
         elif sess not in self.clients:
             # A standing connection that did not come up.
-            self.clock.after(self.limits.sweep, self.stand, client, sess)
+            self.clock.after(self.limits.sweep_interval_ms, self.stand, client, sess)
         elif dial.up:
             self.over(sess, outcome.value)
             self.balancer.on_outcome(now, sess, outcome, True)
@@ -544,13 +552,16 @@
         self.figures.count("probes")
         link = self.links.pop(server, None)
         if link is None:
-            if len(self.links) >= self.limits.probe_links or self.carrier.free <= 0:
+            if (
+                len(self.links) >= self.limits.max_probe_connections
+                or self.carrier.free <= 0
+            ):
                 self.close_link()
             if not self.spare(PROBES):
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
         self.links[server] = link
-        link.ask(self.now() + self.limits.probe)
+        link.ask(self.now() + self.limits.probe_timeout_ms)
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -21,7 +21,7 @@
 
     def connected(self):
         self.came = self.clock.now()
-        self.set_timer(self.limits.line_in, self.no_line)
+        self.set_timer(self.limits.first_line_timeout_ms, self.no_line)
         self.door.came(self)
 
     def received(self, data):
@@ -39,13 +39,13 @@
                 if line == b"PING":
                     self.pings += 1
                     allowed = (
-                        self.limits.pings
-                        + (self.clock.now() - self.came) / self.limits.ping_every
+                        self.limits.max_ping_burst
+                        + (self.clock.now() - self.came) / self.limits.ping_interval_ms
                     )
                     if self.lines.rest or self.pings > allowed:
                         raise Malformed("more than a line at once")
                     self.wire.send(b"PONG" if self.door.ready else b"ERR", END)
-                    self.set_timer(self.limits.line_next, self.no_line)
+                    self.set_timer(self.limits.next_line_timeout_ms, self.no_line)
                 else:
                     head = Head(line)
                     if self.lines.rest:
@@ -133,7 +133,7 @@
         self.door.hung_up(self)
         if self.up:
             self.dial.wire.finish()
-            self.dial.set_timer(self.limits.linger, self.dial.close)
+            self.dial.set_timer(self.limits.linger_ms, self.dial.close)
         else:
             # A session needs both directions, so this one is over, and still gets its answer.
             self.answer(b"ERR")
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -85,7 +85,7 @@
         self.left = (
             None  # bytes of the present chunk, or of the answer where it says how many
         )
-        self.objects = Objects(limits.list_line)
+        self.objects = Objects(limits.max_list_line_bytes)
         self.untold = 0  # bytes since it last told something
         self.came = -math.inf  # when bytes last did
         self.answered = False
@@ -97,7 +97,7 @@
 
     def quiet_from_now(self):
         self.untold = 0
-        self.set_timer(self.limits.list_silence, self.end, "silent")
+        self.set_timer(self.limits.watch_silence_timeout_ms, self.end, "silent")
 
     def connected(self):
         self.wire.send(self.request)
@@ -185,7 +185,7 @@
         self.untold += len(data)
         while not self.left_for_good and (found := self.objects.next()) is not None:
             self.tells(found)
-        if not self.left_for_good and self.untold >= self.limits.read:
+        if not self.left_for_good and self.untold >= self.limits.receive_buffer_bytes:
             self.quiet_from_now()
 
     def tells(self, found):
--- a/wheathill/net/driver.py
+++ b/wheathill/net/driver.py
@@ -23,7 +23,7 @@
         self.limits = limits
         self.log = log
         # One is enough: a machine has consumed what came before the next read begins.
-        self.buffer = memoryview(bytearray(limits.read))
+        self.buffer = memoryview(bytearray(limits.receive_buffer_bytes))
         self.sockets = 0
         self.parting = {}  # wires that their machines are done with, until they are closed
         self.lent = 0  # held by the process that this one takes over from
@@ -31,13 +31,19 @@
     @property
     def free(self):
         return (
-            self.limits.sockets - self.limits.spare_sockets - self.sockets - self.lent
+            self.limits.max_sockets
+            - self.limits.reserved_sockets
+            - self.sockets
+            - self.lent
         )
 
     def listen(self, make_machine, address, room, inherited=None):
         """`inherited`: the descriptor of a socket that listens there already."""
         return Door(
-            self, make_machine, listening(address, inherited, self.limits.backlog), room
+            self,
+            make_machine,
+            listening(address, inherited, self.limits.listen_backlog),
+            room,
         )
 
     def adopt(self, handle, machine):
@@ -131,7 +137,7 @@
         self.sock.close()
 
     def accept(self):
-        for _ in range(self.carrier.limits.accepts):
+        for _ in range(self.carrier.limits.accepts_per_turn):
             if not self.room():
                 return self.pause()
             try:
@@ -164,7 +170,7 @@
         self.hold(True)
         self.paused = True
         self.later = self.carrier.loop.call_later(
-            self.carrier.limits.accept_pause / 1000, self.hold, False
+            self.carrier.limits.accept_pause_ms / 1000, self.hold, False
         )
 
 
@@ -293,7 +299,7 @@
         # A client whose machine is gone would hold its descriptors for good.
         sock, seconds = (
             transport.get_extra_info("socket"),
-            int(self.carrier.limits.keep_alive / 1000),
+            int(self.carrier.limits.keepalive_idle_ms / 1000),
         )
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, seconds)
@@ -313,7 +319,7 @@
             return self.guard(self.machine.received, self.carrier.buffer[:count])
         # What comes after the end is read, so that the last line isn't lost, but not without end.
         self.thrown_away += count
-        if self.thrown_away > self.carrier.limits.buffer:
+        if self.thrown_away > self.carrier.limits.max_buffered_bytes:
             self.transport.pause_reading()
 
     def eof_received(self):
@@ -456,7 +462,7 @@
         self.hold(False)
         self.finish()
         self.parted = True
-        if self.carrier.free < self.carrier.limits.spare_sockets:
+        if self.carrier.free < self.carrier.limits.reserved_sockets:
             return self.transport.close()
         self.carrier.parting[self] = None
         self.linger(math.inf)
@@ -466,7 +472,7 @@
         unsent = self.to_send
         if before is math.inf or 0 < unsent < before:
             self.carrier.loop.call_later(
-                self.carrier.limits.linger / 1000, self.linger, unsent
+                self.carrier.limits.linger_ms / 1000, self.linger, unsent
             )
         else:
             self.transport.abort()
--- a/wheathill/net/machine.py
+++ b/wheathill/net/machine.py
@@ -19,7 +19,7 @@
         self.door = door
         self.limits = limits
         self.clock = clock
-        self.lines = Lines(limits.line)
+        self.lines = Lines(limits.max_line_bytes)
         self.wire = None
         self.timer = NoTimer
 
--- a/wheathill/net/operators.py
+++ b/wheathill/net/operators.py
@@ -30,9 +30,9 @@
         something was among those cut off."""
         for call in [call for call in self.calls if not call.wire.counted]:
             del self.calls[call]
-        if len(self.calls) < self.proxy.limits.calls:
+        if len(self.calls) < self.proxy.limits.max_admin_requests:
             return True
-        late = self.proxy.now() - self.proxy.limits.ask_within
+        late = self.proxy.now() - self.proxy.limits.min_silence_to_evict_ms
         oldest = next(
             (
                 call
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -30,7 +30,7 @@
         )
         self.old_until = 0.0  # until then lines may be read that have lain here while this process stood still
         self.take(node)
-        self.started_with = node.told
+        self.started_with = node.source
         self.clock = clock
         self.log_event = log
         self.zones = {name: place for place, name in enumerate(node.zones)}
@@ -68,19 +68,27 @@
         """`taken`: the list and all else are those of the process before."""
         self.balancer.on_start(self.now())
         self.read_bans()
-        known, self.node = self.node.known, replace(self.node, known={})
+        known, self.node = (
+            self.node.initial_endpoints,
+            replace(self.node, initial_endpoints={}),
+        )
         if known and not taken:
             self.listed(
-                known, UpdateKind.CACHED if self.node.discovery else UpdateKind.SNAPSHOT
+                known,
+                UpdateKind.CACHED
+                if self.node.discovery_address
+                else UpdateKind.SNAPSHOT,
             )
-        if taken or not self.node.discovery:
+        if taken or not self.node.discovery_address:
             self.first_list_over()
-        if self.node.discovery:
+        if self.node.discovery_address:
             self.open_watch()
-        self.clock.after(0.0 if taken else self.limits.list_wait, self.get_ready)
-        self.swept = self.now() + self.limits.sweep
-        self.clock.after(self.limits.sweep, self.sweep)
-        self.clock.after(self.limits.figures, self.log_figures)
+        self.clock.after(
+            0.0 if taken else self.limits.first_list_timeout_ms, self.get_ready
+        )
+        self.swept = self.now() + self.limits.sweep_interval_ms
+        self.clock.after(self.limits.sweep_interval_ms, self.sweep)
+        self.clock.after(self.limits.metrics_interval_ms, self.log_figures)
 
     def get_ready(self):
         self.first_list_over()
@@ -97,9 +105,9 @@
             # breaks if it ends by itself: all its clients then came back at once, and were refused.
             # Settled now: a configuration that comes later may shorten the dial timeouts of who is in already.
             most = (
-                self.limits.longest_dial + self.limits.stop_margin
-                if self.node.moves_at_stop
-                else self.limits.stop_hold
+                self.limits.max_dial_timeout_ms + self.limits.shutdown_margin_ms
+                if self.node.migrates_at_shutdown
+                else self.limits.passthrough_shutdown_ms
             )
             self.stop_last = self.stopping + most
             self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
@@ -107,9 +115,11 @@
                 # Others listen on the same socket: whoever waits there is theirs.
                 self.door.close()
             self.clock.after(
-                self.limits.sweep
+                self.limits.sweep_interval_ms
                 if self.handed_over
-                else min(self.limits.newcomers, most - self.limits.sweep),
+                else min(
+                    self.limits.shutdown_accept_ms, most - self.limits.sweep_interval_ms
+                ),
                 self.wait_for_end,
                 stopped,
             )
@@ -129,10 +139,12 @@
                 sessions=len(self.clients),
                 since_start=self.figures.since_start(),
             )
-            self.see_off(stopped, now + self.limits.stop_linger)
+            self.see_off(stopped, now + self.limits.shutdown_linger_ms)
         else:
             self.clock.after(
-                min(self.limits.sweep, self.stop_last - now), self.wait_for_end, stopped
+                min(self.limits.sweep_interval_ms, self.stop_last - now),
+                self.wait_for_end,
+                stopped,
             )
 
     def expected(self):
@@ -155,15 +167,17 @@
         now, parting = self.now(), list(self.carrier.parting)
         if parting and (
             now < until
-            or now < self.stop_last + self.limits.stop_linger
+            or now < self.stop_last + self.limits.shutdown_linger_ms
             and any(wire.to_send for wire in parting)
         ):
-            self.clock.after(self.limits.see_off, self.see_off, stopped, until)
+            self.clock.after(
+                self.limits.shutdown_poll_interval_ms, self.see_off, stopped, until
+            )
         else:
             stopped()
 
     def log_figures(self):
-        self.clock.after(self.limits.figures, self.log_figures)
+        self.clock.after(self.limits.metrics_interval_ms, self.log_figures)
         self.log_event(
             LogEvent.METRICS,
             **self.beliefs(),
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -124,7 +124,9 @@
             # comes within moments or with the connection's end.
             self.turned = True
             self.set_timer(
-                min(self.limits.second_answer, self.until - self.clock.now()),
+                min(
+                    self.limits.second_answer_timeout_ms, self.until - self.clock.now()
+                ),
                 self.give_up,
                 outcome,
             )
@@ -135,7 +137,7 @@
         *lines, self.rest = (self.rest + data).split(END)
         for line in lines:
             self.read(line)
-        if len(self.rest) > self.limits.line:
+        if len(self.rest) > self.limits.max_line_bytes:
             # No line of the protocol: only whether it has ended still matters.
             self.rest = self.rest[-1:]
         if self.client.moving:
@@ -166,7 +168,7 @@
             return self.give_up(self.broken)
         self.tell_over(self.outcome)
         self.client.wire.finish()
-        self.set_timer(self.limits.linger, self.close)
+        self.set_timer(self.limits.linger_ms, self.close)
 
     @property
     def broken(self):
@@ -234,7 +236,7 @@
                 AttemptOutcome.AT_CAPACITY if word == b"BUSY" else AttemptOutcome.ERROR
             )
         self.asked, self.used = False, True
-        self.set_timer(0.8 * self.limits.idle, self.end, None)
+        self.set_timer(0.8 * self.limits.probe_idle_timeout_ms, self.end, None)
         self.door.probed(self, AttemptOutcome.COMPLETED, rest)
 
     def ended(self):
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -3,7 +3,8 @@
 import math
 from itertools import islice
 
-from wheathill.config import address, needs_restart
+from wheathill.config.addresses import parse_address
+from wheathill.config.reload import keys_needing_restart
 from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, EndpointEntry, Phase, Server, UpdateKind
 from wheathill.net import bans
@@ -29,14 +30,14 @@
         were taken with. Servers stay known until the list at a new address has come whole."""
         old = self.node
         self.take(node)
-        changed = needs_restart(self.started_with, node.told)
+        changed = keys_needing_restart(self.started_with, node.source)
         self.log_event(
             LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
         )
-        if node.discovery is None:
+        if node.discovery_address is None:
             self.leave_watch()
-            self.listed(node.known, UpdateKind.SNAPSHOT)
-        elif node.discovery != old.discovery:
+            self.listed(node.initial_endpoints, UpdateKind.SNAPSHOT)
+        elif node.discovery_address != old.discovery_address:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
             self.seen = 0
             self.open_watch()
@@ -81,7 +82,7 @@
         path = bans.path_of(self.node)
         try:
             for name, since in (
-                bans.read(path, self.limits.names).items() if path else ()
+                bans.read(path, self.limits.max_unlisted_names).items() if path else ()
             ):
                 self.names[name] = None
                 self.balancer.endpoint_list.maintenance_since_ms.setdefault(
@@ -104,12 +105,14 @@
         self.asked_at = self.now()
         self.watch = self.ask_list()
         self.next_watch = self.clock.after(
-            self.limits.list_again, self.ask_beside, self.watch
+            self.limits.watch_hedge_delay_ms, self.ask_beside, self.watch
         )
 
     def ask_list(self):
-        watch = Watch(self.node.discovery[0], self.seen, self, self.limits, self.clock)
-        watch.start(self.carrier.connect(watch, self.node.discovery))
+        watch = Watch(
+            self.node.discovery_address[0], self.seen, self, self.limits, self.clock
+        )
+        watch.start(self.carrier.connect(watch, self.node.discovery_address))
         return watch
 
     def ask_beside(self, watch):
@@ -121,10 +124,10 @@
                 self.beside.leave()
                 self.beside = None
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
-            if self.now() - watch.came >= self.limits.list_again:
+            if self.now() - watch.came >= self.limits.watch_hedge_delay_ms:
                 self.beside = self.ask_list()
             self.next_watch = self.clock.after(
-                self.limits.list_again, self.ask_beside, watch
+                self.limits.watch_hedge_delay_ms, self.ask_beside, watch
             )
 
     def watch_answered(self, watch):
@@ -151,12 +154,12 @@
             self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
         self.leave_watch()
-        if self.limits.list_spread:
+        if self.limits.watch_backoff_ms:
             # Every proxy meets its failure at once, and calls that come together again keep it down.
             self.list_failures = 0 if watch.answered else self.list_failures + 1
             wait = min(
-                self.limits.list_longest,
-                self.limits.list_spread * 2.0 ** min(self.list_failures, 5),
+                self.limits.max_watch_backoff_ms,
+                self.limits.watch_backoff_ms * 2.0 ** min(self.list_failures, 5),
             )
             self.next_watch = self.clock.after(
                 wait * self.balancer.uniform(0.5, 1.0), self.open_watch
@@ -164,7 +167,8 @@
             return
         # At once after one that had lasted: what the agent has meanwhile counts as told.
         self.next_watch = self.clock.at(
-            max(self.now(), self.asked_at + self.limits.list_retry), self.open_watch
+            max(self.now(), self.asked_at + self.limits.min_watch_interval_ms),
+            self.open_watch,
         )
 
     def read_again(self, watch):
@@ -230,7 +234,7 @@
         version is noted."""
         if not self.gap:
             self.gap = True
-            again = self.limits.list_retry * 2 ** min(self.gaps, 4)
+            again = self.limits.min_watch_interval_ms * 2 ** min(self.gaps, 4)
             self.gaps += 1
             self.clock.after(again, self.read_again, watch)
 
@@ -262,7 +266,7 @@
                 if self.peers:
                     self.peers.forget_server(name)
         # Of those listed the list is the bound; of the others the oldest go, unless they are out.
-        over = len(self.names) - len(self.servers) - self.limits.names
+        over = len(self.names) - len(self.servers) - self.limits.max_unlisted_names
         gone = (
             old
             for old in self.names
@@ -300,7 +304,7 @@
             raise ValueError("no name, or figures that are none")
         server = self.servers.get(name) or Server(name)
         where = (
-            address(host["dial"], "dial")
+            parse_address(host["dial"], "dial")
             if host.get("dial")
             else self.addresses.get(server)
         )
--- a/wheathill/peers/fallback_probe.py
+++ b/wheathill/peers/fallback_probe.py
@@ -6,7 +6,7 @@
 
 from collections.abc import Callable
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.net.machine import Machine
 from wheathill.peers.connections import Connection
 from wheathill.peers.environment import Clock
@@ -28,7 +28,7 @@
     def __init__(
         self,
         clock: Clock,
-        limits: Limits,
+        limits: ProxyLimits,
         connect: Callable[[Machine], Connection],
         on_result: Callable[[ProbeResult], object],
     ) -> None:
@@ -65,7 +65,7 @@
     def __init__(
         self,
         on_result: Callable[[ProbeResult], None],
-        limits: Limits,
+        limits: ProxyLimits,
         clock: Clock,
     ) -> None:
         super().__init__(None, limits, clock)
--- a/wheathill/peers/show.py
+++ b/wheathill/peers/show.py
@@ -5,14 +5,15 @@
 
 import click
 
-from wheathill.config import Misconfigured, checked, operator
+from wheathill.config import checked, operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.peers.cluster_view import ViewState
 
 WAIT = 5.0  # s
 
 
 def ask(path, request):
-    """One request, one answer. Raises Misconfigured where nobody answers."""
+    """One request, one answer. Raises ConfigurationError where nobody answers."""
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as sock:
             sock.settimeout(WAIT)
@@ -26,13 +27,15 @@
                 text += data
         return json.loads(text)
     except (OSError, ValueError) as wrong:
-        raise Misconfigured(f"{path}: no instance answers there: {wrong}") from None
+        raise ConfigurationError(
+            f"{path}: no instance answers there: {wrong}"
+        ) from None
 
 
 def control_of(path):
-    file = operator.file_of(checked.load(path))
+    file = operator.check_file(checked.load_toml(path))
     if file.peers is None or file.peers.control is None:
-        raise Misconfigured(
+        raise ConfigurationError(
             "peers.control: is missing, so that the instance can't be asked"
         )
     return file.peers.control
--- a/wheathill/peers/streams.py
+++ b/wheathill/peers/streams.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.net.machine import Machine
 from wheathill.peers.connections import Connection
 from wheathill.peers.environment import Clock
@@ -31,7 +31,7 @@
     authenticator: FrameAuthenticator
     metrics: TransportMetrics
     clock: Clock
-    limits: Limits
+    limits: ProxyLimits
 
 
 class PeerStream(Machine):
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -88,7 +88,7 @@
         # The oldest first.
         self._inbound: OrderedDict[InboundStream, None] = OrderedDict()
         self._max_inbound = max(
-            MIN_INBOUND_STREAMS, int(carrier.limits.sockets * INBOUND_STREAMS_PART)
+            MIN_INBOUND_STREAMS, int(carrier.limits.max_sockets * INBOUND_STREAMS_PART)
         )
         self._server = carrier.listen(
             self._accept_stream, listen, self._make_room_for_stream
--- a/wheathill/simulator/adapter.py
+++ b/wheathill/simulator/adapter.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable, Iterable
 from typing import Any, NamedTuple, TextIO
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.simulator.simulated_proxy import SimulatedProxy
 from wheathill.simulator.wire import MalformedBatchError, decode_batch, encode_orders
 
@@ -49,7 +49,7 @@
 
         Raises:
             MalformedBatchError: the batch or an event in it can't be read.
-            Misconfigured: an instance is started with wrong settings.
+            ConfigurationError: an instance is started with wrong settings.
         """
         now_ms, events = decode_batch(line)
         orders: Orders = []
@@ -108,7 +108,7 @@
     for number, line in enumerate(source, 1):
         try:
             answer = adapter.answer(line)
-        except (MalformedBatchError, Misconfigured) as error:
+        except (MalformedBatchError, ConfigurationError) as error:
             print(f"line {number}: {error}", file=sys.stderr)
             return MALFORMED_INPUT
         output.write(answer)
--- a/wheathill/simulator/simulated_proxy.py
+++ b/wheathill/simulator/simulated_proxy.py
@@ -8,7 +8,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from wheathill.config import Reader, read_listeners, read_policy
+from wheathill.config.listener_settings import read_listeners
+from wheathill.config.policy_settings import read_policy
+from wheathill.config.settings_reader import SettingsReader
 from wheathill.model import (
     AttemptOutcome,
     EndpointEntry,
@@ -54,14 +56,14 @@
         """Read the settings; nothing is decided before `start`.
 
         Raises:
-            Misconfigured: the settings are wrong.
+            ConfigurationError: the settings are wrong.
         """
         self.orders = orders
         self._name = name
         self._servers: dict[str, Server] = {}
         self._sessions: dict[str, Session] = {}
         self._handles: dict[Session, str] = {}
-        reader = Reader(settings)
+        reader = SettingsReader(settings)
         self._listeners = read_listeners(reader)
         self._balancer = Balancer(self, random.Random(seed), read_policy(reader))
 
