--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -78,6 +78,8 @@
         "wheathill.net",
         "wheathill.drill",
         "wheathill.peers",
+        "wheathill.peers.zones.service",
+        "wheathill.peers.zones.status",
         "wheathill.store",
         "wheathill.handover",
     ),
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -125,7 +125,7 @@
     for name in list(fleet.zone_of):
         restart(fleet, name, 2)
     through = lambda: all(
-        peers.zones.through("c1") == 2 for peers in fleet.peers.values()
+        peers.zone_directory.adopted_layout("c1") == 2 for peers in fleet.peers.values()
     )
     assert fleet.until(through, 60) is not None
     for name in fleet.names["c1"]:
@@ -170,8 +170,8 @@
     region = [*fleet.names["a1"], *fleet.names["a2"]]
     fleet.cut(region)
     fleet.run(30)
-    assert fleet.peers[wrong].state() == ViewState.PARTITIONED
-    assert {fleet.peers[name].state() for name in fleet.names["a2"]} == {
+    assert fleet.peers[wrong].zone_state() == ViewState.PARTITIONED
+    assert {fleet.peers[name].zone_state() for name in fleet.names["a2"]} == {
         ViewState.CONVERGED
     }
     fleet.cut(region, False)
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -1,8 +1,10 @@
-"""A fleet of zones: the replicated table, delegates, parts of a limit.
+"""A fleet of zones: the replicated table, zone leaders, quotas of a limit.
 
 And whole fleets in the virtual world under faults.
 """
 
+import dataclasses
+import itertools
 import random
 import tomllib
 
@@ -16,6 +18,7 @@
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.frames import Seal
 from wheathill.peers.membership import (
+    Member,
     Membership,
     MembershipConfig,
     MemberState,
@@ -31,19 +34,35 @@
 )
 from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.table_records import RecordCodec
-from wheathill.peers.zoned import DIFFER, HAVE, ZonedPeers
-from wheathill.peers.zones import Zones, decode_summary, encode_summary
+from wheathill.peers.zones.leaders import select_leaders
+from wheathill.peers.zones.messages import (
+    DeltaReply,
+    Heartbeat,
+    HeartbeatReply,
+    TableDigestRequest,
+    TableMessageKind,
+    TableUpdate,
+    decode_table_message,
+)
+from wheathill.peers.zones.record_batches import split_buckets
+from wheathill.peers.zones.service import FRAME_VERSION
+from wheathill.peers.zones.summary_writer import SummaryWriter
+from wheathill.peers.zones.zone_contacts import ZoneContacts
+from wheathill.peers.zones.zone_directory import ZoneDirectory
+from wheathill.peers.zones.zone_quota import ZoneQuota
+from wheathill.peers.zones.zone_summary import ZoneLeader, ZoneSummary
 
 WALL = 1_800_000_000_000.0
 KEY = b"k" * 32
-SUMMARY = [ViewState.CONVERGED, 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
+# A summary as it stands in messages.
+SUMMARY = ["agreed", 3, 3, "ab", [], 1, [["a", "127.0.0.1:1"]]]
 
 
 class Replica:
     """A member's replica of the table, with records encoded as in messages."""
 
     def __init__(self, zones=("e", "w")):
-        self.codec = RecordCodec(zones, decode_summary, encode_summary)
+        self.codec = RecordCodec(zones, ZoneSummary.decode, ZoneSummary.encode)
         self.table = ReplicatedTable(zones)
         self.servers = ServerRecords(self.table)
 
@@ -226,7 +245,38 @@
     assert len(digests) == 1
 
 
-# Delegates and summaries
+# Leaders and summaries
+
+
+def test_a_summary_stands_in_messages_as_a_list():
+    summary = ZoneSummary(
+        state=ViewState.CONVERGED,
+        max_active_proxies=3,
+        reachable_proxies=3,
+        digest="ab",
+        unreachable_zones=(),
+        layout_version=1,
+        leaders=(ZoneLeader("a", "127.0.0.1:1"),),
+    )
+    assert summary.encode() == SUMMARY
+    assert type(summary.encode()[0]) is str
+    assert ZoneSummary.decode(SUMMARY) == summary
+
+
+@pytest.mark.parametrize(
+    ("message", "words"),
+    [
+        (TableUpdate([["r"]]), ["news", [["r"]]]),
+        (TableDigestRequest("h:1", [0, 7]), ["differ", "h:1", [0, 7]]),
+        (DeltaReply("h:1", [3], [["r"]]), ["have", "h:1", [3], [["r"]]]),
+        (Heartbeat("h:1", [["r"]]), ["beat", "h:1", [["r"]]]),
+        (HeartbeatReply([["r"]]), ["beaten", [["r"]]]),
+    ],
+)
+def test_messages_of_the_table_keep_their_words(message, words):
+    assert message.encode() == words
+    assert decode_table_message(words[0], words[1:]) == message
+    assert decode_table_message("note", []) is None
 
 
 def layout(parts, was=None, version=1):
@@ -242,67 +292,83 @@
     )
 
 
-def zones(own="e", parts=None, was=None, version=1, held=None):
-    chance = random.Random(1)
-    held = held or ReplicatedTable(parts or ("e", "w"))
-    return Zones(
-        0.0,
-        layout(parts or {"e": 0.5, "w": 0.5}, was, version),
-        own,
-        f"{own}1 5",
-        held,
-        1000.0,
-        chance.shuffle,
-        chance.choice,
-    )
+def summary_of(**changes):
+    """A summary as of `SUMMARY`, but without leaders and with `changes`."""
+    known = dataclasses.replace(ZoneSummary.decode(SUMMARY), leaders=())
+    return dataclasses.replace(known, **changes)
+
+
+class ZoneParts:
+    """What a member of a zone knows of all zones, built upon one table."""
+
+    def __init__(self, own="e", parts=None, was=None, version=1, held=None):
+        self.table = held or ReplicatedTable(parts or ("e", "w"))
+        found = layout(parts or {"e": 0.5, "w": 0.5}, was, version)
+        self.directory = ZoneDirectory(found, own, self.table)
+        self.contacts = ZoneContacts(self.directory, 1000.0, random.Random(1), 0.0)
+        self.quota = ZoneQuota(self.directory)
+        self.writer = self.another_writer(f"{own}1 5")
+
+    def another_writer(self, name):
+        own = self.directory.own.name
+        return SummaryWriter(own, name, self.table, 1000.0, 0.0)
 
 
 def test_equal_views_choose_alike_and_a_death_promotes_the_next():
-    members = [(f"m{place}", place * 7, f"127.0.0.1:{place}") for place in range(187)]
-    one, shuffled = zones(), list(members)
+    members = [
+        Member(
+            name=f"m{place}",
+            address=f"127.0.0.1:{place}",
+            incarnation=0,
+            generation=place * 7,
+            state=MemberState.ALIVE,
+            state_since_ms=0.0,
+        )
+        for place in range(187)
+    ]
+    shuffled = list(members)
     random.Random(3).shuffle(shuffled)
-    chosen = one.delegates(members)
-    assert len(chosen) == 3 and one.delegates(shuffled) == chosen
+    chosen = select_leaders("e", members)
+    assert len(chosen) == 3 and select_leaders("e", shuffled) == chosen
     without = [member for member in members if member != chosen[0]]
-    assert one.delegates(without)[:2] == chosen[1:]
-    assert one.delegates([]) == []
+    assert select_leaders("e", without)[:2] == chosen[1:]
+    assert select_leaders("e", []) == []
 
 
 def test_two_that_take_themselves_for_first_write_ever_more_seldom():
-    held = ReplicatedTable(("e", "w"))
-    one, other = zones(held=held), zones(held=held)
-    other.writer = "e2 6"
+    parts = ZoneParts()
+    one, other = parts.writer, parts.another_writer("e2 6")
     written = []
     for second in range(600):
-        for each, at_work in ((one, 3), (other, 4)):
-            if each.write(
-                second * 1000.0, [ViewState.CONVERGED, at_work, *SUMMARY[2:]]
-            ):
+        for each, max_active in ((one, 3), (other, 4)):
+            summary = summary_of(max_active_proxies=max_active)
+            if each.write(second * 1000.0, summary):
                 written.append(second)
     assert len(written) < 40 and sum(second >= 300 for second in written) < 12
-    assert one.write(601_000.0, held.summary("e").value) is None  # nothing new
-
-
-def test_zones_are_out_of_reach_by_silence_and_stay_so_over_a_change_of_delegates():
-    one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3})
-    assert one.out_of_reach(14_000.0) == [] and len(one.due(1000.0)) == 2
-    one.spoke(10_000.0, "w")
-    assert one.out_of_reach(16_000.0) == ["v"]
-    one.write(16_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v"], 1, []])
-    assert (
-        one.state("w", ViewState.CONVERGED) == ViewState.DIVERGED
-        and one.region_state(ViewState.CONVERGED) == ViewState.CONVERGED
-    )  # nothing told of it yet
-    next_one = zones(parts={"e": 0.4, "w": 0.3, "v": 0.3}, held=one.table)
-    next_one.listen(16_500.0)
-    assert next_one.out_of_reach(17_000.0) == ["v"]
-    next_one.spoke(17_500.0, "v")
-    assert next_one.out_of_reach(18_000.0) == []
-    one.write(30_000.0, [ViewState.CONVERGED, 3, 3, "ab", ["v", "w"], 1, []])
-    assert (
-        one.region_state(ViewState.CONVERGED) == ViewState.PARTITIONED
-        and one.fleet_state(ViewState.CONVERGED) == ViewState.DIVERGED
-    )
+    held = parts.table.summary("e").value
+    assert one.write(601_000.0, held) is None  # nothing new
+
+
+def test_zones_are_unreachable_by_silence_and_stay_so_over_a_change_of_leaders():
+    parts = {"e": 0.4, "w": 0.3, "v": 0.3}
+    one = ZoneParts(parts=parts)
+    assert one.contacts.unreachable_zones(14_000.0) == []
+    assert len(one.contacts.heartbeat_addresses(1000.0)) == 2
+    one.contacts.record_contact(10_000.0, "w")
+    assert one.contacts.unreachable_zones(16_000.0) == ["v"]
+    one.writer.write(16_000.0, summary_of(unreachable_zones=("v",)))
+    # Of "w" nothing is stated yet.
+    converged = ViewState.CONVERGED
+    assert one.directory.state("w", converged) == ViewState.DIVERGED
+    assert one.directory.region_state(converged) == converged
+    next_one = ZoneParts(parts=parts, held=one.table)
+    next_one.contacts.restart(16_500.0)
+    assert next_one.contacts.unreachable_zones(17_000.0) == ["v"]
+    next_one.contacts.record_contact(17_500.0, "v")
+    assert next_one.contacts.unreachable_zones(18_000.0) == []
+    one.writer.write(30_000.0, summary_of(unreachable_zones=("v", "w")))
+    assert one.directory.region_state(converged) == ViewState.PARTITIONED
+    assert one.directory.fleet_state(converged) == ViewState.DIVERGED
 
 
 # Limits
@@ -316,54 +382,52 @@
             f"z{place}": after - before
             for place, (before, after) in enumerate(zip([0.0, *cuts], [*cuts, 1.0]))
         }
-        each = [zones(name, parts) for name in parts]
+        each = [ZoneParts(name, parts).quota for name in parts]
         whole = chance.choice((0.2, 0.9, 1.0, 3.7, 40.0))
         for server in range(20):
             total = sum(
-                one.rounded(f"g{server}", whole * one.own.quota) for one in each
+                one.round_permits(f"g{server}", whole * part)
+                for one, part in zip(each, parts.values())
             )
             assert whole - 1 - 1e-6 <= total <= whole + 1 + 1e-6, (seed, total)
-    one = zones("e", {"e": 0.25, "w": 0.75})
-    assert (
-        abs(
-            sum(one.rounded(f"g{server}", 0.25 * 1.2) for server in range(4000)) / 4000
-            - 0.3
-        )
-        < 0.03
-    )
+    one = ZoneParts("e", {"e": 0.25, "w": 0.75}).quota
+    permits = [one.round_permits(f"g{server}", 0.25 * 1.2) for server in range(4000)]
+    assert abs(sum(permits) / 4000 - 0.3) < 0.03
 
 
 def through(held, zone, version):
-    value = [ViewState.CONVERGED, 4, 4, "ab", [], version, []]
-    held.write_summary(zone, "x", value)
+    summary = summary_of(
+        max_active_proxies=4, reachable_proxies=4, layout_version=version
+    )
+    held.write_summary(zone, "x", summary)
 
 
-def test_a_part_grows_only_once_those_that_give_are_through():
+def test_a_quota_grows_only_once_the_zones_that_shrink_are_through():
     parts, was = {"e": 0.2, "v": 0.3, "w": 0.5}, {"e": 0.4, "v": 0.3, "w": 0.3}
     held = ReplicatedTable(parts)
     giving, taking, other = (
-        zones(name, parts, was, 2, held) for name in ("e", "w", "v")
+        ZoneParts(name, parts, was, 2, held).quota for name in ("e", "w", "v")
     )
-    assert (giving.part(), taking.part(), other.part()) == (0.2, 0.3, 0.3)
+    assert (giving.quota(), taking.quota(), other.quota()) == (0.2, 0.3, 0.3)
     through(held, "w", 2)
     through(held, "e", 1)
-    assert taking.part() == 0.3
+    assert taking.quota() == 0.3
     through(held, "e", 2)
-    assert (giving.part(), taking.part(), other.part()) == (0.2, 0.5, 0.3)
+    assert (giving.quota(), taking.quota(), other.quota()) == (0.2, 0.5, 0.3)
 
 
 def test_a_layout_that_is_behind_takes_nothing():
     held = ReplicatedTable(("e", "w"))
-    one = zones(version=2, held=held)
+    one = ZoneParts(version=2, held=held).quota
     through(held, "e", 2)
-    assert one.part() == 0.5
-    one.told_layout(3)
-    assert one.part() == 0.5
+    assert one.quota() == 0.5
+    one.record_layout_version(3)
+    assert one.quota() == 0.5
     through(held, "e", 3)  # its own zone is through with a later one
-    assert one.part() == 0.0
-    other = zones(version=2)
-    other.told_layout(4)
-    assert other.part() == 0.0
+    assert one.quota() == 0.0
+    other = ZoneParts(version=2).quota
+    other.record_layout_version(4)
+    assert other.quota() == 0.0
 
 
 # Whole states only as differences
@@ -471,9 +535,9 @@
     send_words = one.send_words
 
     def lossy(address, words, is_bulk=False):
-        if words[0] == DIFFER:
+        if words[0] == TableMessageKind.DIGEST_REQUEST:
             asked.append(fleet.clock.now())
-        if words[0] != DIFFER or len(asked) > 1:
+        if words[0] != TableMessageKind.DIGEST_REQUEST or len(asked) > 1:
             send_words(address, words, is_bulk)
 
     one.send_words = lossy
@@ -493,21 +557,22 @@
     fleet = small(4)
     fleet.run(8)
     one, asked = fleet.peers["a1-1"], []
-    ask, learn = one.ask, one.learn
-    one.ask = lambda address, since, tries: (
-        asked.append(since),
-        ask(address, since, tries),
+    requests = one.table_anti_entropy
+    send_request, merge_records = requests.send_request, one.merge_records
+    requests.send_request = lambda address, first_sent_ms, attempts_left: (
+        asked.append(first_sent_ms),
+        send_request(address, first_sent_ms, attempts_left),
     )
     # It never gets one half of them, so that its table is another for good, and changes all the time.
-    one.learn = lambda now, records, zone: learn(
-        now, [each for each in records if each.key[-1] not in "13579"], zone
+    one.merge_records = lambda now_ms, records, zone: merge_records(
+        now_ms, [each for each in records if each.key[-1] not in "13579"], zone
     )
     for number in range(80):
         fleet.change(f"news {number}", "c1-1")
         fleet.run(0.1)
     # What is asked again has the time of the first question.
     times = list(dict.fromkeys(asked))
-    gaps = [later - earlier for earlier, later in zip(times, times[1:])]
+    gaps = [later - earlier for earlier, later in itertools.pairwise(times)]
     assert len(times) >= 6 and 1000.0 <= min(gaps) and max(gaps) < 1500.0, gaps
 
 
@@ -519,20 +584,24 @@
     one.links.stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
-    found = one.encoded_by_bucket(range(replicated_table.BUCKETS))
-    told = list(one.parts(found))
+    buckets = range(replicated_table.BUCKETS)
+    found = one.table_anti_entropy.encoded_by_bucket(buckets)
+    told = list(split_buckets(found))
     assert len(told) > 4 and [
-        bucket for buckets, _ in told for bucket in buckets
+        bucket for batch in told for bucket in batch.buckets
     ] == list(found)
     assert all(
-        [record for bucket in buckets for record in found[bucket]] == records
-        for buckets, records in told
+        [record for bucket in batch.buckets for record in found[bucket]]
+        == batch.records
+        for batch in told
     )
     fleet.kill("a1-2")
     fleet.start("a1-2")
     fleet.run(4)
     assert fleet.peers["a1-2"].replicated_table.digest == one.replicated_table.digest
-    assert [words for _, words in streams if words[-1][0] == HAVE] == []
+    assert [
+        words for _, words in streams if words[-1][0] == TableMessageKind.DELTA_REPLY
+    ] == []
 
 
 def test_a_region_that_is_cut_off_goes_on_as_a_region_and_both_sides_meet_again():
@@ -579,7 +648,7 @@
         fleet.kill(name)
     fleet.run(20)
     assert (
-        fleet.peers["b1-0"].zones.at_work(5) == 18
+        fleet.peers["b1-0"].zone_directory.max_active_proxies(5) == 18
     )  # nobody's death says that its part is free
     for name in fleet.names["a1"]:
         fleet.start(name)
@@ -614,14 +683,14 @@
     assert took is not None and took < 12, took
 
 
-def test_two_sets_of_delegates_while_a_zone_is_parted_in_itself():
+def test_two_sets_of_leaders_while_a_zone_is_parted_in_itself():
     fleet = small(4)
     fleet.run(4)
     some = fleet.names["b1"][:2]
     fleet.cut(some)
     fleet.run(30)
     sets = {
-        tuple(name for name, _, _ in fleet.peers[name].delegates())
+        tuple(leader.name for leader in fleet.peers[name].zone_leaders())
         for name in fleet.names["b1"]
     }
     assert len(sets) == 2
@@ -654,7 +723,7 @@
         ordinary = [
             rate
             for name, (rate, _) in rates.items()
-            if name not in [each for each, _, _ in fleet.peers[name].delegates()]
+            if name not in [each.name for each in fleet.peers[name].zone_leaders()]
         ]
         found.append(sum(ordinary) / len(ordinary))
     assert found[1] < 1.15 * found[0], found
@@ -687,7 +756,7 @@
         fleet.states()
     )
     for name, peers in fleet.peers.items():
-        assert abs(peers.zones.part() - parts[fleet.zone_of[name]]) < 1e-9
+        assert abs(peers.zone_quota.quota() - parts[fleet.zone_of[name]]) < 1e-9
     assert abs(sum(peers.quota_in_force for peers in fleet.peers.values()) - 1.0) < 1e-9
 
 
@@ -696,7 +765,7 @@
 
 def test_instances_with_and_without_zones_refuse_each_other():
     one, other = Seal("c", KEY, "a", 1), Seal("c", KEY, "b", 2)
-    one.VERSION = ZonedPeers.VERSION
+    one.VERSION = FRAME_VERSION
     assert dropped(other.open, one.close(2, ["x"])) == "another version"
     assert dropped(one.open, other.close(1, ["x"])) == "another version"
 
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -231,8 +231,8 @@
         found = {}
         for name in [name for name in names or self.peers if name in self.peers]:
             peers = self.peers[name]
-            mine = peers.state()
-            state = mine, peers.zones.region_state(mine), peers.zones.fleet_state(mine)
+            mine, directory = peers.zone_state(), peers.zone_directory
+            state = mine, directory.region_state(mine), directory.fleet_state(mine)
             found[state] = found.get(state, 0) + 1
         return found
 
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -12,8 +12,10 @@
 from wheathill.peers.membership.name_conflicts import NameOwnership
 from wheathill.peers.membership.refutation import Refutation
 from wheathill.peers.membership.updates import UpdateHandler
-from wheathill.peers.zoned import ZonedPeers
-from wheathill.peers.zones import Zones
+from wheathill.peers.zones.table_anti_entropy import TableAntiEntropy
+from wheathill.peers.zones.table_gossip import TableGossip
+from wheathill.peers.zones.zone_contacts import ZoneContacts
+from wheathill.peers.zones.zone_quota import ZoneQuota
 from wheathill.policy.balancer import Balancer
 
 
@@ -90,22 +92,16 @@
 
 
 def takes_its_zone_for_all():
-    Zones.part = lambda self: 1.0
+    ZoneQuota.quota = lambda self: 1.0
 
 
 def keeps_news_in_its_zone():
-    tell_on = ZonedPeers.tell_on
-
-    def within(self):
-        self.abroad = {}
-        tell_on(self)
-
-    ZonedPeers.tell_on = within
-    ZonedPeers.ask_difference = lambda self, now, address: None
+    TableGossip._take_pending_for_other_zones = lambda self: {}
+    TableAntiEntropy.request_difference = lambda self, now_ms, address: None
 
 
 def holds_on_to_a_zone_that_is_cut_off():
-    Zones.out_of_reach = lambda self, now: []
+    ZoneContacts.unreachable_zones = lambda self, now_ms: []
 
 
 MUTANTS = {
--- a/wheathill/peers/__init__.py
+++ b/wheathill/peers/__init__.py
@@ -28,6 +28,6 @@
         from wheathill.peers.peer_service import PeerService
 
         return PeerService(settings, environment, generation, expected_proxies)
-    from wheathill.peers.zoned import ZonedPeers
+    from wheathill.peers.zones.service import ZonedPeerService
 
-    return ZonedPeers(settings, environment, generation, expected_proxies)
+    return ZonedPeerService(settings, environment, generation, expected_proxies)
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -60,7 +60,7 @@
 
 
 class PeerService:
-    """A proxy's part in a cluster without zones; with zones see `zoned`.
+    """A proxy's part in a cluster without zones; with zones see `zones.service`.
 
     `generation` is a number that no other process of this name has.
     `expected_proxies`: how many the configuration names, this one included. Raises
