--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -9,14 +9,14 @@
 import tomllib
 
 import pytest
-from test_peers import dropped
+from test_peers import authenticator, rejected
 
 from wheathill.config import Misconfigured, operator
 from wheathill.config.peers import ZoneLayout, ZoneSettings
 from wheathill.lab.cores.fleets import Fleet
 from wheathill.peers import replicated_table
 from wheathill.peers.cluster_view import ViewState
-from wheathill.peers.frames import Seal
+from wheathill.peers.frames import RejectReason
 from wheathill.peers.membership import (
     Member,
     Membership,
@@ -44,7 +44,6 @@
     TableUpdate,
     decode_table_message,
 )
-from wheathill.peers.zones.record_batches import split_buckets
 from wheathill.peers.zones.service import FRAME_VERSION
 from wheathill.peers.zones.summary_writer import SummaryWriter
 from wheathill.peers.zones.zone_contacts import ZoneContacts
@@ -581,12 +580,12 @@
     fleet = small(5)
     fleet.run(8)
     one, streams = fleet.peers["a1-1"], []
-    one.links.stream = lambda *told: streams.append(told)
+    one.transport.send_by_stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
     buckets = range(replicated_table.BUCKETS)
     found = one.table_anti_entropy.encoded_by_bucket(buckets)
-    told = list(split_buckets(found))
+    told = list(one.record_batcher.split_buckets(found))
     assert len(told) > 4 and [
         bucket for batch in told for bucket in batch.buckets
     ] == list(found)
@@ -764,10 +763,11 @@
 
 
 def test_instances_with_and_without_zones_refuse_each_other():
-    one, other = Seal("c", KEY, "a", 1), Seal("c", KEY, "b", 2)
-    one.VERSION = FRAME_VERSION
-    assert dropped(other.open, one.close(2, ["x"])) == "another version"
-    assert dropped(one.open, other.close(1, ["x"])) == "another version"
+    one, other = authenticator("a", 1), authenticator("b", 2)
+    one.version = FRAME_VERSION
+    version = RejectReason.OTHER_VERSION
+    assert rejected(other.decode_frame, one.encode_frame(2, ["x"])) is version
+    assert rejected(one.decode_frame, other.encode_frame(1, ["x"])) is version
 
 
 FILE = """
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -31,6 +31,7 @@
     TableMessage,
     decode_table_message,
 )
+from wheathill.peers.zones.record_batches import RecordBatcher
 from wheathill.peers.zones.replicated_updates import ReplicatedServerUpdates
 from wheathill.peers.zones.status import ZonedStatus, ZoneStatusSources
 from wheathill.peers.zones.summary_writer import SummaryWriter
@@ -68,15 +69,17 @@
         # What the whole fleet expects is of no concern: the view is of the own zone.
         expected = max(1, self._layout.zone(self._zone).proxies)
         super().__init__(settings, environment, generation, expected)
-        self.seal.VERSION = FRAME_VERSION
+        self.authenticator.version = FRAME_VERSION
         # A process that starts where it reaches nobody can't know that others took over
         # the quota of the process before it.
         self.cluster_view.minimum_proxies = expected
         self._announcements = ViewAnnouncements(settings.probe_interval_ms)
         # Of region and fleet, as last logged.
         self._logged_states: tuple[ViewState, ViewState] | None = None
+        batcher = RecordBatcher(self.authenticator.encoded_size)
+        self.record_batcher = batcher
         self.table_gossip = TableGossip(
-            settings.name, self.clock, self.random, self.record_codec, self
+            settings.name, self.clock, self.random, self.record_codec, batcher, self
         )
         self.table_anti_entropy = TableAntiEntropy(
             settings.advertise_address,
@@ -84,6 +87,7 @@
             settings.probe_interval_ms,
             self.replicated_table,
             self.record_codec,
+            batcher,
             self,
         )
 
@@ -244,23 +248,20 @@
         """
         started_ms = self.clock.now()
 
-        def on_result(result: str) -> None:
-            found = ProbeResult(result)
-            if found == ProbeResult.REACHABLE and self._is_replaced(probe, started_ms):
-                found = ProbeResult.REFUSED
-            self.membership.on_fallback_probe_result(self.clock.now(), probe, found)
+        def on_result(result: ProbeResult) -> None:
+            if result is ProbeResult.REACHABLE and self._is_replaced(probe, started_ms):
+                result = ProbeResult.REFUSED
+            self.membership.on_fallback_probe_result(self.clock.now(), probe, result)
 
-        self.links.knock(probe.address, probe.timeout_ms, on_result)
+        self.transport.start_fallback_probe(probe.address, probe.timeout_ms, on_result)
 
     def _is_replaced(self, probe: FallbackProbe, started_ms: float) -> bool:
         """Tell whether another process has the address of the one that is probed."""
         member = self.membership.members.get(probe.name)
-        peer = self.links.peers.get(probe.address)
         return (
             member is not None
             and member.last_seen_ms <= started_ms
-            and peer is not None
-            and probe.generation in peer.past
+            and self.transport.is_replaced(probe.address, probe.generation)
         )
 
     # Leaders of the own zone
--- a/wheathill/peers/zones/table_anti_entropy.py
+++ b/wheathill/peers/zones/table_anti_entropy.py
@@ -17,7 +17,7 @@
     TableDigestRequest,
     TableUpdate,
 )
-from wheathill.peers.zones.record_batches import split_buckets, split_records
+from wheathill.peers.zones.record_batches import RecordBatcher
 from wheathill.peers.zones.zone_summary import ZoneSummary
 
 # Requests under way, and requests answered, in a probe interval: a bound on what
@@ -43,6 +43,7 @@
         probe_interval_ms: float,
         table: ReplicatedTable[ZoneSummary],
         codec: RecordCodec[ZoneSummary],
+        batcher: RecordBatcher,
         effects: ReplicationEffects,
     ) -> None:
         self._address = address
@@ -50,6 +51,7 @@
         self._interval_ms = probe_interval_ms
         self._table = table
         self._codec = codec
+        self._batcher = batcher
         self._effects = effects
         # When the own replica last changed, and was last the same as another's.
         self._changed_ms = self._same_ms = clock.now()
@@ -142,7 +144,7 @@
         records = self._codec.decode_all(reply.records)
         newer = self._table.newer_records(reply.buckets, records)
         self._effects.merge_records(now_ms, records, zone)
-        for batch in split_records(self._codec.encode_all(newer)):
+        for batch in self._batcher.split_records(self._codec.encode_all(newer)):
             self._effects.send_table_message(reply.reply_address, TableUpdate(batch))
 
     # The answerer's part
@@ -156,7 +158,7 @@
             return
         self._answered_in_interval += 1
         buckets = self._table.differing_buckets(request.bucket_digests)
-        for batch in split_buckets(self.encoded_by_bucket(buckets)):
+        for batch in self._batcher.split_buckets(self.encoded_by_bucket(buckets)):
             reply = DeltaReply(self._address, batch.buckets, batch.records)
             self._effects.send_table_message(request.reply_address, reply)
 
--- a/wheathill/peers/zones/table_gossip.py
+++ b/wheathill/peers/zones/table_gossip.py
@@ -12,7 +12,7 @@
 from wheathill.peers.table_records import RecordCodec
 from wheathill.peers.zones.effects import ReplicationEffects, ZoneTableRecord
 from wheathill.peers.zones.messages import TableUpdate
-from wheathill.peers.zones.record_batches import split_records
+from wheathill.peers.zones.record_batches import RecordBatcher
 from wheathill.peers.zones.zone_summary import ZoneSummary
 
 # Members that a record is passed on to.
@@ -33,12 +33,14 @@
         clock: Clock,
         rng: random.Random,
         codec: RecordCodec[ZoneSummary],
+        batcher: RecordBatcher,
         effects: ReplicationEffects,
     ) -> None:
         self._name = name
         self._clock = clock
         self._random = rng
         self._codec = codec
+        self._batcher = batcher
         self._effects = effects
         # By key; the latest record of each is sent.
         self._pending: dict[str, ZoneTableRecord] = {}
@@ -91,6 +93,7 @@
     def _send(
         self, addresses: Iterable[str], records: dict[str, ZoneTableRecord]
     ) -> None:
-        for batch in split_records(self._codec.encode_all(records.values())):
+        encoded = self._codec.encode_all(records.values())
+        for batch in self._batcher.split_records(encoded):
             for address in addresses:
                 self._effects.send_table_message(address, TableUpdate(batch))
