--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,6 +20,7 @@
 import time
 from collections import Counter
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.policy.balancer import Balancer
 
@@ -67,19 +68,19 @@
         if self.loud:
             self.lines.append(f"{self.now:8.0f} {text}")
 
-    def dial(self, sess, server, time_out):
-        self.say(f"{self.names[sess]} dials {server.name} for {time_out:.0f}")
+    def start_attempt(self, session, server, timeout_ms):
+        self.say(f"{self.names[session]} dials {server.name} for {timeout_ms:.0f}")
 
-    def refuse(self, sess, come_back_after):
-        self.say(f"{self.names[sess]} refused, back after {come_back_after:.0f}")
+    def reject(self, session, retry_after_ms):
+        self.say(f"{self.names[session]} refused, back after {retry_after_ms:.0f}")
 
-    def tear_down(self, sess):
-        self.say(f"{self.names[sess]} torn down")
+    def fail(self, session):
+        self.say(f"{self.names[session]} torn down")
 
-    def move(self, sess):
-        self.say(f"{self.names[sess]} moved off {sess.server.name}")
+    def migrate(self, session):
+        self.say(f"{self.names[session]} moved off {session.server.name}")
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probes += 1
         if not self.answers:
             return
@@ -93,13 +94,13 @@
     def answer(self, server):
         load = self.loads.get(server.name)
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
-        self.balancer.on_probed(self.now, server, answer, [load])
+        self.balancer.on_probe_result(self.now, server, answer, [load])
 
-    def follow_list(self, on):
-        self.say(f"follows the list: {on}")
+    def poll_endpoint_list(self, enabled):
+        self.say(f"follows the list: {enabled}")
 
-    def alarm(self, name, at):
-        self.alarms.append((at, len(self.alarms), name))
+    def set_timer(self, name, at_ms):
+        self.alarms.append((at_ms, len(self.alarms), name))
 
     def log(self, text):
         self.say(f"log: {text}")
@@ -116,11 +117,11 @@
                 name, Server(name, zone=len(self.servers) % 2)
             )
             found.append((server, phase, 1.0, started))
-        self.balancer.on_list(self.now, kind, found)
+        self.balancer.on_endpoint_update(self.now, kind, found)
 
     def hand(self, name, out):
         self.say(f"{name} {'out by hand' if out else 'put back'}")
-        self.balancer.on_hand(self.now, name, out, self.servers.get(name))
+        self.balancer.set_maintenance(self.now, name, out, self.servers.get(name))
 
     def session(self, name, listener=None, key=None, left=2000.0, **more):
         sess = Session(
@@ -133,7 +134,7 @@
     def accept(self, name, **more):
         sess = self.session(name, **more)
         if not sess.has_ended:
-            self.balancer.on_accepted(self.now, sess)
+            self.balancer.on_session_accepted(self.now, sess)
         return sess
 
     def outcome(self, sess, outcome, closed=False):
@@ -148,7 +149,7 @@
             if isinstance(alarm[2], Server):
                 self.answer(alarm[2])
             else:
-                self.balancer.on_alarm(self.now, alarm[2])
+                self.balancer.on_timer(self.now, alarm[2])
         self.now = then
 
     def pass_time(self, then):
@@ -158,7 +159,7 @@
             self.loud, loud = False, self.loud
             sess = self.session(f"passing {self.now:.0f}")
             if not sess.has_ended:
-                self.balancer.on_accepted(self.now, sess)
+                self.balancer.on_session_accepted(self.now, sess)
                 self.balancer.on_outcome(self.now, sess, AttemptOutcome.COMPLETED, True)
             self.loud = loud
 
@@ -168,7 +169,7 @@
         )
 
     def shares(self):
-        table = self.balancer.table
+        table = self.balancer.slot_table
         for name, server in sorted(self.servers.items()):
             self.say(
                 f"{name}: {table.current.count(server)} slots, {table.new.count(server)} to come"
@@ -312,7 +313,7 @@
     def begin_beside(self):
         self.old.append(self.process)
         self.begin()
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
 
     def call(self, text, admin=None):
         """One call at the operators' door, as a line; the object that answers it."""
@@ -324,7 +325,7 @@
         return json.loads(body)
 
     def __enter__(self):
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
         return self
 
     def __exit__(self, *_):
@@ -422,7 +423,7 @@
         client.hear()
         return client, server
 
-    def reload(self, then="reloaded", **changed):
+    def reload(self, then=LogEvent.CONFIGURATION_RELOADED, **changed):
         self.path.write_text(json.dumps({**self.config, **changed}))
         self.process.send_signal(signal.SIGHUP)
         found = self.until_logged(then)
@@ -439,7 +440,7 @@
 
     def stop(self):
         self.process.send_signal(signal.SIGTERM)
-        self.until_logged("stopping")
+        self.until_logged(LogEvent.SHUTDOWN_STARTED)
 
     def end(self):
         self.lines.append(f"proxy exits with {self.process.wait(8)}")
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -20,6 +20,7 @@
 
 from wheathill.config import node_of
 from wheathill.handover.coordinator import UpgradeCoordinator
+from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
@@ -181,7 +182,12 @@
         self.receiver = self.transport.last_connection if beside else None
 
     def note(self, event, **values):
-        if "hand" in event or event in ("took over", "accepting", "fault"):
+        if "hand" in event or event in (
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+            LogEvent.INTERNAL_ERROR,
+            LogEvent.MAINTENANCE_ENTERED,
+        ):
             values.pop("after", None)
             self.events.append((event, values))
 
@@ -239,19 +245,25 @@
     servers["a"].last_late_message_ms = servers["b"].last_received_ms = servers[
         "a"
     ].last_probe_ms = float("-inf")
-    table = balancer.table
+    table = balancer.slot_table
     for place in range(3):
         slot = [
             slot for slot, server in enumerate(table.current) if server is servers["b"]
         ][10 * place]
-        table.new[slot], table.opened[slot] = servers["a"], 69_000.0 + place
-    for number, known in enumerate((table.moved, table.exceptions)):
+        table.new[slot], table.transition_started_ms[slot] = (
+            servers["a"],
+            69_000.0 + place,
+        )
+    for number, known in enumerate((table.moved_keys, table.exception_keys)):
         known["key é"] = servers["ab"[number]], 69_600.5
         known["second"] = servers["ba"[number]], 69_700.0
-    balancer.levels.bearable, balancer.probes.earned = 12.75, 3.5
-    balancer.first.window, balancer.first.next_at = 17.5, 69_999.0
-    balancer.budget.spent.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
-    balancer.health.dials.extend(
+    balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.earned = (
+        12.75,
+        3.5,
+    )
+    balancer.admission.window, balancer.admission.next_at = 17.5, 69_999.0
+    balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
+    balancer.outlier_detector.dials.extend(
         [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
     )
     proxy.ids.update({"id-over": None, "id ü": None})
@@ -408,7 +420,7 @@
             ]
         )
         for event, values in events
-        if event != "accepting"
+        if event != LogEvent.ACCEPTING_CONNECTIONS
     )
 
 
@@ -602,7 +614,10 @@
         assert old.transport.dropped == 2 * len(SESSIONS)
     else:
         assert new.transport.adopted == 2 * len(SESSIONS)
-        assert [event for event, _ in new.events][:2] == ["took over", "accepting"]
+        assert [event for event, _ in new.events][:2] == [
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+        ]
 
 
 def test_a_state_from_before_is_passed_on_as_it_came():
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -22,6 +22,7 @@
 from wheathill.handover.snapshot import collect_snapshot
 from wheathill.handover.state_codec import encode_snapshot
 from wheathill.handover.state_receiver import StateReceiver
+from wheathill.log_events import LogEvent
 from wheathill.model import Session, UpdateKind
 from wheathill.net import bans
 from wheathill.net.admin import Call
@@ -133,7 +134,7 @@
     ) as rig:
         rig.call("GET /status")
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         silent = [socket.create_connection(rig.admin) for _ in range(40)]
         for caller in silent[20:]:
             caller.sendall(b"GET /sta")
@@ -164,7 +165,7 @@
         settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         name = server.name[-1]
         other = "b" if name == "a" else "a"
@@ -185,7 +186,7 @@
         rig.up("k2", (name, other))
         rig.begin_beside()
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         rig.up("k3", (name, other))
         in_the_way = f"{bans_of(rig)}.{rig.process.pid}"
         os.mkdir(in_the_way)
@@ -213,7 +214,7 @@
         Hand("clock", []),
         lambda *_, **__: None,
     )
-    proxy.balancer.actions = Hand("", [])
+    proxy.balancer.effects = Hand("", [])
     proxy.now = lambda: 70_000.0
     return proxy
 
@@ -251,19 +252,19 @@
         },
         UpdateKind.SNAPSHOT,
     )
-    old.balancer.on_hand(70_000.0, "d", True, old.servers["d"])
+    old.balancer.set_maintenance(70_000.0, "d", True, old.servers["d"])
     for number in range(5):
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
         sess.accepted_ms = 70_000.0
-        old.balancer.on_carried(70_000.0, sess, old.servers["a"])
+        old.balancer.on_session_handed_over(70_000.0, sess, old.servers["a"])
         old.ids[f"id {number}"] = sess
-    old.balancer.levels.sample(70_000.0, old.servers["a"], [0.5])
-    old.balancer.health.dialled(70_000.0, old.servers["a"], False)
-    table = old.balancer.table
+    old.balancer.load_estimator.record_sample(70_000.0, old.servers["a"], [0.5])
+    old.balancer.outlier_detector.dialled(70_000.0, old.servers["a"], False)
+    table = old.balancer.slot_table
     slot = table.current.index(old.servers["b"])
     table.sessions[slot][sess] = None
-    table.redirect(70_000.0, slot, old.servers["a"])
-    table.place(70_000.0, "moved", slot)
+    table.redirect_slot(70_000.0, slot, old.servers["a"])
+    table.assign(70_000.0, "moved", slot)
     parts = state_messages(old)
 
     def took(proxy, parts):
@@ -272,7 +273,7 @@
 
     assert took(new, parts) == parts
     assert (
-        not new.balancer.roster.may_dial(70_000.0, new.servers["d"], False)
+        not new.balancer.endpoint_list.may_attempt(70_000.0, new.servers["d"], False)
         and new.seen == 7
     )
     before = encoded_state(third)
@@ -356,11 +357,11 @@
         table[name] = table[name][:512]
     table["new"][3], table["opened"] = 0, [[3, 70_000.0]]
     apply_state(new, parts)
-    mine, theirs = new.balancer.table, old.balancer.table
+    mine, theirs = new.balancer.slot_table, old.balancer.slot_table
     assert [server.name for server in mine.current] == [
         server.name for server in theirs.current
     ]
-    assert mine.size == 4096 and not any(mine.new) and not mine.opened
+    assert mine.size == 4096 and not any(mine.new) and not mine.transition_started_ms
     table["new"] = table["new"][:-1]
     with pytest.raises(ValueError):
         apply_state(large(), parts)
@@ -416,7 +417,9 @@
     proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
     assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.names)
     proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
-    assert names[0][0] not in {server.name for server in proxy.balancer.roster.servers}
+    assert names[0][0] not in {
+        server.name for server in proxy.balancer.endpoint_list.servers
+    }
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
         proxy.listed(
@@ -518,7 +521,7 @@
         settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}},
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         server.say("half a li", end="")
         client.hear_bytes(9)
@@ -529,8 +532,8 @@
         rig.client("client that asks").ask("PING")  # so the one before it was let in
         old = rig.admin
         rig.begin_beside()
-        rig.until_logged("took over")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
+        rig.until_logged(LogEvent.READY)
         rig.watched("a", "b")
         rig.call("GET /status", old)
         rig.call("GET /status")
@@ -555,7 +558,7 @@
         rig.up("k4")
         rig.call("GET /status/metrics")
         rig.begin_beside()  # a second upgrade, at once
-        rig.until_logged("took over")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
         rig.watched("a", "b")
         client.say("and here")
         server.hear()
@@ -567,7 +570,7 @@
     something else, and by one that says nothing."""
     with Rig(inherited=True) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         for version, name in ((VERSION + 1, "n0"), (VERSION, "n9")):
             partner = Partner(rig)
@@ -594,9 +597,9 @@
         rig.lines.append(
             f"sessions on their way: {len(found['sessions'])}, handles {len(partner.handles)}"
         )
-        rig.until_logged("handed over")
+        rig.until_logged(LogEvent.HANDOVER_SENT)
         partner.close()
-        rig.until_logged("handover undone")
+        rig.until_logged(LogEvent.HANDOVER_ROLLED_BACK)
         client.say("two")
         server.hear()
         server.say("three")
@@ -604,7 +607,7 @@
         rig.up("k5")
         partner = Partner(rig)
         partner.take_over()
-        rig.until_logged("handover undone")  # it says nothing for too long
+        rig.until_logged(LogEvent.HANDOVER_ROLLED_BACK)  # it says nothing for too long
         rig.up("k6")
         rig.call("GET /status")
         partner.close()
@@ -619,7 +622,7 @@
         inherited=True, settings={"obligations": {"drainGraceS": 0.5, "coldS": 0}}
     ) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         client, server = rig.up()
         rig.reload()
         rig.old.append(rig.process)
@@ -627,12 +630,12 @@
         second, _ = rig.process, rig.old.append(rig.process)
         rig.begin()
         rig.old[0].terminate()
-        rig.until_logged("accepting")
+        rig.until_logged(LogEvent.ACCEPTING_CONNECTIONS)
         rig.process, third = second, rig.process
-        rig.until_logged("accepting")
+        rig.until_logged(LogEvent.ACCEPTING_CONNECTIONS)
         # Whichever came first was taken over from by the other.
         found = {
-            process: rig.process_says(process, "handed over")
+            process: rig.process_says(process, LogEvent.HANDOVER_SENT)
             for process in (second, third)
         }
         last = next(process for process, handed in found.items() if not handed)
@@ -665,7 +668,7 @@
     """The new process starts as from nothing, says so, and keeps who is out by hand."""
     with Rig(inherited=True) as rig:
         rig.watched("a", "b")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         rig.call("PUT /maintenance/enter?host=a")
         path = pathlib.Path(
             next(str(path) for path in pathlib.Path(rig.folder.name).glob("*.up"))
@@ -687,7 +690,9 @@
                     pass
                 if pieces:
                     partner.sock.shutdown(socket.SHUT_WR)
-                found = rig.until_logged(("no handover", "bad handover"))
+                found = rig.until_logged(
+                    (LogEvent.HANDOVER_UNAVAILABLE, LogEvent.HANDOVER_ERROR)
+                )
                 rig.lines.append(
                     f"{what}: {found['event']}, {found.get('why') or found.get('what')}"
                 )
@@ -707,7 +712,7 @@
     )
     with Rig(names=("s-1", "s-2")) as rig:
         rig.watched("s-1", "s-2")
-        rig.until_logged("ready")
+        rig.until_logged(LogEvent.READY)
         for method, target, status, body in calls:
             found = rig.call(f"{method or 'GET'} {target}")
             assert rig.lines[-1].split()[2] == status and (
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -19,6 +19,7 @@
 from wheathill.lab.scale.memory import resident_mb
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.net.log import Log
 
 
@@ -47,15 +48,15 @@
         )
         serving.add_done_callback(
             lambda task: self.log(
-                "fault", what=repr(task.exception() or "it has ended")
+                LogEvent.INTERNAL_ERROR, what=repr(task.exception() or "it has ended")
             )
         )
 
     def join(self, create, told, environment, _birth, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
-        takes, told_by_peers = proxy.balancer.on_fleet, proxy.told_by_peers
+        takes, told_by_peers = proxy.balancer.on_quota_changed, proxy.told_by_peers
 
-        def on_fleet(now, share):
+        def on_quota_changed(now, share):
             self.takes(now, share)
             takes(now, share)
 
@@ -63,7 +64,7 @@
             self.told_of(server.name, phase, born)
             told_by_peers(server, phase, born)
 
-        proxy.balancer.on_fleet, proxy.told_by_peers = on_fleet, told_of
+        proxy.balancer.on_quota_changed, proxy.told_by_peers = on_quota_changed, told_of
         if crew.shape:
             carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
             environment = replace(environment, carrier=carrier)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -3,6 +3,7 @@
 
 from itertools import islice
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
@@ -187,7 +188,9 @@
             else 0.0
         )
         self.log_event(
-            "late" if behind >= self.limits.sweep or now < self.old_until else "fault",
+            LogEvent.DEADLINE_MISSED
+            if behind >= self.limits.sweep or now < self.old_until
+            else LogEvent.INTERNAL_ERROR,
             where="decisions",
             what="no answer in time",
             behind=round(behind),
@@ -238,7 +241,9 @@
             self.bad_since, self.bad_logged = now, 0
         self.bad_logged += 1
         if self.bad_logged <= self.limits.bad_lines:
-            self.log_event("bad input", what=why, so_far=self.figures.counts["bad"])
+            self.log_event(
+                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.figures.counts["bad"]
+            )
         client.lines.rest = b""
         self.answer(client, b"ERR")
 
@@ -253,7 +258,7 @@
             client.dial.wire.abort()
         if sess in self.clients:
             self.over(sess, "hung up")
-            self.balancer.on_hang_up(self.now(), sess)
+            self.balancer.on_client_left(self.now(), sess)
         client.sess = None
 
     def over(self, sess, how):
@@ -268,7 +273,7 @@
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
-            "session",
+            LogEvent.SESSION_ENDED,
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
@@ -286,7 +291,7 @@
         return client
 
     def heard(self, server):
-        self.balancer.on_heard(self.now(), server)
+        self.balancer.on_server_activity(self.now(), server)
 
     def asks(self, client):
         """A line of it went to its server."""
@@ -297,15 +302,15 @@
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
             self.figures.count("late messages")
-            self.balancer.on_notice(self.now(), client.sess, message_ms=spent)
+            self.balancer.on_message_latency(self.now(), client.sess, spent)
 
     def load_told(self, client, text):
         try:
             load = float(text)
         except ValueError:
-            return self.log_event("bad input", what="LOAD without a number")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
         if client.sess is not None:
-            self.balancer.on_notice(self.now(), client.sess, load=load)
+            self.balancer.on_load_declared(self.now(), client.sess, load)
 
     def sweep(self):
         self.clock.after(self.limits.sweep, self.sweep)
@@ -322,7 +327,9 @@
                 and not client.wire.full
                 and now - client.asked >= self.limits.unanswered
             ):
-                self.balancer.on_unanswered(now, client.sess, now - client.asked)
+                self.balancer.on_message_unanswered(
+                    now, client.sess, now - client.asked
+                )
                 if client.moving and now - client.asked >= self.limits.half_line:
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.dial.close()
@@ -336,7 +343,7 @@
         if client.sess is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
-            self.log_event("lost standing", server=name)
+            self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
             self.answer(client, b"ERR")
         elif name in self.servers:
             sess.server = self.servers[name]
@@ -363,7 +370,7 @@
         client.wire.abort()
         client.dial.wire.abort()
         self.over(sess, "handed over")
-        self.balancer.on_hang_up(self.now(), sess)
+        self.balancer.on_client_left(self.now(), sess)
         return handles
 
     def carry(self, line, sess, handles, came, asked, server, rest):
@@ -387,7 +394,7 @@
         self.clients[sess] = client
         self.ids[head.id] = sess
         self.figures.know([sess.listener.name])
-        self.balancer.on_carried(self.now(), sess, dial.server)
+        self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
             self.carrier.adopt(handle, machine)
 
@@ -419,7 +426,7 @@
         if sess not in self.clients:
             return True
         # The window of an earlier dial may have ended meanwhile as well.
-        may = self.balancer.roster.may_dial(
+        may = self.balancer.endpoint_list.may_attempt(
             now, dial.server, sess.mid_flow
         ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
@@ -440,10 +447,10 @@
         self.heard(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
-            self.balancer.on_accepted(now, sess)
+            self.balancer.on_session_accepted(now, sess)
         else:
             self.clients[sess] = client
-            self.balancer.on_open_session(now, sess, dial.server)
+            self.balancer.on_session_taken_over(now, sess, dial.server)
 
     def dial_over(self, dial, outcome):
         client, now = dial.client, self.now()
@@ -452,7 +459,7 @@
         if not dial.up:
             self.figures.count("dial: " + outcome.value)
             self.log_event(
-                "dial failed",
+                LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
                 outcome=outcome.value,
                 after=round(now - dial.started, 1),
@@ -473,23 +480,25 @@
             self.balancer.on_outcome(now, sess, outcome, False)
 
     def odd_answer(self, dial, line):
-        self.log_event("bad input", server=dial.server.name, what=repr(line[:80]))
+        self.log_event(
+            LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
+        )
 
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
         if figures:
-            self.balancer.on_report(self.now(), server, figures)
+            self.balancer.on_load_report(self.now(), server, figures)
 
     # What the decisions call for
 
-    def dial(self, sess, server, time_out):
-        client = self.clients[sess]
-        if len(sess.attempts) > 1:
+    def start_attempt(self, session, server, timeout_ms):
+        client = self.clients[session]
+        if len(session.attempts) > 1:
             self.figures.count("further dials")
         if not self.spare(DIALS):
-            self.clock.soon(self.no_socket, sess, sess.attempts[-1])
+            self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
-            self.connect(client, server, time_out)
+            self.connect(client, server, timeout_ms)
 
     def no_socket(self, sess, dial):
         """Of that very dial: another one may be out by now."""
@@ -498,14 +507,14 @@
                 self.now(), sess, AttemptOutcome.CONNECT_FAILED, False
             )
 
-    def refuse(self, sess, come_back_after):
-        self.answer(self.over(sess, "refused"), busy(come_back_after))
+    def reject(self, session, retry_after_ms):
+        self.answer(self.over(session, "refused"), busy(retry_after_ms))
 
-    def tear_down(self, sess):
-        self.answer(self.over(sess, "torn down"), b"ERR")
+    def fail(self, session):
+        self.answer(self.over(session, "torn down"), b"ERR")
 
-    def move(self, sess):
-        client = self.clients.get(sess)
+    def migrate(self, session):
+        client = self.clients.get(session)
         if client is not None and client.up and not client.moving:
             self.move_client(client)
 
@@ -520,18 +529,18 @@
     def moved(self, sess):
         self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
-    def alarm(self, name, at):
-        self.clock.at(at, self.ring, name)
+    def set_timer(self, name, at_ms):
+        self.clock.at(at_ms, self.ring, name)
 
     def ring(self, name):
-        self.balancer.on_alarm(self.now(), name)
+        self.balancer.on_timer(self.now(), name)
 
     def log(self, text):
-        self.log_event("decision", what=text)
+        self.log_event(LogEvent.POLICY_DECISION, what=text)
 
     # Probes
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.figures.count("probes")
         link = self.links.pop(server, None)
         if link is None:
@@ -545,7 +554,9 @@
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
-        self.balancer.on_probed(self.now(), server, AttemptOutcome.AT_CAPACITY, None)
+        self.balancer.on_probe_result(
+            self.now(), server, AttemptOutcome.AT_CAPACITY, None
+        )
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
@@ -559,7 +570,9 @@
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
-            self.balancer.on_probed(self.now(), server, AttemptOutcome.RESET, None)
+            self.balancer.on_probe_result(
+                self.now(), server, AttemptOutcome.RESET, None
+            )
 
     def close_link(self):
         for link in list(self.links.values()):
@@ -574,4 +587,4 @@
         figures = report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
-        self.balancer.on_probed(self.now(), link.server, outcome, figures)
+        self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,6 +4,7 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
@@ -29,7 +30,9 @@
         old = self.node
         self.take(node)
         changed = needs_restart(self.started_with, node.told)
-        self.log_event("reloaded", needs_restart=changed, **self.beliefs())
+        self.log_event(
+            LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
+        )
         if node.discovery is None:
             self.leave_watch()
             self.listed(node.known, UpdateKind.SNAPSHOT)
@@ -43,13 +46,15 @@
     def by_hand(self, name, out, told=None):
         """Kept first, then in force: whether it outlives this process. Raises OSError with nothing changed.
         `told`: the other process that said so."""
-        held = dict(self.balancer.roster.out)
+        held = dict(self.balancer.endpoint_list.maintenance_since_ms)
         if out:
             held.setdefault(name, self.now())
         else:
             held.pop(name, None)
         path = bans.path_of(self.node)
-        if path and list(held) != list(self.balancer.roster.out):
+        if path and list(held) != list(
+            self.balancer.endpoint_list.maintenance_since_ms
+        ):
             try:
                 bans.write(
                     path,
@@ -59,9 +64,15 @@
                 if told is None:
                     raise
                 # The other process has kept it, and said yes: it counts here all the same.
-                self.log_event("bad bans", path=path, what=str(wrong))
-        self.log_event("out by hand" if out else "put back", server=name, out=len(held))
-        self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
+                self.log_event(
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong)
+                )
+        self.log_event(
+            LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
+            server=name,
+            out=len(held),
+        )
+        self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
             self.upgrade.forward_maintenance(name, out, told)
         return bool(path)
@@ -73,12 +84,16 @@
                 bans.read(path, self.limits.names).items() if path else ()
             ):
                 self.names[name] = None
-                self.balancer.roster.out.setdefault(name, self.clock.from_wall(since))
+                self.balancer.endpoint_list.maintenance_since_ms.setdefault(
+                    name, self.clock.from_wall(since)
+                )
                 self.log_event(
-                    "out by hand", server=name, out=len(self.balancer.roster.out)
+                    LogEvent.MAINTENANCE_ENTERED,
+                    server=name,
+                    out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
         except (OSError, ValueError) as wrong:
-            self.log_event("bad bans", path=path, what=str(wrong))
+            self.log_event(LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong))
 
     # The list of servers
 
@@ -133,7 +148,7 @@
         if watch is not self.watch:
             return
         if why != self.watch_why:
-            self.log_event("watch over", why=why)
+            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
         self.leave_watch()
         if self.limits.list_spread:
@@ -156,18 +171,18 @@
         if watch is self.watch:
             self.open_watch()
 
-    def follow_list(self, on):
+    def poll_endpoint_list(self, enabled):
         """The watch is always open: the agent is on this machine and costs nothing."""
         self.clock.soon(self.followed)
 
     def followed(self):
-        self.balancer.on_list(self.now(), UpdateKind.DELTA, [])
+        self.balancer.on_endpoint_update(self.now(), UpdateKind.DELTA, [])
 
     def listed(self, found, kind=None):
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
-            return self.log_event("bad input", what="a list without hosts")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="a list without hosts")
         kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
         version = found.get("seq") if isinstance(found.get("seq"), int) else None
         entries, moved, unread = [], [], 0
@@ -175,20 +190,22 @@
             try:
                 entries.append(self.entry(host, version, moved))
             except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-                self.log_event("bad input", what=f"an entry of the list: {wrong!r}")
+                self.log_event(
+                    LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
+                )
                 unread += 1
                 entries += self.what_is_left(host)
         if unread and not entries:
             kind = (
                 UpdateKind.DELTA
             )  # nothing of it could be read: it is no list of nobody
-        before = dict(self.balancer.roster.servers)
+        before = dict(self.balancer.endpoint_list.servers)
         try:
-            self.balancer.on_list(self.now(), kind, entries)
+            self.balancer.on_endpoint_update(self.now(), kind, entries)
         except Exception:
             # Who leaves is not dialled any more. But asked for again, the list has to change the slots as well: whoever
             # joined or left by it does so once more.
-            self.balancer.roster.servers = before
+            self.balancer.endpoint_list.servers = before
             raise
         self.note_told(entries, kind, version)
         for server in moved:
@@ -198,7 +215,7 @@
         self.forget_gone()
         if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
-                self.log_event("watch back")
+                self.log_event(LogEvent.ENDPOINT_WATCH_RESTORED)
             self.watch_why = None
             self.first_list_over()
             self.get_ready()
@@ -230,7 +247,7 @@
 
     def forget_gone(self):
         """Names may be new with every release: those that left would add up. One that comes back is new."""
-        ready = self.balancer.roster.servers
+        ready = self.balancer.endpoint_list.servers
         for name, server in list(self.servers.items()):
             if (
                 server.phase is Phase.GONE
@@ -248,7 +265,8 @@
         gone = (
             old
             for old in self.names
-            if old not in self.servers and old not in self.balancer.roster.out
+            if old not in self.servers
+            and old not in self.balancer.endpoint_list.maintenance_since_ms
         )
         for old in list(islice(gone, max(0, over))):
             del self.names[old]
@@ -259,8 +277,10 @@
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
             started or 0.0
         ):
-            self.log_event("told by a peer", server=server.name, phase=phase.value)
-            self.balancer.on_list(
+            self.log_event(
+                LogEvent.ENDPOINT_PHASE_FROM_PEER, server=server.name, phase=phase.value
+            )
+            self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
                 [(server, phase, server.weight, started)],
@@ -298,7 +318,9 @@
         ):
             # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
             # come back by an older one, unless it has started since.
-            self.log_event("older list", server=name, version=version, newer=left)
+            self.log_event(
+                LogEvent.STALE_ENDPOINT_LIST, server=name, version=version, newer=left
+            )
             phase, started = (
                 server.listed_phase if name in self.servers else Phase.GONE,
                 since,
--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Server
 from wheathill.peers.environment import ServedProxy
 from wheathill.peers.messages import HealthEvidence
@@ -96,13 +97,13 @@
         if verdict != self.verdict:
             self.verdict = verdict
             self._log_event(
-                "peers say",
+                LogEvent.PEER_HEALTH_VERDICT,
                 fail_for_all=list(verdict.failing_for_all),
                 fail_here_alone=list(verdict.failing_here_alone),
             )
         if verdict:
             servers = self._proxy.servers
-            self._proxy.balancer.on_witnesses(
+            self._proxy.balancer.on_peer_health_reports(
                 now_ms,
                 [servers[name] for name in verdict.failing_for_all if name in servers],
                 [
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -10,6 +10,7 @@
 from typing import Any
 
 from wheathill.config.peers import PeerSettings
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.peers.cluster_view import ClusterView, ViewState
 from wheathill.peers.derived_config import cluster_view_config, membership_config
@@ -155,12 +156,12 @@
     def start(self) -> None:
         """Join the cluster, and limit the balancer by what follows from it."""
         self.log_event(
-            "peers",
+            LogEvent.MEMBERSHIP,
             at=self.settings.advertise_address,
             cluster=self.settings.cluster,
             seeds=len(self.settings.seeds),
         )
-        self.proxy.balancer.cold.rights = self.limits.permit
+        self.proxy.balancer.slow_start.external_permits = self.limits.permit
         self.membership.start(self.clock.now(), self.settings.seeds)
         self.tick()
 
@@ -195,8 +196,9 @@
     ) -> None:
         evidence = self.health.evidence(now_ms, observations)
         if evidence is not None:
+            words = evidence.encode()
             for member in recipients:
-                self.send_message(member.address, evidence)
+                self.send_words(member.address, words)
 
     # What the proxy asks for
 
@@ -215,7 +217,7 @@
 
     def capacity_estimate(self) -> float:
         """Return what a warm server bears of this proxy's connections, as it finds."""
-        return self.proxy.balancer.levels.borne
+        return self.proxy.balancer.load_estimator.warm_up_capacity_estimate
 
     # Sending
 
@@ -358,7 +360,7 @@
             self.health.forget_source(member.name)
         is_suspect, is_dead = state == MemberState.SUSPECT, state == MemberState.DEAD
         self.log_event(
-            "peer",
+            LogEvent.MEMBER_STATE_CHANGED,
             peer=member.name,
             state=state.value,
             was=None if previous_state is None else previous_state.value,
@@ -372,7 +374,7 @@
 
     def log(self, text: str) -> None:
         """Write a line of membership to the log."""
-        self.log_event("peers", what=text)
+        self.log_event(LogEvent.MEMBERSHIP, what=text)
 
     def update_view(self, now_ms: float) -> None:
         """Work out the state of the view anew, and with it the quota."""
@@ -382,7 +384,7 @@
         state = view.update_state(now_ms, self.membership.unanswered_probes)
         if state != state_before:
             self.log_event(
-                "peers are",
+                LogEvent.CLUSTER_VIEW_CHANGED,
                 state=state.value,
                 was=state_before.value,
                 after=round(now_ms - since_ms),
@@ -392,4 +394,4 @@
         quota = self.limits.quota(now_ms)
         if quota != self.quota_in_force:
             self.quota_in_force = quota
-            self.proxy.balancer.on_fleet(now_ms, quota)
+            self.proxy.balancer.on_quota_changed(now_ms, quota)
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -9,6 +9,7 @@
 from typing import Any, cast
 
 from wheathill.config.peers import PeerSettings, ZoneLayout
+from wheathill.log_events import LogEvent
 from wheathill.peers.cluster_view import ClusterView, ViewState
 from wheathill.peers.environment import PeerEnvironment
 from wheathill.peers.fleet_limits import FleetLimits
@@ -359,7 +360,7 @@
         if (region_state, fleet_state) != self._logged_states:
             self._logged_states = region_state, fleet_state
             self.log_event(
-                "zones are",
+                LogEvent.ZONE_VIEW_CHANGED,
                 region=region_state.value,
                 fleet=fleet_state.value,
                 out_of_reach=list(self.zone_directory.unreachable_zones()),
