--- a/wheathill/lab/cores/membership_cluster.py
+++ b/wheathill/lab/cores/membership_cluster.py
@@ -81,13 +81,13 @@
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """Probe in simulated time."""
 
-        def on_result(result: str) -> None:
-            self.membership.on_fallback_probe_result(
-                self._clock.now(), probe, ProbeResult(result)
-            )
+        def on_result(result: ProbeResult) -> None:
+            self.membership.on_fallback_probe_result(self._clock.now(), probe, result)
 
         self.fallback_probes += 1
-        self._cluster.peers.knock(self.host, probe.address, probe.timeout_ms, on_result)
+        self._cluster.peers.start_fallback_probe(
+            self.host, probe.address, probe.timeout_ms, on_result
+        )
 
     def set_timer(self, at_ms: float, timer: Timer) -> None:
         """Set a timer in simulated time."""
--- a/wheathill/lab/cores/ways.py
+++ b/wheathill/lab/cores/ways.py
@@ -7,6 +7,7 @@
 import asyncio
 
 from wheathill.peers.fallback_probe import CONNECTION_ATTEMPTS
+from wheathill.peers.membership import ProbeResult
 
 
 class Faults:
@@ -67,7 +68,7 @@
         end = self.endpoints[host.name] = VirtualEndpoint(self, host, received)
         return end
 
-    def knock(self, host, to, wait, told):
+    def start_fallback_probe(self, host, to, wait, told):
         """Connections' starts: asked again as TCP does within the first 15 s of each (RFC 6298)."""
         tries = sorted(
             start + again
@@ -85,7 +86,7 @@
         if not other.silent and not host.silent:
             for there in self.faults.ways(host.name, to)[:1]:
                 for back in self.faults.ways(to, host.name)[:1]:
-                    how = "up" if other.alive else "refused"
+                    how = ProbeResult.REACHABLE if other.alive else ProbeResult.REFUSED
                     return self.clock.after(
                         there + back, host.gate, host.life, told, how
                     )
@@ -93,7 +94,9 @@
         if more:
             self.clock.after(more[0] - first, self.ask, host, to, told, more, wait)
         else:
-            self.clock.after(wait - first, host.gate, host.life, told, "nothing")
+            self.clock.after(
+                wait - first, host.gate, host.life, told, ProbeResult.NO_ANSWER
+            )
 
 
 class VirtualEndpoint:
--- a/wheathill/peers/membership/effects.py
+++ b/wheathill/peers/membership/effects.py
@@ -1,7 +1,7 @@
 """What membership asks of the instance that runs it."""
 
 from dataclasses import dataclass
-from enum import Enum, StrEnum, auto
+from enum import Enum, auto
 from typing import Protocol
 
 from wheathill.peers.membership.member import Member, MemberState
@@ -23,13 +23,13 @@
     NAME_CLAIM = auto()
 
 
-class ProbeResult(StrEnum):
-    """What a fallback probe found. The values are those of the transport."""
+class ProbeResult(Enum):
+    """What a fallback probe found."""
 
-    REACHABLE = "up"
+    REACHABLE = auto()
     # The host is there and no process listens at the address: the process is dead.
-    REFUSED = "refused"
-    NO_ANSWER = "nothing"
+    REFUSED = auto()
+    NO_ANSWER = auto()
 
 
 @dataclass(slots=True, frozen=True)
