--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -1,6 +1,6 @@
 """Records made of a running proxy: the one place where its state is read."""
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 
 from wheathill.handover.records import (
     AttemptRecord,
@@ -16,7 +16,7 @@
 from wheathill.net.client import Client
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
-from wheathill.policy.slot_table import SlotTable
+from wheathill.policy.slot_table import KeyRoute, SlotTable
 
 ServerIndexes = Mapping[Server, int]  # of each server's record
 
@@ -69,15 +69,22 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred=[indexes.get(server) for server in table.preferred_servers],
-        current=[indexes.get(server) for server in table.current],
-        new=[indexes.get(server) for server in table.new],
+        preferred=_indexes_of(table.preferred_servers, indexes),
+        current=_indexes_of(table.current, indexes),
+        new=_indexes_of(table.new, indexes),
         transition_started_ms=dict(table.transition_started_ms),
     )
 
 
+def _indexes_of(
+    servers: Iterable[Server | None], indexes: ServerIndexes
+) -> list[int | None]:
+    """Return the servers' indexes, None for those that are no longer known."""
+    return [None if server is None else indexes.get(server) for server in servers]
+
+
 def _collect_key_routes(
-    routes: Mapping[str, tuple[Server, float]], indexes: ServerIndexes
+    routes: Mapping[str, KeyRoute], indexes: ServerIndexes
 ) -> list[KeyRouteRecord]:
     """Return the routes whose servers are still known."""
     return [
@@ -99,7 +106,10 @@
         list_version=list_version,
         discovery_address=discovery_address,
         maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
-        maintenance_ended_ms=dict(balancer.endpoint_list.maintenance_ended_ms),
+        maintenance_ended_ms={
+            name: (period.started_ms, period.ended_ms)
+            for name, period in balancer.endpoint_list.maintenance_ended_ms.items()
+        },
         capacity_estimate=balancer.load_estimator.capacity_estimate,
         probe_credit=balancer.probe_scheduler.earned,
         set_up_window=admission.window,
