--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -29,6 +29,7 @@
         "wheathill.peers.drain_registry",
         "wheathill.peers.derived_config",
         "wheathill.peers.environment",
+        "wheathill.peers.event_log",
         "wheathill.peers.fleet_limits",
         "wheathill.peers.cluster_view",
         "wheathill.peers.connections",
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -64,14 +64,14 @@
 class Seen:
     """A server that a proxy has just heard of, or never has."""
 
-    samples = results = ()
-    silent, asked = 0, 0.0
+    load_samples = recent_results = ()
+    unanswered_probes, last_probe_ms = 0, 0.0
 
     def __init__(self, name, clock):
         self.name, self.clock = name, clock
 
     @property
-    def heard(self):
+    def last_received_ms(self):
         return self.clock.now() - FRESH if self.clock else -1e12
 
 
@@ -113,8 +113,8 @@
     """The instance of member `number`, not yet started, knows all of `numbers`; `full`: as `Hollow.start`."""
     from wheathill.peers.membership import MemberState, MemberUpdate
 
-    log, now = peers.log_event, peers.clock.now()
-    peers.update_view = peers.log_event = lambda *_, **__: None
+    log, now = peers.events.log_event, peers.clock.now()
+    peers.update_view = peers.events.log_event = lambda *_, **__: None
     others = [
         other
         for other in numbers
@@ -145,7 +145,7 @@
             peers.authenticator.accept_counter(
                 layout.name(other), layout.birth(other, 1), 0
             )
-    peers.log_event = log
+    peers.events.log_event = log
     peers.membership.gossip.clear()
     # It asks nobody: at a start of all, answers of whole states would still be on their way when it is measured.
     peers.settings = replace(peers.settings, seeds=())
--- /dev/null
+++ b/wheathill/peers/event_log.py
@@ -0,0 +1,60 @@
+"""The events of a peer service in the log; docs/fleet.md has their meaning."""
+
+from collections.abc import Callable
+
+from wheathill.config.peers import PeerSettings
+from wheathill.peers.cluster_view import ClusterView, ViewState
+from wheathill.peers.membership import Member, MemberState
+
+
+class PeerEventLog:
+    """Writes each kind of event with its fields by `log_event`."""
+
+    def __init__(self, log_event: Callable[..., None]) -> None:
+        self.log_event = log_event
+
+    def started(self, settings: PeerSettings) -> None:
+        """Log that the service joins its cluster."""
+        self.log_event(
+            "peers",
+            at=settings.advertise_address,
+            cluster=settings.cluster,
+            seeds=len(settings.seeds),
+        )
+
+    def membership_note(self, text: str) -> None:
+        """Log what membership has to say of this proxy's own name or clock."""
+        self.log_event("peers", what=text)
+
+    def member_changed(
+        self, member: Member, previous_state: MemberState | None
+    ) -> None:
+        """Log a member's change; without a previous state it is new."""
+        is_suspect = member.state == MemberState.SUSPECT
+        is_dead = member.state == MemberState.DEAD
+        self.log_event(
+            "peer",
+            peer=member.name,
+            state=member.state.value,
+            was=None if previous_state is None else previous_state.value,
+            address=member.address,
+            by=list(member.suspected_by) if is_suspect else None,
+            surely=member.is_death_confirmed if is_dead else None,
+        )
+
+    def view_changed(
+        self,
+        view: ClusterView,
+        previous_state: ViewState,
+        previous_since_ms: float,
+        now_ms: float,
+    ) -> None:
+        """Log the new state of the view, and how long the one before lasted."""
+        self.log_event(
+            "peers are",
+            state=view.state.value,
+            was=previous_state.value,
+            after=round(now_ms - previous_since_ms),
+            reached=len(view.reachable_names()),
+            fleet=view.max_active_proxies(now_ms),
+        )
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -14,6 +14,7 @@
 from wheathill.peers.cluster_view import ClusterView, ViewState
 from wheathill.peers.derived_config import cluster_view_config, membership_config
 from wheathill.peers.environment import Closeable, PeerEnvironment
+from wheathill.peers.event_log import PeerEventLog
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.frames import Frame, FrameAuthenticator, RejectReason
 from wheathill.peers.health_exchange import EvidenceLimits, HealthExchange
@@ -81,6 +82,7 @@
         self.settings = settings
         self.proxy, self.clock = environment.proxy, environment.clock
         self.log_event = environment.log_event
+        self.events = PeerEventLog(environment.log_event)
         self.random = random.Random(f"{settings.name}/{generation}")
         self._open_transport(environment, generation)
         self.membership = self._create_membership(generation)
@@ -154,12 +156,7 @@
 
     def start(self) -> None:
         """Join the cluster, and limit the balancer by what follows from it."""
-        self.log_event(
-            "peers",
-            at=self.settings.advertise_address,
-            cluster=self.settings.cluster,
-            seeds=len(self.settings.seeds),
-        )
+        self.events.started(self.settings)
         self.proxy.balancer.slow_start.external_permits = self.limits.permit
         self.membership.start(self.clock.now(), self.settings.seeds)
         self.tick()
@@ -226,7 +223,7 @@
         return ViewHeader(view.digest(), view.is_established, self.capacity_estimate())
 
     def send_words(
-        self, address: str | None, words: Sequence[Any], is_bulk: bool = False
+        self, address: str, words: Sequence[Any], is_bulk: bool = False
     ) -> None:
         """Send a message that is encoded already; one in bulk goes by stream."""
         self.transport.send(address, [*self.header().encode(), words], is_bulk)
@@ -325,7 +322,13 @@
     # Effects of membership
 
     def send(self, address: str | None, message: MembershipMessage) -> None:
-        """Send a message of membership; states go by stream."""
+        """Send a message of membership; states go by stream.
+
+        Raises ValueError where it would answer one that came on a stream, which names
+        no address.
+        """
+        if address is None:
+            raise ValueError("a message on a stream names no address to answer to")
         words = encode_membership_message(message)
         self.send_words(address, words, is_bulk=isinstance(message, StateSync))
 
@@ -357,23 +360,14 @@
         )
         if state in (MemberState.DEAD, MemberState.LEFT):
             self.health.forget_source(member.name)
-        is_suspect, is_dead = state == MemberState.SUSPECT, state == MemberState.DEAD
-        self.log_event(
-            "peer",
-            peer=member.name,
-            state=state.value,
-            was=None if previous_state is None else previous_state.value,
-            address=member.address,
-            by=list(member.suspected_by) if is_suspect else None,
-            surely=member.is_death_confirmed if is_dead else None,
-        )
+        self.events.member_changed(member, previous_state)
         if previous_state is None and state == MemberState.ALIVE:
             self.server_updates.send_all(member.address)
         self.update_view(now_ms)
 
     def log(self, text: str) -> None:
         """Write a line of membership to the log."""
-        self.log_event("peers", what=text)
+        self.events.membership_note(text)
 
     def update_view(self, now_ms: float) -> None:
         """Work out the state of the view anew, and with it the quota."""
@@ -382,14 +376,7 @@
         state_before, since_ms = view.state, view.state_since_ms
         state = view.update_state(now_ms, self.membership.unanswered_probes)
         if state != state_before:
-            self.log_event(
-                "peers are",
-                state=state.value,
-                was=state_before.value,
-                after=round(now_ms - since_ms),
-                reached=len(view.reachable_names()),
-                fleet=view.max_active_proxies(now_ms),
-            )
+            self.events.view_changed(view, state_before, since_ms, now_ms)
         quota = self.limits.quota(now_ms)
         if quota != self.quota_in_force:
             self.quota_in_force = quota
