--- a/tests/drive.py
+++ b/tests/drive.py
@@ -19,29 +19,38 @@
 import tempfile
 import time
 from collections import Counter
-
-from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
+from dataclasses import replace
+
+from wheathill.log_events import LogEvent
+from wheathill.model import (
+    AttemptOutcome,
+    EndpointEntry,
+    Listener,
+    Phase,
+    Server,
+    Session,
+    UpdateKind,
+)
 from wheathill.policy.balancer import Balancer
+from wheathill.policy.settings import (
+    EndpointListSettings,
+    LoadEstimatorSettings,
+    PolicySettings,
+    SlowStartSettings,
+)
 
 TRACES = pathlib.Path(__file__).parent / "traces"
-USUAL = dict(
-    zone=0,
-    proxies=2,
-    report_names=["x0"],
+USUAL = PolicySettings(
+    proxy_count=2,
     may_probe=True,
-    must_ask=False,
-    ask_every=10_000.0,
-    drain_grace=500.0,
-    sized=True,
-    start_share=0.2,
-    cold_for=10_000.0,
-    cold_multiple=3.0,
-    cold_window=1000.0,
-    most_dials=3,
-    longest_wait=1000.0,
-    crossing_price=0.0,
-    move_price=0.0,
-    passes_through=True,
+    is_passthrough=True,
+    max_attempts=3,
+    max_retry_after_ms=1000.0,
+    load_estimator=LoadEstimatorSettings(report_fields=["x0"]),
+    endpoint_list=EndpointListSettings(drain_grace_ms=500.0, uses_weights=True),
+    slow_start=SlowStartSettings(
+        initial_share=0.2, duration_ms=10_000.0, rate_multiple=3.0
+    ),
 )
 
 
@@ -54,32 +63,33 @@
         self.alarms = []
         self.loads = loads or {}
         settings.setdefault("may_probe", loads is not None)
+        usual = replace(USUAL, **settings)
         self.names = {}
         self.servers = {}
         self.probes = 0
         self.delays = {}  # name -> ms until a probe is answered
         self.answers = True
         self.loud = True
-        self.balancer = Balancer(self, random.Random(seed), **{**USUAL, **settings})
+        self.balancer = Balancer(self, random.Random(seed), usual)
         self.balancer.on_start(self.now)
 
     def say(self, text):
         if self.loud:
             self.lines.append(f"{self.now:8.0f} {text}")
 
-    def dial(self, sess, server, time_out):
-        self.say(f"{self.names[sess]} dials {server.name} for {time_out:.0f}")
+    def start_attempt(self, session, server, timeout_ms):
+        self.say(f"{self.names[session]} dials {server.name} for {timeout_ms:.0f}")
 
-    def refuse(self, sess, come_back_after):
-        self.say(f"{self.names[sess]} refused, back after {come_back_after:.0f}")
+    def reject(self, session, retry_after_ms):
+        self.say(f"{self.names[session]} refused, back after {retry_after_ms:.0f}")
 
-    def tear_down(self, sess):
-        self.say(f"{self.names[sess]} torn down")
+    def fail(self, session):
+        self.say(f"{self.names[session]} torn down")
 
-    def move(self, sess):
-        self.say(f"{self.names[sess]} moved off {sess.server.name}")
+    def migrate(self, session):
+        self.say(f"{self.names[session]} moved off {session.server.name}")
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probes += 1
         if not self.answers:
             return
@@ -95,11 +105,11 @@
         answer = AttemptOutcome.TIMED_OUT if load is None else AttemptOutcome.COMPLETED
         self.balancer.on_probe_result(self.now, server, answer, [load])
 
-    def follow_list(self, on):
-        self.say(f"follows the list: {on}")
+    def poll_endpoint_list(self, enabled):
+        self.say(f"follows the list: {enabled}")
 
-    def alarm(self, name, at):
-        self.alarms.append((at, len(self.alarms), name))
+    def set_timer(self, name, at_ms):
+        self.alarms.append((at_ms, len(self.alarms), name))
 
     def log(self, text):
         self.say(f"log: {text}")
@@ -115,7 +125,7 @@
             server = self.servers.setdefault(
                 name, Server(name, zone=len(self.servers) % 2)
             )
-            found.append((server, phase, 1.0, started))
+            found.append(EndpointEntry(server, phase, 1.0, started))
         self.balancer.on_endpoint_update(self.now, kind, found)
 
     def hand(self, name, out):
@@ -312,7 +322,7 @@
     def begin_beside(self):
         self.old.append(self.process)
         self.begin()
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
 
     def call(self, text, admin=None):
         """One call at the operators' door, as a line; the object that answers it."""
@@ -324,7 +334,7 @@
         return json.loads(body)
 
     def __enter__(self):
-        self.until_logged("listening")
+        self.until_logged(LogEvent.LISTENING)
         return self
 
     def __exit__(self, *_):
@@ -422,7 +432,7 @@
         client.hear()
         return client, server
 
-    def reload(self, then="reloaded", **changed):
+    def reload(self, then=LogEvent.CONFIGURATION_RELOADED, **changed):
         self.path.write_text(json.dumps({**self.config, **changed}))
         self.process.send_signal(signal.SIGHUP)
         found = self.until_logged(then)
@@ -439,7 +449,7 @@
 
     def stop(self):
         self.process.send_signal(signal.SIGTERM)
-        self.until_logged("stopping")
+        self.until_logged(LogEvent.SHUTDOWN_STARTED)
 
     def end(self):
         self.lines.append(f"proxy exits with {self.process.wait(8)}")
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -20,7 +20,10 @@
 
 from wheathill.config import node_of
 from wheathill.handover.coordinator import UpgradeCoordinator
+from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CONFIGURATION = {
@@ -181,7 +184,12 @@
         self.receiver = self.transport.last_connection if beside else None
 
     def note(self, event, **values):
-        if "hand" in event or event in ("took over", "accepting", "fault"):
+        if "hand" in event or event in (
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+            LogEvent.INTERNAL_ERROR,
+            LogEvent.MAINTENANCE_ENTERED,
+        ):
             values.pop("after", None)
             self.events.append((event, values))
 
@@ -249,14 +257,14 @@
             69_000.0 + place,
         )
     for number, known in enumerate((table.moved_keys, table.exception_keys)):
-        known["key é"] = servers["ab"[number]], 69_600.5
-        known["second"] = servers["ba"[number]], 69_700.0
+        known["key é"] = KeyRoute(servers["ab"[number]], 69_600.5)
+        known["second"] = KeyRoute(servers["ba"[number]], 69_700.0)
     balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.earned = (
         12.75,
         3.5,
     )
     balancer.admission.window, balancer.admission.next_at = 17.5, 69_999.0
-    balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
+    balancer.retry_budget.retries.extend([Retry(69_000.0, 1.5), Retry(69_800.5, 2.0)])
     balancer.outlier_detector.dials.extend(
         [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
     )
@@ -414,7 +422,7 @@
             ]
         )
         for event, values in events
-        if event != "accepting"
+        if event != LogEvent.ACCEPTING_CONNECTIONS
     )
 
 
@@ -608,7 +616,10 @@
         assert old.transport.dropped == 2 * len(SESSIONS)
     else:
         assert new.transport.adopted == 2 * len(SESSIONS)
-        assert [event for event, _ in new.events][:2] == ["took over", "accepting"]
+        assert [event for event, _ in new.events][:2] == [
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+        ]
 
 
 def test_a_state_from_before_is_passed_on_as_it_came():
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -13,11 +13,13 @@
 import time
 from concurrent.futures import ThreadPoolExecutor
 from contextlib import ExitStack
+from dataclasses import replace
 
 import pytest
 
-from drive import Drive, Peer, Rig, free_port
+from drive import USUAL, Drive, Peer, Rig, free_port
 from turns import Turns
+from wheathill.log_events import LogEvent
 from wheathill.model import UpdateKind
 from wheathill.net.carried import NEWCOMERS
 
@@ -296,9 +298,15 @@
     on and after any number of failures, and not all proxies' at once."""
     first, gaps = [], []
     for seed in range(40):
-        d = Drive(seed=seed, must_ask=True, proxies=proxies, ask_every=60_000.0)
+        d = Drive(
+            seed=seed,
+            proxy_count=proxies,
+            endpoint_list=replace(
+                USUAL.endpoint_list, is_polled=True, poll_interval_ms=60_000.0
+            ),
+        )
         asked = []
-        d.follow_list = lambda on, asked=asked, d=d: asked.append(d.now)
+        d.poll_endpoint_list = lambda on, asked=asked, d=d: asked.append(d.now)
         for _ in range(12):
             before = len(asked)
             while len(asked) == before:
@@ -567,7 +575,11 @@
         assert served.until_heard(connected).startswith("UP")
         assert descriptors(rig) <= most
         rig.process.kill()
-        assert [line for line in rig.process.stdout if b'"fault"' in line] == []
+        assert [
+            line
+            for line in rig.process.stdout
+            if f'"{LogEvent.INTERNAL_ERROR}"'.encode() in line
+        ] == []
 
 
 def test_a_dial_is_kept_a_descriptor_while_newcomers_fill_the_rest():
@@ -603,14 +615,12 @@
     with Turns(names, settings=PROBED, sockets=96) as turns:
         turns.watched(*names)
         for name in names:
-            turns.proxy.probe(turns.proxy.servers[name])
+            turns.proxy.send_probe(turns.proxy.servers[name])
             link = turns.taken(name)
             turns.hears(link)
             link.say("PONG x0=0.1")
             turns.until(
-                lambda name=name: (
-                    not turns.proxy.links[turns.proxy.servers[name]].last_probe_ms
-                )
+                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
             )
         assert turns.carrier.free <= 7
         for number in range(10):
@@ -655,7 +665,7 @@
     ) as turns:
         full_of_sessions(turns)
         for server in turns.proxy.servers.values():
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
         turns.turn(2)
         assert turns.carrier.free <= 0 and all(
             link.asked for link in turns.proxy.links.values()
@@ -683,7 +693,7 @@
         server = turns.proxy.servers["a"]
         turns.carrier.lent = turns.carrier.free + turns.node().limits.spare_sockets
         server.probe_sent_ms = turns.proxy.now()
-        turns.proxy.probe(server)
+        turns.proxy.send_probe(server)
         turns.turn(2)
         assert (
             not turns.dialled()
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -7,9 +7,10 @@
 import random
 import sys
 
-from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
+from wheathill.config import Misconfigured, Reader, read_listeners, read_policy
 from wheathill.model import (
     AttemptOutcome,
+    EndpointEntry,
     Idempotency,
     Listener,
     Phase,
@@ -58,9 +59,7 @@
     def start(self, now, seed, config):
         settings = Reader(config)
         self.listeners = read_listeners(settings)
-        self.balancer = Balancer(
-            self, random.Random(seed), **balancer_settings(settings)
-        )
+        self.balancer = Balancer(self, random.Random(seed), read_policy(settings))
         self.balancer.on_start(now)
 
     def list_changed(self, now, scope, _version, lines):
@@ -76,7 +75,9 @@
                 server = self.servers[name] = Server(name)
             server.zone, server.cell = zone, cell
             since = started * 1000 if started else None
-            entries.append((server, PHASES.get(phase, Phase.GONE), weight, since))
+            entries.append(
+                EndpointEntry(server, PHASES.get(phase, Phase.GONE), weight, since)
+            )
         self.balancer.on_endpoint_update(now, LIST_KINDS[scope], entries)
 
     def make_session(
@@ -161,28 +162,28 @@
     def order(self, name, *fields):
         self.orders.append([name, self.name, *fields])
 
-    def dial(self, sess, server, time_out):
-        self.order("forward", self.handles[sess], time_out / 1000, server.name)
+    def start_attempt(self, session, server, timeout_ms):
+        self.order("forward", self.handles[session], timeout_ms / 1000, server.name)
 
-    def refuse(self, sess, come_back_after):
-        self.order("notNow", self.handles[sess], come_back_after / 1000)
-        self.forget(sess)
+    def reject(self, session, retry_after_ms):
+        self.order("notNow", self.handles[session], retry_after_ms / 1000)
+        self.forget(session)
 
-    def tear_down(self, sess):
-        self.order("error", self.handles[sess])
-        self.forget(sess)
+    def fail(self, session):
+        self.order("error", self.handles[session])
+        self.forget(session)
 
-    def move(self, sess):
-        self.order("relocate", self.handles[sess])
+    def migrate(self, session):
+        self.order("relocate", self.handles[session])
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.order("sample", server.name)
 
-    def follow_list(self, on):
-        self.order("follow", on)
+    def poll_endpoint_list(self, enabled):
+        self.order("follow", enabled)
 
-    def alarm(self, name, at):
-        self.order("timer", name, at / 1000)
+    def set_timer(self, name, at_ms):
+        self.order("timer", name, at_ms / 1000)
 
     def log(self, text):
         self.order("trace", text)
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -1,5 +1,6 @@
 """Proxies broken on purpose, each in one way that a judge must name: they prove that the judges can fail."""
 
+from dataclasses import replace
 from itertools import count
 
 from wheathill.model import Phase
@@ -9,21 +10,21 @@
 
 
 class AnswersTwice(Proxy):
-    def refuse(self, sess, come_back_after):
-        self.clients[sess].wire.send(b"ERR", END)
-        super().refuse(sess, come_back_after)
+    def reject(self, session, retry_after_ms):
+        self.clients[session].wire.send(b"ERR", END)
+        super().reject(session, retry_after_ms)
 
 
 class AnswersLate(Proxy):
     """Holds a refusal back until after the deadline."""
 
-    def refuse(self, sess, come_back_after):
-        self.clients[sess].timer.cancel()
-        self.clock.at(sess.deadline_ms + 200.0, self.refuse_late, sess, come_back_after)
+    def reject(self, session, retry_after_ms):
+        self.clients[session].timer.cancel()
+        self.clock.at(session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms)
 
     def refuse_late(self, sess, come_back_after):
         if sess in self.clients:
-            super().refuse(sess, come_back_after)
+            super().reject(sess, come_back_after)
 
 
 class MakesUpAnswers(Proxy):
@@ -59,8 +60,10 @@
     """Takes a server that drains for a ready one."""
 
     def entry(self, *args):
-        server, phase, *rest = super().entry(*args)
-        return server, Phase.READY if phase is Phase.DRAINING else phase, *rest
+        entry = super().entry(*args)
+        if entry.phase is Phase.DRAINING:
+            return replace(entry, phase=Phase.READY)
+        return entry
 
 
 class FloodsCold(Proxy):
@@ -91,8 +94,8 @@
 
 
 class RefusesWhatRan(Proxy):
-    def tear_down(self, sess):
-        self.refuse(sess, 0.0)
+    def fail(self, session):
+        self.reject(session, 0.0)
 
 
 class DialsWhatRan(Proxy):
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -4,7 +4,8 @@
 from itertools import islice
 
 from wheathill.config import address, needs_restart
-from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
+from wheathill.log_events import LogEvent
+from wheathill.model import AttemptOutcome, EndpointEntry, Phase, Server, UpdateKind
 from wheathill.net import bans
 from wheathill.net.discovery import Watch
 
@@ -29,7 +30,9 @@
         old = self.node
         self.take(node)
         changed = needs_restart(self.started_with, node.told)
-        self.log_event("reloaded", needs_restart=changed, **self.beliefs())
+        self.log_event(
+            LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
+        )
         if node.discovery is None:
             self.leave_watch()
             self.listed(node.known, UpdateKind.SNAPSHOT)
@@ -61,8 +64,14 @@
                 if told is None:
                     raise
                 # The other process has kept it, and said yes: it counts here all the same.
-                self.log_event("bad bans", path=path, what=str(wrong))
-        self.log_event("out by hand" if out else "put back", server=name, out=len(held))
+                self.log_event(
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong)
+                )
+        self.log_event(
+            LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
+            server=name,
+            out=len(held),
+        )
         self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
             self.upgrade.forward_maintenance(name, out, told)
@@ -79,12 +88,12 @@
                     name, self.clock.from_wall(since)
                 )
                 self.log_event(
-                    "out by hand",
+                    LogEvent.MAINTENANCE_ENTERED,
                     server=name,
                     out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
         except (OSError, ValueError) as wrong:
-            self.log_event("bad bans", path=path, what=str(wrong))
+            self.log_event(LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong))
 
     # The list of servers
 
@@ -139,7 +148,7 @@
         if watch is not self.watch:
             return
         if why != self.watch_why:
-            self.log_event("watch over", why=why)
+            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
         self.leave_watch()
         if self.limits.list_spread:
@@ -162,7 +171,7 @@
         if watch is self.watch:
             self.open_watch()
 
-    def follow_list(self, on):
+    def poll_endpoint_list(self, enabled):
         """The watch is always open: the agent is on this machine and costs nothing."""
         self.clock.soon(self.followed)
 
@@ -173,7 +182,7 @@
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
-            return self.log_event("bad input", what="a list without hosts")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="a list without hosts")
         kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
         version = found.get("seq") if isinstance(found.get("seq"), int) else None
         entries, moved, unread = [], [], 0
@@ -181,7 +190,9 @@
             try:
                 entries.append(self.entry(host, version, moved))
             except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-                self.log_event("bad input", what=f"an entry of the list: {wrong!r}")
+                self.log_event(
+                    LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
+                )
                 unread += 1
                 entries += self.what_is_left(host)
         if unread and not entries:
@@ -204,7 +215,7 @@
         self.forget_gone()
         if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
-                self.log_event("watch back")
+                self.log_event(LogEvent.ENDPOINT_WATCH_RESTORED)
             self.watch_why = None
             self.first_list_over()
             self.get_ready()
@@ -224,10 +235,11 @@
             self.clock.after(again, self.read_again, watch)
 
     def note_told(self, entries, kind, version):
-        for server, phase, _, started in entries:
-            self.names.pop(server.name, None)
-            self.names[server.name] = (
-                None if phase is Phase.READY else (version, started)
+        for entry in entries:
+            name = entry.server.name
+            self.names.pop(name, None)
+            self.names[name] = (
+                None if entry.phase is Phase.READY else (version, entry.started_ms)
             )
         if kind is UpdateKind.SNAPSHOT:
             for server in self.servers.values():
@@ -266,11 +278,13 @@
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
             started or 0.0
         ):
-            self.log_event("told by a peer", server=server.name, phase=phase.value)
+            self.log_event(
+                LogEvent.ENDPOINT_PHASE_FROM_PEER, server=server.name, phase=phase.value
+            )
             self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
-                [(server, phase, server.weight, started)],
+                [EndpointEntry(server, phase, server.weight, started)],
             )
 
     def entry(self, host, version, moved):
@@ -305,7 +319,9 @@
         ):
             # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
             # come back by an older one, unless it has started since.
-            self.log_event("older list", server=name, version=version, newer=left)
+            self.log_event(
+                LogEvent.STALE_ENDPOINT_LIST, server=name, version=version, newer=left
+            )
             phase, started = (
                 server.listed_phase if name in self.servers else Phase.GONE,
                 since,
@@ -317,7 +333,7 @@
         if host.get("site") is not None:
             server.zone, server.cell = self.zones.get(host["site"], -1), cell
         self.servers[name] = server
-        return server, phase, weight, started
+        return EndpointEntry(server, phase, weight, started)
 
     def what_is_left(self, host):
         """Of an entry that can't be read: the known server that it is about, as it was, but that it leaves where that
@@ -331,7 +347,7 @@
             isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
         )
         return [
-            (
+            EndpointEntry(
                 server,
                 PHASES[phase] if leaves else server.listed_phase,
                 server.weight,
--- a/wheathill/peers/event_log.py
+++ b/wheathill/peers/event_log.py
@@ -3,6 +3,7 @@
 from collections.abc import Callable
 
 from wheathill.config.peers import PeerSettings
+from wheathill.log_events import LogEvent
 from wheathill.peers.cluster_view import ClusterView, ViewState
 from wheathill.peers.membership import Member, MemberState
 
@@ -16,7 +17,7 @@
     def started(self, settings: PeerSettings) -> None:
         """Log that the service joins its cluster."""
         self.log_event(
-            "peers",
+            LogEvent.MEMBERSHIP,
             at=settings.advertise_address,
             cluster=settings.cluster,
             seeds=len(settings.seeds),
@@ -24,7 +25,7 @@
 
     def membership_note(self, text: str) -> None:
         """Log what membership has to say of this proxy's own name or clock."""
-        self.log_event("peers", what=text)
+        self.log_event(LogEvent.MEMBERSHIP, what=text)
 
     def member_changed(
         self, member: Member, previous_state: MemberState | None
@@ -33,7 +34,7 @@
         is_suspect = member.state == MemberState.SUSPECT
         is_dead = member.state == MemberState.DEAD
         self.log_event(
-            "peer",
+            LogEvent.MEMBER_STATE_CHANGED,
             peer=member.name,
             state=member.state.value,
             was=None if previous_state is None else previous_state.value,
@@ -51,7 +52,7 @@
     ) -> None:
         """Log the new state of the view, and how long the one before lasted."""
         self.log_event(
-            "peers are",
+            LogEvent.CLUSTER_VIEW_CHANGED,
             state=view.state.value,
             was=previous_state.value,
             after=round(now_ms - previous_since_ms),
