--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -81,6 +81,7 @@
     (
         "wheathill.net",
         "wheathill.drill",
+        "wheathill.simulator",
         "wheathill.peers",
         "wheathill.store",
         "wheathill.handover",
