--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -584,8 +584,8 @@
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
     buckets = range(replicated_table.BUCKETS)
-    found = one.table_anti_entropy.encoded_by_bucket(buckets)
-    told = list(one.record_batcher.split_buckets(found))
+    found = one.zone_table.encoded_by_bucket(buckets)
+    told = list(one.zone_table.bucket_batches(buckets))
     assert len(told) > 4 and [
         bucket for batch in told for bucket in batch.buckets
     ] == list(found)
--- a/wheathill/peers/zones/effects.py
+++ b/wheathill/peers/zones/effects.py
@@ -3,15 +3,12 @@
 from typing import Protocol
 
 from wheathill.peers.membership import Member
-from wheathill.peers.table_records import TableRecord
 from wheathill.peers.zones.messages import TableMessage
-from wheathill.peers.zones.zone_summary import ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTableRecord
 
-ZoneTableRecord = TableRecord[ZoneSummary]
 
-
-class ReplicationEffects(Protocol):
-    """Carries out what gossip and anti-entropy of the replicated table decide."""
+class ZoneEffects(Protocol):
+    """Carries out what the parts decide, and says who there is to send to."""
 
     def send_table_message(self, address: str, message: TableMessage) -> None:
         """Send a message to one proxy; it may be lost."""
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -7,8 +7,8 @@
 from wheathill.peers.messages import DrainUpdate, Sender, StartUpdate
 from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.server_updates import ServerEntry, ServerUpdates
-from wheathill.peers.zones.effects import ZoneTableRecord
 from wheathill.peers.zones.zone_summary import ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTableRecord
 
 
 class ReplicatedServerUpdates(ServerUpdates):
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -17,12 +17,9 @@
 from wheathill.peers.membership import FallbackProbe, Member, ProbeResult
 from wheathill.peers.messages import DigestNote, Sender, ViewHeader, ZonedViewHeader
 from wheathill.peers.peer_service import PeerService
-from wheathill.peers.replicated_table import ReplicatedTable
 from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.server_updates import ServerUpdates
 from wheathill.peers.status import StatusReporter
-from wheathill.peers.table_records import RecordCodec
-from wheathill.peers.zones.effects import ZoneTableRecord
 from wheathill.peers.zones.leaders import select_leaders
 from wheathill.peers.zones.messages import (
     DeltaReply,
@@ -32,9 +29,9 @@
     TableMessage,
     decode_table_message,
 )
-from wheathill.peers.zones.record_batches import RecordBatcher
 from wheathill.peers.zones.replicated_updates import ReplicatedServerUpdates
 from wheathill.peers.zones.status import ZonedStatus, ZoneStatusSources
+from wheathill.peers.zones.summary_builder import build_summary
 from wheathill.peers.zones.summary_writer import SummaryWriter
 from wheathill.peers.zones.table_anti_entropy import TableAntiEntropy
 from wheathill.peers.zones.table_gossip import TableGossip
@@ -42,7 +39,7 @@
 from wheathill.peers.zones.zone_contacts import ZoneContacts
 from wheathill.peers.zones.zone_directory import ZoneDirectory
 from wheathill.peers.zones.zone_quota import ZoneQuota
-from wheathill.peers.zones.zone_summary import ZoneLeader, ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTable, ZoneTableRecord
 from wheathill.peers.zones.zoned_limits import ZonedLimits
 
 # Of frames. Proxies without zones use another and are refused.
@@ -77,19 +74,11 @@
         self._announcements = ViewAnnouncements(settings.probe_interval_ms)
         # Of region and fleet, as last logged.
         self._logged_states: tuple[ViewState, ViewState] | None = None
-        batcher = RecordBatcher(self.authenticator.encoded_size)
-        self.record_batcher = batcher
         self.table_gossip = TableGossip(
-            settings.name, self.clock, self.random, self.record_codec, batcher, self
+            settings.name, self.clock, self.random, self.zone_table, self
         )
         self.table_anti_entropy = TableAntiEntropy(
-            settings.advertise_address,
-            self.clock,
-            settings.probe_interval_ms,
-            self.replicated_table,
-            self.record_codec,
-            batcher,
-            self,
+            settings, self.clock, self.zone_table, self
         )
 
     # Parts
@@ -98,10 +87,10 @@
         """Create the view of the own zone, after the parts that know of all zones."""
         settings, now_ms = self.settings, self.clock.now()
         names = [zone.name for zone in self._layout.zones]
-        self.record_codec = RecordCodec(names, ZoneSummary.decode, ZoneSummary.encode)
-        self.replicated_table: ReplicatedTable[ZoneSummary] = ReplicatedTable(names)
-        self.server_records = ServerRecords(self.replicated_table)
-        table, interval_ms = self.replicated_table, settings.probe_interval_ms
+        self.zone_table = ZoneTable(names, self.authenticator.encoded_size)
+        table = self.replicated_table = self.zone_table.replica
+        interval_ms = settings.probe_interval_ms
+        self.server_records = ServerRecords(table)
         self.zone_directory = ZoneDirectory(self._layout, self._zone, table)
         self.zone_quota = ZoneQuota(self.zone_directory)
         self.zone_contacts = ZoneContacts(
@@ -124,7 +113,7 @@
 
     def _create_server_updates(self) -> ServerUpdates:
         return ReplicatedServerUpdates(
-            self.proxy, self.server_records, self.wall_ms, self._pass_on_own
+            self.proxy, self.server_records, self.wall_ms, self.pass_on_own
         )
 
     def _create_status(self) -> StatusReporter:
@@ -208,10 +197,10 @@
         elif isinstance(message, DeltaReply):
             self.table_anti_entropy.on_reply(now_ms, zone, message)
         else:
-            records = self.record_codec.decode_all(message.records)
+            records = self.zone_table.decode(message.records)
             self.merge_records(now_ms, records, zone)
             if isinstance(message, Heartbeat):
-                reply = HeartbeatReply(self._own_summary_records())
+                reply = HeartbeatReply(self.zone_table.encoded_summary(self._zone))
                 self.send_table_message(message.reply_address, reply)
 
     def merge_records(
@@ -227,7 +216,7 @@
                 record.server for record in newer if record.server is not None
             )
 
-    def _pass_on_own(self, record: ZoneTableRecord) -> None:
+    def pass_on_own(self, record: ZoneTableRecord) -> None:
         """Send a record that this proxy wrote."""
         self.table_gossip.add_own(record)
         self._on_table_changed(self.clock.now())
@@ -281,42 +270,8 @@
         ]
 
     def zone_state(self) -> ViewState:
-        """Return the state of the own zone; one of a single member has converged."""
-        state = self.cluster_view.state
-        if state == ViewState.STANDALONE and self.zone_directory.own.proxies <= 1:
-            return ViewState.CONVERGED
-        return state
-
-    def _own_summary_records(self) -> list[list[object]]:
-        """Return the record of the own zone's summary, if there is one."""
-        record = self.replicated_table.summary(self._zone)
-        return [] if record is None else [self.record_codec.encode(record)]
-
-    def _summarise(self, now_ms: float, leaders: list[Member]) -> ZoneSummary:
-        view = self.cluster_view
-        has_agreement = view.have_all_reported_same()
-        unreachable = self.zone_contacts.unreachable_zones(now_ms)
-        return ZoneSummary(
-            state=self.zone_state(),
-            max_active_proxies=view.max_active_proxies(now_ms),
-            reachable_proxies=1 + len(view.reachable_names()),
-            digest=view.digest() if has_agreement else "",
-            unreachable_zones=tuple(sorted(unreachable)),
-            layout_version=self._adopted_layout(),
-            leaders=tuple(
-                ZoneLeader(leader.name, leader.address) for leader in leaders
-            ),
-        )
-
-    def _adopted_layout(self) -> int:
-        """Return the layout that all proxies of the own zone hold; it never falls."""
-        members = self.cluster_view.members.values()
-        lowest = min(
-            [self._layout.version, *(known.layout_version for known in members)]
-        )
-        if self.cluster_view.unseen_count():
-            lowest = 0
-        return max(self.zone_directory.adopted_layout(self._zone), lowest)
+        """Return the state of the own zone."""
+        return self.zone_directory.own_state(self.cluster_view.state)
 
     # Each probe interval
 
@@ -338,10 +293,10 @@
         view = self.cluster_view
         if view.state == ViewState.STANDALONE and not view.may_stand_alone(now_ms):
             return  # others may be about to answer
-        summary = self._summarise(now_ms, leaders)
+        summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
         if record is not None:
-            self._pass_on_own(record)
+            self.pass_on_own(record)
 
     def _send_heartbeats(self, now_ms: float, leaders: list[Member]) -> None:
         """Send heartbeats to other zones, where this proxy is a leader."""
@@ -349,7 +304,7 @@
             self.zone_contacts.restart(now_ms)
             return
         for address in self.zone_contacts.heartbeat_addresses(now_ms):
-            records = self._own_summary_records()
+            records = self.zone_table.encoded_summary(self._zone)
             heartbeat = Heartbeat(self.settings.advertise_address, records)
             self.send_table_message(address, heartbeat)
 
--- a/wheathill/peers/zones/summary_writer.py
+++ b/wheathill/peers/zones/summary_writer.py
@@ -1,8 +1,8 @@
 """Writes the summary of the own zone, as the zone's first leader does."""
 
 from wheathill.peers.replicated_table import ReplicatedTable
-from wheathill.peers.zones.effects import ZoneTableRecord
 from wheathill.peers.zones.zone_summary import ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTableRecord
 
 # Probe intervals between two summaries; and the most, for a writer that is overwritten.
 MIN_WRITE_INTERVALS, MAX_WRITE_INTERVALS = 4, 64
--- a/wheathill/peers/zones/table_anti_entropy.py
+++ b/wheathill/peers/zones/table_anti_entropy.py
@@ -5,20 +5,15 @@
 for Replicated Database Maintenance", 1987).
 """
 
-from collections.abc import Iterable
-
+from wheathill.config.peers import PeerSettings
 from wheathill.peers.environment import Clock
-from wheathill.peers.replicated_table import ReplicatedTable
-from wheathill.peers.table_records import RecordCodec
-from wheathill.peers.zones.effects import ReplicationEffects
+from wheathill.peers.zones.effects import ZoneEffects
 from wheathill.peers.zones.messages import (
     DeltaReply,
-    EncodedRecord,
     TableDigestRequest,
     TableUpdate,
 )
-from wheathill.peers.zones.record_batches import RecordBatcher
-from wheathill.peers.zones.zone_summary import ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTable
 
 # Requests under way, and requests answered, in a probe interval: a bound on what
 # members with many differences cost each other.
@@ -31,27 +26,20 @@
 
 
 class TableAntiEntropy:
-    """Requests what differs between replicas, and answers such requests.
-
-    `address` is this proxy's.
-    """
+    """Requests what differs between replicas, and answers such requests."""
 
     def __init__(
         self,
-        address: str,
+        settings: PeerSettings,
         clock: Clock,
-        probe_interval_ms: float,
-        table: ReplicatedTable[ZoneSummary],
-        codec: RecordCodec[ZoneSummary],
-        batcher: RecordBatcher,
-        effects: ReplicationEffects,
+        table: ZoneTable,
+        effects: ZoneEffects,
     ) -> None:
-        self._address = address
+        self._address = settings.advertise_address
+        self._interval_ms = settings.probe_interval_ms
         self._clock = clock
-        self._interval_ms = probe_interval_ms
         self._table = table
-        self._codec = codec
-        self._batcher = batcher
+        self._replica = table.replica
         self._effects = effects
         # When the own replica last changed, and was last the same as another's.
         self._changed_ms = self._same_ms = clock.now()
@@ -74,7 +62,7 @@
 
         `address` is None where the message came on a stream.
         """
-        if table_digest == self._table.digest:
+        if table_digest == self._replica.digest:
             self._same_ms = now_ms
             self._unanswered_since_ms.clear()
         elif address is not None:
@@ -121,7 +109,7 @@
         """
         if self._unanswered_since_ms.get(address) != first_sent_ms:
             return
-        request = TableDigestRequest(self._address, self._table.bucket_digests)
+        request = TableDigestRequest(self._address, self._replica.bucket_digests)
         self._effects.send_table_message(address, request)
         wait_ms = RETRY_INTERVALS * self._interval_ms
         if attempts_left > 1:
@@ -141,10 +129,10 @@
         Raises ValueError or TypeError where a record can't be read.
         """
         self._unanswered_since_ms.pop(reply.reply_address, None)
-        records = self._codec.decode_all(reply.records)
-        newer = self._table.newer_records(reply.buckets, records)
+        records = self._table.decode(reply.records)
+        newer = self._replica.newer_records(reply.buckets, records)
         self._effects.merge_records(now_ms, records, zone)
-        for batch in self._batcher.split_records(self._codec.encode_all(newer)):
+        for batch in self._table.batches(newer):
             self._effects.send_table_message(reply.reply_address, TableUpdate(batch))
 
     # The answerer's part
@@ -157,16 +145,7 @@
         if self._answered_in_interval >= MAX_REQUESTS:
             return
         self._answered_in_interval += 1
-        buckets = self._table.differing_buckets(request.bucket_digests)
-        for batch in self._batcher.split_buckets(self.encoded_by_bucket(buckets)):
+        buckets = self._replica.differing_buckets(request.bucket_digests)
+        for batch in self._table.bucket_batches(buckets):
             reply = DeltaReply(self._address, batch.buckets, batch.records)
             self._effects.send_table_message(request.reply_address, reply)
-
-    def encoded_by_bucket(
-        self, buckets: Iterable[int]
-    ) -> dict[int, list[EncodedRecord]]:
-        """Return the records in each of `buckets`, as they stand in messages."""
-        return {
-            bucket: list(self._codec.encode_all(records))
-            for bucket, records in self._table.records_by_bucket(buckets).items()
-        }
--- a/wheathill/peers/zones/table_gossip.py
+++ b/wheathill/peers/zones/table_gossip.py
@@ -9,11 +9,9 @@
 
 from wheathill.peers.environment import Clock
 from wheathill.peers.membership import Member
-from wheathill.peers.table_records import RecordCodec
-from wheathill.peers.zones.effects import ReplicationEffects, ZoneTableRecord
+from wheathill.peers.zones.effects import ZoneEffects
 from wheathill.peers.zones.messages import TableUpdate
-from wheathill.peers.zones.record_batches import RecordBatcher
-from wheathill.peers.zones.zone_summary import ZoneSummary
+from wheathill.peers.zones.zone_table import ZoneTable, ZoneTableRecord
 
 # Members that a record is passed on to.
 FANOUT = 3
@@ -32,15 +30,13 @@
         name: str,
         clock: Clock,
         rng: random.Random,
-        codec: RecordCodec[ZoneSummary],
-        batcher: RecordBatcher,
-        effects: ReplicationEffects,
+        table: ZoneTable,
+        effects: ZoneEffects,
     ) -> None:
         self._name = name
         self._clock = clock
         self._random = rng
-        self._codec = codec
-        self._batcher = batcher
+        self._table = table
         self._effects = effects
         # By key; the latest record of each is sent.
         self._pending: dict[str, ZoneTableRecord] = {}
@@ -93,7 +89,6 @@
     def _send(
         self, addresses: Iterable[str], records: dict[str, ZoneTableRecord]
     ) -> None:
-        encoded = self._codec.encode_all(records.values())
-        for batch in self._batcher.split_records(encoded):
+        for batch in self._table.batches(records.values()):
             for address in addresses:
                 self._effects.send_table_message(address, TableUpdate(batch))
--- a/wheathill/peers/zones/zone_contacts.py
+++ b/wheathill/peers/zones/zone_contacts.py
@@ -18,6 +18,7 @@
     """What a leader knows of contact with other zones.
 
     Heartbeats go round the zones in an order that `rng` draws anew for each round.
+    `directory` is of all zones.
     """
 
     def __init__(
@@ -27,7 +28,7 @@
         rng: random.Random,
         now_ms: float,
     ) -> None:
-        self._directory = directory
+        self.directory = directory
         self._interval_ms = probe_interval_ms
         self._random = rng
         # By zone: when a message of it last arrived here, or since when this proxy is a
@@ -48,7 +49,7 @@
 
         A proxy that is no leader gets hardly any messages from other zones.
         """
-        self._last_contact_ms = dict.fromkeys(self._directory.others, now_ms)
+        self._last_contact_ms = dict.fromkeys(self.directory.others, now_ms)
         self._contacted = set()
 
     def unreachable_zones(self, now_ms: float) -> list[str]:
@@ -57,10 +58,10 @@
         One that the leader before this one found unreachable is so until a message of
         it arrives.
         """
-        before = self._directory.unreachable_zones()
+        before = self.directory.unreachable_zones()
         return [
             zone
-            for zone in self._directory.others
+            for zone in self.directory.others
             if self._silence_ms(now_ms, zone)
             > UNREACHABLE_INTERVALS * self._interval_ms
             or (zone in before and zone not in self._contacted)
@@ -71,10 +72,10 @@
 
         Where nothing arrives from there each is tried in turn: its leaders may be gone.
         """
-        addresses = self._directory.addresses(zone)
+        addresses = self.directory.addresses(zone)
         silent_ms = SILENT_INTERVALS * self._interval_ms
         if (
-            self._directory.summary(zone) is None
+            self.directory.summary(zone) is None
             or self._silence_ms(now_ms, zone) > silent_ms
         ):
             self._addresses_tried += 1
@@ -84,11 +85,11 @@
     def heartbeat_addresses(self, now_ms: float) -> list[str]:
         """Return where to send heartbeats now, one address a zone."""
         if not self._remaining:
-            self._remaining = list(self._directory.others)
+            self._remaining = list(self.directory.others)
             self._random.shuffle(self._remaining)
         due = self._remaining[:ZONES_PER_INTERVAL]
         self._remaining = self._remaining[ZONES_PER_INTERVAL:]
-        late = [zone for zone in self._directory.others if self._is_late(now_ms, zone)]
+        late = [zone for zone in self.directory.others if self._is_late(now_ms, zone)]
         return [self.address(now_ms, zone) for zone in dict.fromkeys([*due, *late])]
 
     def _is_late(self, now_ms: float, zone: str) -> bool:
--- a/wheathill/peers/zones/zone_directory.py
+++ b/wheathill/peers/zones/zone_directory.py
@@ -60,7 +60,13 @@
         summary = self.summary(self.own.name)
         return () if summary is None else summary.unreachable_zones
 
-    # States, given that of the own zone
+    # States; those of other zones, given that of the own
+
+    def own_state(self, view_state: ViewState) -> ViewState:
+        """Return the own zone's state; one of a single member has converged."""
+        if view_state == ViewState.STANDALONE and self.own.proxies <= 1:
+            return ViewState.CONVERGED
+        return view_state
 
     def state(self, zone: str, own_state: ViewState) -> ViewState:
         """Return the state of one zone as far as it is known here."""
