--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -8,8 +8,9 @@
 from wheathill.config.errors import ConfigurationError
 from wheathill.config.platform import build_node_config, read_platform_config
 from wheathill.log_events import LogEvent
-from wheathill.net import bans, log
-from wheathill.net.operators import OperatorsDoor
+from wheathill.net import log
+from wheathill.net.admin.server import AdminServer
+from wheathill.net.maintenance_store import MaintenanceStore, maintenance_store_of
 from wheathill.peers.control import Control
 
 FIGURES = LogEvent.METRICS  # the event whose line tells the counts
@@ -39,11 +40,11 @@
 
 def call_with_peers(proxy: Any, instance: Any, data: bytes) -> bytes:
     """Returns the answer of a proxy's HTTP endpoint that also has the path of its peers."""
-    door, wire = OperatorsDoor(proxy), Sink()
-    door.paths["/peers"] = {"GET": (instance.status.table,)}
-    call = door.call(wire)
-    call.connected()
-    call.received(data)
+    server, wire = AdminServer(proxy), Sink()
+    server.add_route("GET", "/peers", instance.status.table)
+    request = server.accept(wire)
+    request.connected()
+    request.received(data)
     return wire.sent
 
 
@@ -63,19 +64,20 @@
 
 def maintenance_path(values: dict, folder: str | None) -> str | None:
     """Returns the path of the file of servers in maintenance, of a platform's configuration."""
-    return bans.path_of(
+    store = maintenance_store_of(
         build_node_config(values, EnvironmentDefaults(state_directory=folder))
     )
+    return store.path if store else None
 
 
 def write_maintenance(path: pathlib.Path, out: dict[str, float]) -> None:
     """Writes the file of servers in maintenance."""
-    bans.write(str(path), out)
+    MaintenanceStore(str(path)).save(out)
 
 
 def read_maintenance(path: pathlib.Path) -> dict[str, float]:
     """Reads the file of servers in maintenance."""
-    return bans.read(str(path), 1000)
+    return MaintenanceStore(str(path)).load(1000)
 
 
 def platform_error(values: Any) -> str:
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -20,12 +20,12 @@
 from wheathill.lab.scale import table as slots
 from wheathill.lab.scale import walks
 from wheathill.model import Listener, Session
-from wheathill.net.admin import Call
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.server import AdminServer
 from wheathill.net.client import Client
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Wire
 from wheathill.net.garbage import keep_collections_short
-from wheathill.net.operators import OperatorsDoor
 from wheathill.net.server import Dialled, ProbeLink
 
 pytestmark = pytest.mark.processes
@@ -327,7 +327,7 @@
         gc.enable()
 
 
-KINDS = (Wire, Client, Dialled, ProbeLink, Watch, Call, Session)
+KINDS = (Wire, Client, Dialled, ProbeLink, Watch, AdminRequest, Session)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
     "linger_ms": 60.0,
@@ -443,10 +443,10 @@
 def test_no_call_of_an_operator_is_left_to_the_collector():
     with turned(discovery=False) as turns:
         turns.until(lambda: turns.proxy.ready)
-        door = OperatorsDoor(turns.proxy)
+        server = AdminServer(turns.proxy)
         with socket.create_server(("127.0.0.1", 0)) as free:
             at = free.getsockname()
-        listens = turns.carrier.listen(door.call, at, door.room)
+        listens = turns.carrier.listen(server.accept, at, server.make_room)
 
         def ask():
             for text in (b"GET /status HTTP/1.1\r\n\r\n", b"nonsense\r\n"):
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -226,7 +226,7 @@
         (70_003, "z", True),
     ):
         proxy.clock.time = when
-        proxy.by_hand(name, out)
+        proxy.set_maintenance(name, out)
     balancer, servers = proxy.balancer, proxy.servers
     for number, server in enumerate(servers.values()):
         since = 60_000.125 + 100 * number
@@ -326,9 +326,9 @@
     recorder.run()
     if not operators:
         return recorder.lines
-    new.proxy.by_hand("a", True)
+    new.proxy.set_maintenance("a", True)
     recorder.run()
-    old.proxy.by_hand("a", False)
+    old.proxy.set_maintenance("a", False)
     recorder.run()
     return recorder.lines
 
@@ -607,7 +607,7 @@
             connection.deliver(data, ["handle"] * handles)
         else:
             if data.startswith(b'{"hand"'):
-                (old if present == "old" else new).proxy.by_hand(*hands.pop())
+                (old if present == "old" else new).proxy.set_maintenance(*hands.pop())
             sent, given = connection.sent.pop(0)
             assert (len(given), sent) == (handles, data)
     assert not connection.sent and not hands
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -12,14 +12,13 @@
     # State machines, told of what happens: no sockets, no loop.
     (
         "wheathill.net.admin",
-        "wheathill.net.bans",
         "wheathill.net.carried",
         "wheathill.net.client",
         "wheathill.net.discovery",
-        "wheathill.net.figures",
         "wheathill.net.lines",
         "wheathill.net.machine",
-        "wheathill.net.operators",
+        "wheathill.net.maintenance_store",
+        "wheathill.net.metrics",
         "wheathill.net.proxy",
         "wheathill.net.server",
         "wheathill.net.told",
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -19,9 +19,9 @@
 from wheathill.lab.scripts.scene import Scene
 from wheathill.lab.tools.experiments import in_time
 from wheathill.lab.worlds.virtual import VirtualWorld
-from wheathill.net.admin import Call
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.server import AdminServer
 from wheathill.net.client import Client
-from wheathill.net.operators import OperatorsDoor
 from wheathill.net.proxy import Proxy
 
 MUTANTS_SCRIPT = "tests/scripts/mutants.toml"
@@ -300,7 +300,7 @@
     def check():
         world.clock.after(1000.0, check)
         for name, seat in scene.seats.items():
-            figures = seat.proxy.metrics()
+            figures = seat.proxy.metrics_report()
             checks.append(name)
             for who, results in figures["downstream_requests"].items():
                 for result, count in results.items():
@@ -332,14 +332,16 @@
     """The judge names a proxy that forgets its operators' calls; sessions that don't go over are cut."""
 
     class Deaf(Proxy):
-        def by_hand(self, name, out, told=None):
+        def set_maintenance(self, name, out, forwarded_by=None):
             pass
 
     found = play(scripts.read("experiments/out-by-hand.toml"), proxy=Deaf).breaches
     assert any(breach.rule == 3 for breach in found)
 
-    monkeypatch.setattr(OperatorsDoor, "room", lambda door: True)  # nobody makes room
-    monkeypatch.setattr(Call, "connected", lambda call: call.wire.hold(True))
+    monkeypatch.setattr(
+        AdminServer, "make_room", lambda server: True
+    )  # nobody makes room
+    monkeypatch.setattr(AdminRequest, "connected", lambda call: call.wire.hold(True))
     calls = play(scripts.read("experiments/callers.toml")).breaches
     assert any("an operator's call" in breach.what for breach in calls)
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Day-to-day operation: the operators' door, figures, servers out by hand, upgrades."""
+"""Day-to-day operation: the admin endpoint, metrics, servers in maintenance, upgrades."""
 
 import json
 import os
@@ -24,14 +24,14 @@
 from wheathill.handover.state_receiver import StateReceiver
 from wheathill.log_events import LogEvent
 from wheathill.model import Session, UpdateKind
-from wheathill.net import bans
-from wheathill.net.admin import Call
-from wheathill.net.operators import OperatorsDoor
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.server import AdminServer
+from wheathill.net.maintenance_store import MaintenanceStore
 from wheathill.net.proxy import Proxy
 
 
 class Desk:
-    """What the door's table leads to."""
+    """What the routes lead to."""
 
     limits, clock, ready, stopping, handed_over = (
         LIMITS,
@@ -41,7 +41,7 @@
         False,
     )
 
-    def metrics(self):
+    def metrics_report(self):
         raise RuntimeError("a fault")
 
     def __getattr__(self, what):
@@ -52,7 +52,7 @@
     """What one call is answered, by its first line and its body."""
     lines = []
     wire = Hand("", lines)
-    made = Call(wire, OperatorsDoor(Desk()).answer, LIMITS, Hand("clock", []))
+    made = AdminRequest(wire, AdminServer(Desk()).answer, LIMITS, Hand("clock", []))
     made.connected()
     for piece in pieces:
         if not made.done:
@@ -111,8 +111,8 @@
 
 def test_a_handler_fault_is_answered():
     lines = []
-    made = Call(
-        Hand("", lines), OperatorsDoor(Desk()).answer, LIMITS, Hand("clock", [])
+    made = AdminRequest(
+        Hand("", lines), AdminServer(Desk()).answer, LIMITS, Hand("clock", [])
     )
     made.connected()
     with pytest.raises(
@@ -188,7 +188,7 @@
         rig.watched("a", "b")
         rig.until_logged(LogEvent.READY)
         rig.up("k3", (name, other))
-        in_the_way = f"{bans_of(rig)}.{rig.process.pid}"
+        in_the_way = f"{maintenance_file_of(rig)}.{rig.process.pid}"
         os.mkdir(in_the_way)
         rig.call(say("exit", name))
         rig.call(say("enter", other))
@@ -202,7 +202,7 @@
         return rig.lines
 
 
-def bans_of(rig):
+def maintenance_file_of(rig):
     return next(str(path) for path in pathlib.Path(rig.folder.name).glob("*.out"))
 
 
@@ -470,10 +470,10 @@
     "text",
     [b"", b"{", b"[]", b'{"version":9,"out":{}}', b'{"version":1,"out":{"a":"b"}}'],
 )
-def test_bad_bans(tmp_path, text):
+def test_a_bad_maintenance_file_is_refused(tmp_path, text):
     (tmp_path / "file").write_bytes(text)
     with pytest.raises(ValueError):
-        bans.read(str(tmp_path / "file"), 10)
+        MaintenanceStore(str(tmp_path / "file")).load(10)
 
 
 class Partner:
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -182,7 +182,7 @@
 
     def sent(self):
         """How many dials' lines have left."""
-        return self.proxy.figures.counts["dials sent"]
+        return self.proxy.metrics.counts["dials sent"]
 
     def hears(self, peer):
         """One line, or how the connection ended, as the loop goes on."""
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -35,12 +35,18 @@
     if node.peers:
         join(proxy, carrier, clock, log)
     if node.admin_address:
-        from wheathill.net.operators import OperatorsDoor
+        from wheathill.net.admin.server import AdminServer
 
-        door = OperatorsDoor(proxy)
+        server = AdminServer(proxy)
         if proxy.peers:
-            door.paths["/peers"] = {"GET": (proxy.peers.status.table,)}
-        listen(carrier, "admin_addr", door.call, node.admin_address, door.room)
+            server.add_route("GET", "/peers", proxy.peers.status.table)
+        listen(
+            carrier,
+            "admin_addr",
+            server.accept,
+            node.admin_address,
+            server.make_room,
+        )
         log(LogEvent.ADMIN_LISTENING, at=":".join(map(str, node.admin_address)))
     proxy.door = listen(
         carrier, "listen", proxy.client, node.listen_address, proxy.room, node.listen_fd
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -173,4 +173,6 @@
     def apply_maintenance(self, value: object) -> None:
         """Put an operator's call that came to the other process in force here."""
         change = MaintenanceChange.decode(value)
-        self._proxy.by_hand(change.server_name, change.is_out, told=self)
+        self._proxy.set_maintenance(
+            change.server_name, change.is_out, forwarded_by=self
+        )
--- a/wheathill/lab/scale/parts.py
+++ b/wheathill/lab/scale/parts.py
@@ -19,7 +19,7 @@
 from wheathill.policy.slot_table import SlotTable
 
 WRAPPED = {
-    Proxy: ("sweep", "log_figures"),
+    Proxy: ("sweep", "log_metrics"),
     Balancer: ("tick",),
     SessionMigrator: ("shed_overloaded_servers",),
     SlotTable: ("finish_transitions", "shift_slots"),
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -670,7 +670,7 @@
         """Left out by a call at every proxy's door, restarted after `leaves_s`, and put back."""
         for name, seat in self.seats.items():
             self.record.note("out by hand", proxy=name, server=on)
-            seat.proxy.by_hand(on, True)
+            seat.proxy.set_maintenance(on, True)
         gateway = self.gateways[on]
 
         def restart():
@@ -681,7 +681,7 @@
         def put_back():
             for name, seat in self.seats.items():
                 self.record.note("put back", proxy=name, server=on)
-                seat.proxy.by_hand(on, False)
+                seat.proxy.set_maintenance(on, False)
 
         self.clock.after(event.leaves_s * 1000, restart)
         return put_back
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -6,7 +6,7 @@
 
 from wheathill.config.platform import build_node_config
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
-from wheathill.net.operators import OperatorsDoor
+from wheathill.net.admin.server import AdminServer
 
 
 class Seat:
@@ -37,8 +37,8 @@
 
     def open_to_operators(self, carrier):
         if self.calls:
-            door = OperatorsDoor(self.proxy)
-            carrier.listen(door.call, self.admin, door.room)
+            server = AdminServer(self.proxy)
+            carrier.listen(server.accept, self.admin, server.make_room)
 
     @property
     def running(self):
--- /dev/null
+++ b/wheathill/net/admin/response.py
@@ -0,0 +1,33 @@
+"""Responses with a JSON body, after which the connection is closed."""
+
+from collections.abc import Mapping
+
+import orjson
+
+REASON_PHRASES = {
+    200: "OK",
+    400: "Bad Request",
+    404: "Not Found",
+    405: "Method Not Allowed",
+    408: "Request Timeout",
+    413: "Content Too Large",
+    431: "Request Header Fields Too Large",
+    500: "Internal Server Error",
+    501: "Not Implemented",
+    503: "Service Unavailable",
+    505: "HTTP Version Not Supported",
+}
+
+
+def encode_response(
+    status: int, value: object, headers: Mapping[str, str]
+) -> tuple[bytes, bytes]:
+    """Return the head and the body; what JSON does not know is written as text."""
+    body = orjson.dumps(value, default=str, option=orjson.OPT_APPEND_NEWLINE)
+    more = "".join(f"{name}: {text}\r\n" for name, text in headers.items())
+    head = (
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n"
+        f"{more}Content-Type: application/json\r\n"
+        f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
+    )
+    return head.encode(), body
--- /dev/null
+++ b/wheathill/net/admin/server.py
@@ -0,0 +1,90 @@
+"""The endpoint itself: which requests are taken in, and what the proxy answers."""
+
+from collections.abc import Callable
+from functools import partial
+from typing import Any
+
+from wheathill.net.admin.errors import HttpError
+from wheathill.net.admin.interfaces import AdminConnection, AdministeredProxy
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.request_target import RequestTarget
+from wheathill.net.admin.routes import Routes
+
+
+class AdminServer:
+    """Holds a few requests at a time, in descriptors that are reserved for it."""
+
+    def __init__(self, proxy: AdministeredProxy) -> None:
+        self._proxy = proxy
+        # Not over yet, the oldest first -> since when, in ms.
+        self._requests: dict[AdminRequest, float] = {}
+        self._routes = Routes()
+        add = self._routes.add
+        add("GET", "/status", self._status)
+        add("GET", "/status/metrics", proxy.metrics_report)
+        add("PUT", "/maintenance/enter", partial(self._set_maintenance, True), "host")
+        add("PUT", "/maintenance/exit", partial(self._set_maintenance, False), "host")
+
+    def add_route(
+        self, method: str, path: str, handler: Callable[..., Any], *parameters: str
+    ) -> None:
+        """Add a path of another part of the program; see `routes.Route`."""
+        self._routes.add(method, path, handler, *parameters)
+
+    def accept(self, connection: AdminConnection) -> AdminRequest:
+        """Take a connection in."""
+        proxy = self._proxy
+        request = AdminRequest(connection, self.answer, proxy.limits, proxy.clock)
+        self._requests[request] = proxy.now()
+        return request
+
+    def make_room(self) -> bool:
+        """Return whether another request may be taken in.
+
+        The oldest one makes room: a silent caller must not keep others out. It has some
+        time to come, and is not ended while bytes of it are unread, as otherwise of
+        fifty callers at once the one that sent something is among those that are cut
+        off.
+        """
+        for request in [each for each in self._requests if not each.wire.counted]:
+            del self._requests[request]
+        if len(self._requests) < self._proxy.limits.max_admin_requests:
+            return True
+        silent_since = self._proxy.now() - self._proxy.limits.min_silence_to_evict_ms
+        for request, since in self._requests.items():
+            if request.done or since < silent_since and not _has_unread(request.wire):
+                del self._requests[request]
+                request.make_room()
+                return True
+        return False
+
+    def answer(self, method: str, target: RequestTarget) -> Any:  # noqa: ANN401 - JSON
+        """Return the body of the response, or raise `HttpError`."""
+        return self._routes.answer(method, target)
+
+    def _status(self) -> dict[str, str]:
+        proxy = self._proxy
+        if proxy.ready and not proxy.handed_over:
+            return {"status": "ready"}
+        if proxy.stopping is not None:
+            raise HttpError(503, "stopping")
+        if proxy.handed_over:
+            raise HttpError(503, "handed over to another process")
+        raise HttpError(503, "starting")
+
+    def _set_maintenance(self, out: bool, name: str) -> dict[str, Any]:
+        if not self._proxy.names:
+            raise HttpError(503, "starting")
+        if name not in self._proxy.names:
+            raise HttpError(404, f"{name!r} was never listed here")
+        try:
+            is_kept = self._proxy.set_maintenance(name, out)
+        except OSError as error:
+            raise HttpError(
+                500, f"nothing was changed, as it can't be kept: {error.strerror}"
+            ) from None
+        return {"host": name, "out": out, "kept": is_kept}
+
+
+def _has_unread(connection: AdminConnection) -> bool:
+    return connection.open and connection.unread
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -112,7 +112,7 @@
         )
         self.note_id(head, sess)
         if not self.make_room():
-            self.figures.count("no sockets")
+            self.metrics.count("no sockets")
             self.answer(client, self.come_back(listener))
         elif "at" in head.values:
             client.sess = sess
@@ -121,7 +121,7 @@
         else:
             self.clients[sess] = client
             client.sess = sess
-            self.figures.count("came")
+            self.metrics.count("came")
             client.set_timer(left, self.late, client)
             self.balancer.on_session(now, sess)
 
@@ -227,14 +227,14 @@
         """A session's final answer where it isn't UP: the one place where it is given, and counted for the
         listener that it named."""
         if client.listener is not None:
-            self.figures.ended(
+            self.metrics.count_result(
                 client.listener, "rejected" if line.startswith(b"BUSY") else "failed"
             )
         client.answer(line)
 
     def bad_client(self, client, why):
         self.silent.pop(client, None)
-        self.figures.count("bad")
+        self.metrics.count("bad")
         # They come by hundreds, at full speed: most are only counted.
         now = self.now()
         if now - self.bad_since >= self.limits.protocol_error_window_ms:
@@ -242,7 +242,7 @@
         self.bad_logged += 1
         if self.bad_logged <= self.limits.max_protocol_errors_logged:
             self.log_event(
-                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.figures.counts["bad"]
+                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.metrics.counts["bad"]
             )
         client.lines.rest = b""
         self.answer(client, b"ERR")
@@ -269,7 +269,7 @@
             None  # a generator that holds its session: a cycle, and of no use any more
         )
         self.ids[client.head.id] = None
-        self.figures.count(how)
+        self.metrics.count(how)
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
@@ -301,7 +301,7 @@
     def message_took(self, client, spent):
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
-            self.figures.count("late messages")
+            self.metrics.count("late messages")
             self.balancer.on_message_latency(self.now(), client.sess, spent)
 
     def load_told(self, client, text):
@@ -396,7 +396,7 @@
         dial.rest = rest
         self.clients[sess] = client
         self.ids[head.id] = sess
-        self.figures.know([sess.listener.name])
+        self.metrics.add_listeners([sess.listener.name])
         self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
             self.carrier.adopt(handle, machine)
@@ -439,7 +439,7 @@
         return may
 
     def dial_sent(self, dial):
-        self.figures.count("dials sent")
+        self.metrics.count("dials sent")
 
     def dial_up(self, dial, line):
         client, sess, now = dial.client, dial.client.sess, self.now()
@@ -450,7 +450,7 @@
             # This process stood still over the dial timeout, and what its server said waited to be read before the
             # alarm that was due: UP is not said any more.
             return self.late(client)
-        self.figures.ended(client.listener, "completed")
+        self.metrics.count_result(client.listener, "completed")
         client.serve(dial, line)
         self.heard(dial.server)
         if sess in self.clients:
@@ -465,7 +465,7 @@
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
         sess = client.sess if client.dial is dial else None
         if not dial.up:
-            self.figures.count("dial: " + outcome.value)
+            self.metrics.count("dial: " + outcome.value)
             self.log_event(
                 LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
@@ -502,7 +502,7 @@
     def start_attempt(self, session, server, timeout_ms):
         client = self.clients[session]
         if len(session.attempts) > 1:
-            self.figures.count("further dials")
+            self.metrics.count("further dials")
         if not self.spare(DIALS):
             self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
@@ -549,7 +549,7 @@
     # Probes
 
     def send_probe(self, server):
-        self.figures.count("probes")
+        self.metrics.count("probes")
         link = self.links.pop(server, None)
         if link is None:
             if (
@@ -577,7 +577,7 @@
     def probe_again(self, server, until):
         """Its link was closed for idleness in the moment in which it was asked, which tells nothing of the server."""
         if server in self.addresses:
-            self.figures.count("probes")
+            self.metrics.count("probes")
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -12,7 +12,7 @@
 from wheathill.log_events import LogEvent
 from wheathill.model import Phase, UpdateKind
 from wheathill.net.carried import Carried
-from wheathill.net.figures import Figures
+from wheathill.net.metrics import ProxyMetrics
 from wheathill.net.told import Told
 from wheathill.policy.balancer import Balancer
 
@@ -20,7 +20,7 @@
 class Proxy(Carried, Told):
     def __init__(self, node, carrier, clock, log, decisions=Balancer):
         self.carrier = carrier
-        self.figures = Figures()
+        self.metrics = ProxyMetrics()
         self.door = None  # where clients are taken in
         self.upgrade = None  # where another process may take over, or has
         self.handed_over = False
@@ -67,7 +67,7 @@
     def start(self, taken=False):
         """`taken`: the list and all else are those of the process before."""
         self.balancer.on_start(self.now())
-        self.read_bans()
+        self.load_maintenance()
         known, self.node = (
             self.node.initial_endpoints,
             replace(self.node, initial_endpoints={}),
@@ -88,7 +88,7 @@
         )
         self.swept = self.now() + self.limits.sweep_interval_ms
         self.clock.after(self.limits.sweep_interval_ms, self.sweep)
-        self.clock.after(self.limits.metrics_interval_ms, self.log_figures)
+        self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
 
     def get_ready(self):
         self.first_list_over()
@@ -137,7 +137,7 @@
             self.log_event(
                 LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
-                since_start=self.figures.since_start(),
+                since_start=self.metrics.for_log(),
             )
             self.see_off(stopped, now + self.limits.shutdown_linger_ms)
         else:
@@ -176,24 +176,24 @@
         else:
             stopped()
 
-    def log_figures(self):
-        self.clock.after(self.limits.metrics_interval_ms, self.log_figures)
+    def log_metrics(self):
+        self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
         self.log_event(
             LogEvent.METRICS,
             **self.beliefs(),
             worst_delay=round(self.worst_delay, 1),
-            since_start=self.figures.since_start(),
+            since_start=self.metrics.for_log(),
         )
         self.worst_delay = 0.0
 
-    def metrics(self):
+    def metrics_report(self):
         """What operators are told; the counts are those of the log."""
         listed = [
             server for server in self.servers.values() if server.phase is not Phase.GONE
         ]
         left_out = self.left_out(self.now())
         return {
-            **self.figures.told(),
+            **self.metrics.for_operators(),
             "pending": len(self.clients),
             "members": len(listed),
             "members_unavailable": sum(
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -7,8 +7,8 @@
 from wheathill.config.reload import keys_needing_restart
 from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, EndpointEntry, Phase, Server, UpdateKind
-from wheathill.net import bans
 from wheathill.net.discovery import Watch
+from wheathill.net.maintenance_store import maintenance_store_of
 
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
@@ -22,7 +22,7 @@
         self.node = node
         self.limits = self.carrier.limits = node.limits
         self.listeners = {listener.name: listener for listener in node.listeners}
-        self.figures.know(self.listeners)
+        self.metrics.add_listeners(self.listeners)
         self.tenants = {name: place for place, name in enumerate(node.tenants)}
 
     def reload(self, node):
@@ -42,31 +42,32 @@
             self.seen = 0
             self.open_watch()
 
-    # Servers out by hand
+    # Servers in maintenance
 
-    def by_hand(self, name, out, told=None):
-        """Kept first, then in force: whether it outlives this process. Raises OSError with nothing changed.
-        `told`: the other process that said so."""
+    def set_maintenance(self, name, out, forwarded_by=None):
+        """Takes a server out of service or back in; returns whether that outlives this process.
+
+        Kept first, then in force. `forwarded_by`: the other process that an operator called. Raises OSError with
+        nothing changed."""
         held = dict(self.balancer.endpoint_list.maintenance_since_ms)
         if out:
             held.setdefault(name, self.now())
         else:
             held.pop(name, None)
-        path = bans.path_of(self.node)
-        if path and list(held) != list(
+        store = maintenance_store_of(self.node)
+        if store and list(held) != list(
             self.balancer.endpoint_list.maintenance_since_ms
         ):
             try:
-                bans.write(
-                    path,
-                    {other: self.clock.to_wall(since) for other, since in held.items()},
+                store.save(
+                    {other: self.clock.to_wall(since) for other, since in held.items()}
                 )
             except OSError as wrong:
-                if told is None:
+                if forwarded_by is None:
                     raise
                 # The other process has kept it, and said yes: it counts here all the same.
                 self.log_event(
-                    LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong)
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
                 )
         self.log_event(
             LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
@@ -75,15 +76,15 @@
         )
         self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
-            self.upgrade.forward_maintenance(name, out, told)
-        return bool(path)
+            self.upgrade.forward_maintenance(name, out, forwarded_by)
+        return store is not None
 
-    def read_bans(self):
-        path = bans.path_of(self.node)
+    def load_maintenance(self):
+        store = maintenance_store_of(self.node)
+        if store is None:
+            return
         try:
-            for name, since in (
-                bans.read(path, self.limits.max_unlisted_names).items() if path else ()
-            ):
+            for name, since in store.load(self.limits.max_unlisted_names).items():
                 self.names[name] = None
                 self.balancer.endpoint_list.maintenance_since_ms.setdefault(
                     name, self.clock.from_wall(since)
@@ -94,7 +95,9 @@
                     out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
         except (OSError, ValueError) as wrong:
-            self.log_event(LogEvent.MAINTENANCE_FILE_ERROR, path=path, what=str(wrong))
+            self.log_event(
+                LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
+            )
 
     # The list of servers
 
