--- a/tests/drive.py
+++ b/tests/drive.py
@@ -20,6 +20,7 @@
 import time
 from collections import Counter
 
+from wheathill.drill.timer_names import decode_timer, encode_timer
 from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
 from wheathill.policy.balancer import Balancer
@@ -99,8 +100,8 @@
     def poll_endpoint_list(self, enabled):
         self.say(f"follows the list: {enabled}")
 
-    def set_timer(self, name, at_ms):
-        self.alarms.append((at_ms, len(self.alarms), name))
+    def set_timer(self, timer, at_ms):
+        self.alarms.append((at_ms, len(self.alarms), encode_timer(timer)))
 
     def log(self, text):
         self.say(f"log: {text}")
@@ -149,7 +150,7 @@
             if isinstance(alarm[2], Server):
                 self.answer(alarm[2])
             else:
-                self.balancer.on_timer(self.now, alarm[2])
+                self.balancer.on_timer(self.now, decode_timer(alarm[2]))
         self.now = then
 
     def pass_time(self, then):
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -40,12 +40,12 @@
         self.turns = turns
         self.proxy = turns.proxy
         self.number = 0
-        self.window = self.proxy.balancer.admission.window
+        self.window = self.proxy.balancer.admission.concurrency_limit
 
     def open(self, **values):
         # What earlier ones met makes the decisions careful, which is not what is looked at here.
         first = self.proxy.balancer.admission
-        first.window, first.next_at = self.window, -math.inf
+        first.concurrency_limit, first.next_admission_ms = self.window, -math.inf
         for server in self.proxy.servers.values():
             server.recent_results.clear()
         self.number += 1
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -22,6 +22,7 @@
 from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
+from wheathill.policy.outlier_detection import RecordedAttempt
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CONFIGURATION = {
@@ -257,14 +258,18 @@
     for number, known in enumerate((table.moved_keys, table.exception_keys)):
         known["key é"] = servers["ab"[number]], 69_600.5
         known["second"] = servers["ba"[number]], 69_700.0
-    balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.earned = (
+    balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.credit = (
         12.75,
         3.5,
     )
-    balancer.admission.window, balancer.admission.next_at = 17.5, 69_999.0
+    balancer.admission.concurrency_limit = 17.5
+    balancer.admission.next_admission_ms = 69_999.0
     balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
-    balancer.outlier_detector.dials.extend(
-        [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
+    balancer.outlier_detector.recent_attempts.extend(
+        [
+            RecordedAttempt(69_000.0, servers["a"], True),
+            RecordedAttempt(69_900.25, servers["b"], False),
+        ]
     )
     proxy.ids.update({"id-over": None, "id ü": None})
     proxy.clock.time = 70_100.0
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -259,7 +259,7 @@
         old.balancer.on_session_handed_over(70_000.0, sess, old.servers["a"])
         old.ids[f"id {number}"] = sess
     old.balancer.load_estimator.record_sample(70_000.0, old.servers["a"], [0.5])
-    old.balancer.outlier_detector.dialled(70_000.0, old.servers["a"], False)
+    old.balancer.outlier_detector.record_attempt(70_000.0, old.servers["a"], False)
     table = old.balancer.slot_table
     slot = table.current.index(old.servers["b"])
     table.sessions[slot][sess] = None
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -335,7 +335,7 @@
         d.now += 0.1
         d.outcome(sess, AttemptOutcome.RESET)
     d.say(
-        f"{len(lost)} of 60 were reset; {d.balancer.admission.window:g} set-ups at once"
+        f"{len(lost)} of 60 were reset; {d.balancer.admission.concurrency_limit:g} set-ups at once"
     )
     return d.lines
 
@@ -444,7 +444,7 @@
     d.balancer.on_message_unanswered(d.now, held[1], 1200.0)
     d.say("a second one does")
     d.balancer.on_message_unanswered(d.now, held[0], 500.0)
-    d.say(f"left out: {d.balancer.outlier_detector.silent(d.servers['a'])}")
+    d.say(f"left out: {d.balancer.outlier_detector.is_unresponsive(d.servers['a'])}")
     return [line for line in d.lines if "shift" not in line]
 
 
@@ -718,8 +718,8 @@
     ):
         d.now += 60_000.0
         for end in ends.split():
-            health.dialled(d.now, d.servers[end[0]], end[1] == "+")
-        d.say(f"{said}: shared trouble {health.shared_trouble(d.now)}")
+            health.record_attempt(d.now, d.servers[end[0]], end[1] == "+")
+        d.say(f"{said}: shared trouble {health.has_common_cause(d.now)}")
     return d.lines
 
 
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -8,6 +8,7 @@
 import sys
 
 from wheathill.config import Misconfigured, Reader, balancer_settings, read_listeners
+from wheathill.drill.timer_names import decode_timer, encode_timer
 from wheathill.model import (
     AttemptOutcome,
     Idempotency,
@@ -152,7 +153,9 @@
         """Nothing is told to other proxies yet, so nothing can be heard."""
 
     def alarm_rang(self, now, name):
-        self.balancer.on_timer(now, name)
+        timer = decode_timer(name)
+        if timer is not None:
+            self.balancer.on_timer(now, timer)
 
     def forget(self, sess):
         handle = self.handles.pop(sess, None)
@@ -181,8 +184,8 @@
     def poll_endpoint_list(self, enabled):
         self.order("follow", enabled)
 
-    def set_timer(self, name, at_ms):
-        self.order("timer", name, at_ms / 1000)
+    def set_timer(self, timer, at_ms):
+        self.order("timer", encode_timer(timer), at_ms / 1000)
 
     def log(self, text):
         self.order("trace", text)
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -18,9 +18,9 @@
 )
 from wheathill.model import Listener, Phase, Server, Session
 from wheathill.net.proxy import Proxy
+from wheathill.policy.outlier_detection import RecordedAttempt
 
 KeyRoutes = dict[str, tuple[Server, float]]  # key -> (server, since when)
-Attempts = list[tuple[float, Server, bool]]  # (when, where, whether it went well)
 
 
 @dataclass(slots=True)
@@ -41,7 +41,7 @@
     slots: _SlotTables
     moved_keys: KeyRoutes
     exception_keys: KeyRoutes
-    attempts: Attempts
+    attempts: list[RecordedAttempt]
     session_ids: list[str]
     server_names: list[str]
     decisions: DecisionsRecord
@@ -80,7 +80,11 @@
             moved_keys=moved_keys,
             exception_keys=exception_keys,
             attempts=[
-                (attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
+                RecordedAttempt(
+                    attempt.at_ms,
+                    servers[attempt.server_index],
+                    attempt.succeeded,
+                )
                 for attempt in snapshot.decisions.attempts
             ],
             session_ids=snapshot.session_ids,
@@ -122,12 +126,12 @@
         balancer.load_estimator.capacity_estimate = decisions.capacity_estimate
         # What comes over comes fast, and was reported long ago.
         balancer.load_estimator.previous_mean_sessions = decisions.capacity_estimate
-        balancer.probe_scheduler.earned = decisions.probe_credit
+        balancer.probe_scheduler.credit = decisions.probe_credit
         admission = balancer.admission
-        admission.window = decisions.set_up_window
-        admission.cut_at = decisions.window_cut_at_ms
-        admission.next_at = decisions.next_set_up_at_ms
-        balancer.outlier_detector.dials.extend(self.attempts)
+        admission.concurrency_limit = decisions.set_up_window
+        admission.limit_reduced_ms = decisions.window_cut_at_ms
+        admission.next_admission_ms = decisions.next_set_up_at_ms
+        balancer.outlier_detector.recent_attempts.extend(self.attempts)
         balancer.retry_budget.retries.extend(
             (retry.at_ms, retry.utility) for retry in decisions.retries
         )
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -101,18 +101,18 @@
         maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
         maintenance_ended_ms=dict(balancer.endpoint_list.maintenance_ended_ms),
         capacity_estimate=balancer.load_estimator.capacity_estimate,
-        probe_credit=balancer.probe_scheduler.earned,
-        set_up_window=admission.window,
-        window_cut_at_ms=admission.cut_at,
-        next_set_up_at_ms=admission.next_at,
+        probe_credit=balancer.probe_scheduler.credit,
+        set_up_window=admission.concurrency_limit,
+        window_cut_at_ms=admission.limit_reduced_ms,
+        next_set_up_at_ms=admission.next_admission_ms,
         retries=[
             RetryRecord(when, utility)
             for when, utility in balancer.retry_budget.retries
         ],
         attempts=[
-            AttemptRecord(when, indexes[server], well)
-            for when, server, well in balancer.outlier_detector.dials
-            if server in indexes
+            AttemptRecord(attempt.at_ms, indexes[attempt.server], attempt.succeeded)
+            for attempt in balancer.outlier_detector.recent_attempts
+            if attempt.server in indexes
         ],
     )
 
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -9,7 +9,7 @@
 from wheathill.model import AttemptOutcome
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.retry_rules import may_reject, may_retry
-from wheathill.policy.stage import Stage
+from wheathill.policy.stage import Stage, connect_stages
 
 
 class Plain(Stage):
@@ -35,14 +35,14 @@
         ]
         if able:
             sess.server = self.pick(able)
-            self.next.enter(now, sess)
+            self.next_stage.enter(now, sess)
         else:
             self.give_up(sess)
 
-    def accepted(self, now, sess):
+    def on_accepted(self, now, sess):
         pass
 
-    def back(self, now, sess, outcome):
+    def on_failed(self, now, sess, outcome):
         if (
             len(sess.attempts) < self.most_dials
             and sess.deadline_ms > now
@@ -66,11 +66,11 @@
     def __init__(self, pick, actions, rng, **settings):
         super().__init__(actions, rng, **settings)
         plain = Plain(self, partial(pick, rng), settings["most_dials"])
-        plain.next, self.attempt_runner.before = self.attempt_runner, plain
+        connect_stages(plain, self.attempt_runner)
         self.admission = plain
         # What asks for figures of set-ups under way finds none.
-        plain.under_way = {}
-        plain.failed = lambda now: None
+        plain.in_progress = {}
+        plain.on_setup_failure = lambda now: None
 
     def tick(self, now):
         for server in list(
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -19,7 +19,9 @@
 
     def reject(self, session, retry_after_ms):
         self.clients[session].timer.cancel()
-        self.clock.at(session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms)
+        self.clock.at(
+            session.deadline_ms + 200.0, self.refuse_late, session, retry_after_ms
+        )
 
     def refuse_late(self, sess, come_back_after):
         if sess in self.clients:
@@ -100,7 +102,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.server_selector.usable = lambda now, sess, server: (
+        self.balancer.server_selector.is_eligible = lambda now, sess, server: (
             server.phase is Phase.READY
         )
 
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -15,7 +15,15 @@
 
 from wheathill.config import node_of
 from wheathill.lab.scale import fit
-from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
+from wheathill.model import (
+    PROBE_TIMER,
+    AttemptOutcome,
+    Listener,
+    Phase,
+    Server,
+    Session,
+    UpdateKind,
+)
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
@@ -257,7 +265,7 @@
     for place, server in enumerate(servers):
         made.load_estimator.record_sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
         server.last_probe_ms = 0.0
-    made.probe_scheduler.earned = float(count)
+    made.probe_scheduler.credit = float(count)
     found["tick_probing_ms"] = timed(made.tick, 3000.0)
     return found
 
@@ -279,7 +287,7 @@
                 came += 1
             made.tick(1000.0 * second)
             for _ in range(len(made.due_probes)):
-                made.on_timer(1000.0 * second, "probe")
+                made.on_timer(1000.0 * second, PROBE_TIMER)
             answer(made, actions, 1000.0 * second)
             if second == 10:
                 before = actions.sent
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -265,10 +265,39 @@
     has_ended: bool = False
 
 
+class TimerKind(enum.Enum):
+    """What the decisions set a timer for."""
+
+    POLL_ENDPOINT_LIST = enum.auto()
+    TICK = enum.auto()
+    PROBE = enum.auto()
+    PROBE_WAIT = enum.auto()
+
+
+@dataclass(frozen=True, slots=True)
+class Timer:
+    """A timer that the decisions set, and get back when it fires.
+
+    Attributes:
+        kind: what it is for.
+        selection_number: of a PROBE_WAIT, which selection has waited for long enough.
+    """
+
+    kind: TimerKind
+    selection_number: int = 0
+
+
+POLL_TIMER = Timer(TimerKind.POLL_ENDPOINT_LIST)
+TICK_TIMER = Timer(TimerKind.TICK)
+PROBE_TIMER = Timer(TimerKind.PROBE)
+
+
 class SessionEffects(Protocol):
     """What the decisions call for, carried out by a proxy or the simulator adapter."""
 
-    def start_attempt(self, session: Session, server: Server, timeout_ms: float) -> None:
+    def start_attempt(
+        self, session: Session, server: Server, timeout_ms: float
+    ) -> None:
         """Make an attempt at a server, which has so long to accept the session."""
 
     def reject(self, session: Session, retry_after_ms: float) -> None:
@@ -286,8 +315,8 @@
     def poll_endpoint_list(self, enabled: bool) -> None:
         """Poll the endpoint list, and watch it from then on."""
 
-    def set_timer(self, name: str, at_ms: float) -> None:
-        """Call `Balancer.on_timer` with this name at that time."""
+    def set_timer(self, timer: Timer, at_ms: float) -> None:
+        """Call `Balancer.on_timer` with this timer at that time."""
 
     def log(self, text: str) -> None:
         """Log a decision for operators."""
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -529,11 +529,11 @@
     def moved(self, sess):
         self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
-    def set_timer(self, name, at_ms):
-        self.clock.at(at_ms, self.ring, name)
+    def set_timer(self, timer, at_ms):
+        self.clock.at(at_ms, self.ring, timer)
 
-    def ring(self, name):
-        self.balancer.on_timer(self.now(), name)
+    def ring(self, timer):
+        self.balancer.on_timer(self.now(), timer)
 
     def log(self, text):
         self.log_event(LogEvent.POLICY_DECISION, what=text)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -227,9 +227,9 @@
                 ("late", lambda server: balancer.load_estimator.is_late(now, server)),
                 (
                     "failing",
-                    lambda server: balancer.outlier_detector.failing(now, server),
+                    lambda server: balancer.outlier_detector.is_failing(now, server),
                 ),
-                ("silent", balancer.outlier_detector.silent),
+                ("silent", balancer.outlier_detector.is_unresponsive),
             )
             for server in servers
             if test(server)
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -1,52 +1,98 @@
-"""Makes the attempts of a session, one at a time, and judges how each ended."""
+"""Makes the attempts of a session, one at a time, and records how each ended."""
 
-from wheathill.model import Attempt, AttemptOutcome
+from wheathill.model import Attempt, AttemptOutcome, Server, Session, SessionEffects
+from wheathill.policy.load_estimator import LoadEstimator
+from wheathill.policy.outlier_detection import OutlierDetector
+from wheathill.policy.retry_budget import RetryBudget
+from wheathill.policy.slot_table import SlotTable
+from wheathill.policy.slow_start import SlowStartLimiter
 from wheathill.policy.stage import Stage
 
+# The first attempt gets this part of the time that is left. A server that does not
+# answer must not hold a session until its client gives up, and a slow store that all
+# servers share must not be asked twice: most of the time, but not all of it.
+FIRST_ATTEMPT_SHARE = 0.6
+# A server that answered a probe within this time does answer, and gets all of the time
+# that is left, in ms.
+RESPONSIVE_MS = 1000.0
+# Outcomes that count against the server.
+FAILURES = frozenset(
+    {
+        AttemptOutcome.ERROR,
+        AttemptOutcome.CONNECT_FAILED,
+        AttemptOutcome.TIMED_OUT,
+    },
+)
+
 
 class AttemptRunner(Stage):
-    """Sends one dial at a time, and judges how it ended."""
-
-    def __init__(self, actions, table, levels, health, cold, budget, alive):
-        self.levels, self.budget, self.alive, self.actions = (
-            levels,
-            budget,
-            alive,
-            actions,
-        )
-        self.table, self.health, self.cold = table, health, cold
-
-    def enter(self, now, sess):
-        if not self.budget.allows(now, sess):
-            return self.before.back(now, sess, None)
-        self.budget.record_attempt(now, sess)
-        sess.attempts.append(Attempt(sess.server, now))
-        self.cold.record_attempt(now, sess.server)
-        left = sess.deadline_ms - now
-        # A silent server must not hold a session until its client gives up, and a slow shared
-        # store must not be asked twice: most of the time goes to the first dial, not all of it.
-        # One that has just answered a probe is not silent.
-        alive = self.levels.sample_age_ms(now, sess.server) < self.alive
-        self.actions.start_attempt(
-            sess, sess.server, left if alive or len(sess.attempts) > 1 else left * 0.6
+    """Makes one attempt at a time, and records how it ended."""
+
+    def __init__(
+        self,
+        effects: SessionEffects,
+        *,
+        slot_table: SlotTable,
+        load_estimator: LoadEstimator,
+        outlier_detector: OutlierDetector,
+        slow_start: SlowStartLimiter,
+        retry_budget: RetryBudget,
+    ) -> None:
+        self._effects = effects
+        self._slot_table = slot_table
+        self._load_estimator = load_estimator
+        self._outlier_detector = outlier_detector
+        self._slow_start = slow_start
+        self._retry_budget = retry_budget
+
+    def enter(self, now_ms: float, session: Session) -> None:
+        """Make an attempt at the session's server, where the retry budget allows it."""
+        if not self._retry_budget.allows(now_ms, session):
+            self.previous_stage.on_failed(now_ms, session, None)
+            return
+        server = _selected_server(session)
+        self._retry_budget.record_attempt(now_ms, session)
+        session.attempts.append(Attempt(server, now_ms))
+        self._slow_start.record_attempt(now_ms, server)
+        timeout_ms = session.deadline_ms - now_ms
+        is_responsive = (
+            self._load_estimator.sample_age_ms(now_ms, server) < RESPONSIVE_MS
         )
+        if not is_responsive and len(session.attempts) == 1:
+            timeout_ms *= FIRST_ATTEMPT_SHARE
+        self._effects.start_attempt(session, server, timeout_ms)
 
-    def accepted(self, now, sess):
-        self.before.accepted(now, sess)
-        sess.accepted_ms = now
-        sess.server.sessions[sess] = None
-        self.table.add_session(now, sess)
-        self.health.dialled(now, sess.server, True)
+    def on_accepted(self, now_ms: float, session: Session) -> None:
+        """Place the session at the server that accepted it."""
+        self.previous_stage.on_accepted(now_ms, session)
+        server = _selected_server(session)
+        session.accepted_ms = now_ms
+        server.sessions[session] = None
+        self._slot_table.add_session(now_ms, session)
+        self._outlier_detector.record_attempt(now_ms, server, succeeded=True)
 
-    def back(self, now, sess, outcome):
-        dial = sess.attempts[-1]
-        dial.may_have_executed = not outcome.never_executed
+    def on_failed(
+        self,
+        now_ms: float,
+        session: Session,
+        outcome: AttemptOutcome | None,
+    ) -> None:
+        """Record how the session's last attempt ended, and hand it back."""
+        attempt = session.attempts[-1]
+        attempt.may_have_executed = outcome is None or not outcome.never_executed
         if outcome is AttemptOutcome.NEVER_SENT:
-            self.budget.refund_unsent(sess)
-        if outcome in (
-            AttemptOutcome.ERROR,
-            AttemptOutcome.CONNECT_FAILED,
-            AttemptOutcome.TIMED_OUT,
-        ):
-            self.health.dialled(now, dial.server, False)
-        self.before.back(now, sess, outcome)
+            self._retry_budget.refund_unsent(session)
+        if outcome in FAILURES:
+            self._outlier_detector.record_attempt(
+                now_ms,
+                attempt.server,
+                succeeded=False,
+            )
+        self.previous_stage.on_failed(now_ms, session, outcome)
+
+
+def _selected_server(session: Session) -> Server:
+    """Return the server that an earlier stage has selected."""
+    server = session.server
+    assert server is not None
+    return server
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -15,9 +15,12 @@
 from wheathill.model import (
     LIST_CALL_MS,
     LIST_POLL_MAX_MS,
+    PROBE_TIMER,
+    TICK_TIMER,
     Attempt,
     AttemptOutcome,
     Phase,
+    TimerKind,
     UpdateKind,
 )
 from wheathill.policy.admission import AdmissionControl
@@ -26,11 +29,12 @@
 from wheathill.policy.load_estimator import LoadEstimator
 from wheathill.policy.outlier_detection import OutlierDetector
 from wheathill.policy.path_latency import PathLatency
-from wheathill.policy.probing import ProbeScheduler
+from wheathill.policy.probing import ProbeScheduler, ProbingConfig
 from wheathill.policy.retry_budget import RetryBudget
 from wheathill.policy.server_selection import ServerSelector
 from wheathill.policy.slot_table import SlotTable
 from wheathill.policy.slow_start import SlowStartLimiter
+from wheathill.policy.stage import connect_stages
 
 
 class Balancer:
@@ -107,13 +111,8 @@
             rng.uniform,
             gone_binds,
         )
-        self.outlier_detector = OutlierDetector(
-            pause=250.0,
-            stood=0.4 * self.EARLY,
-            memory=self.CONNECTION_LIFE,
-            shared_memory=5000.0,
-        )
-        self.path_latency = PathLatency(fresh=5 * self.TICK)
+        self.outlier_detector = OutlierDetector()
+        self.path_latency = PathLatency()
         self.slow_start = SlowStartLimiter(
             self.load_estimator,
             start_share,
@@ -124,54 +123,41 @@
             proxies,
         )
         self.retry_budget = RetryBudget(*(budget or (0.0, 0.0, 0.0)))
-        admission = AdmissionControl(
+        self.admission = AdmissionControl(
             actions,
             rng.uniform,
             self.outlier_detector,
-            longest_wait,
-            most_set_ups=256,
-            least_set_ups=1 / 32,
-            pause=250.0,
-            cut_wait=500.0,
-            hold=self.EARLY,
+            max_retry_after_ms=longest_wait,
         )
         self.probe_scheduler = ProbeScheduler(
             actions,
-            may_probe,
-            a_session=3.0,
-            every=0.9 * self.TICK,
-            near_full=self.load_estimator.overload_threshold / 2,
+            ProbingConfig(
+                is_enabled=may_probe,
+                priority_load=self.load_estimator.overload_threshold / 2,
+            ),
         )
         self.server_selector = ServerSelector(
             actions,
-            self.slot_table,
-            self.load_estimator,
-            self.endpoint_list,
-            self.outlier_detector,
-            self.path_latency,
-            self.slow_start,
-            self.retry_budget,
-            self.probe_scheduler,
-            most_dials,
-            most_asked=4,
-            recent=0.4 * self.TICK,
+            slot_table=self.slot_table,
+            load_estimator=self.load_estimator,
+            endpoint_list=self.endpoint_list,
+            outlier_detector=self.outlier_detector,
+            path_latency=self.path_latency,
+            slow_start=self.slow_start,
+            retry_budget=self.retry_budget,
+            probe_scheduler=self.probe_scheduler,
+            max_attempts=most_dials,
         )
         self.attempt_runner = AttemptRunner(
             actions,
-            self.slot_table,
-            self.load_estimator,
-            self.outlier_detector,
-            self.slow_start,
-            self.retry_budget,
-            alive=self.TICK,
+            slot_table=self.slot_table,
+            load_estimator=self.load_estimator,
+            outlier_detector=self.outlier_detector,
+            slow_start=self.slow_start,
+            retry_budget=self.retry_budget,
         )
         self.due_probes = deque()
-        self.admission = admission
-        for earlier, later in (
-            (admission, self.server_selector),
-            (self.server_selector, self.attempt_runner),
-        ):
-            earlier.next, later.before = later, earlier
+        connect_stages(self.admission, self.server_selector, self.attempt_runner)
 
     @staticmethod
     def nearness(crossing_price, move_price):
@@ -185,7 +171,7 @@
         self.endpoint_list.start(now)
         self.slow_start.process_started_ms = now
         # Proxies that start together would otherwise probe every server in the same instant.
-        self.effects.set_timer("tick", now + self.uniform(0.1, 1.0) * self.TICK)
+        self.effects.set_timer(TICK_TIMER, now + self.uniform(0.1, 1.0) * self.TICK)
 
     def on_endpoint_update(self, now, kind, entries):
         joined, left = self.endpoint_list.update(now, kind, entries)
@@ -226,27 +212,22 @@
     def on_peer_health_reports(self, now, failing, here):
         """Other proxies' sight: `failing` ones fail for them all and are tried by one session at a time, like
         those that failed here; of those that fail `here` alone the way is to blame, and nothing shared."""
-        for server in failing:
-            if not self.outlier_detector.ill(now, server):
-                server.recent_results.extend([(now, False)] * 2)
-        self.outlier_detector.dials = deque(
-            (dial for dial in self.outlier_detector.dials if dial[1] not in here),
-            maxlen=self.outlier_detector.dials.maxlen,
-        )
+        self.outlier_detector.record_peer_failures(now, failing)
+        self.outlier_detector.forget_attempts(here)
 
     def on_session(self, now, sess):
         # Clients that come again pay for nothing: in trouble each comes many times. Packets of open
         # connections pay: a proxy that takes over from another knows little of what it is handed.
         self.retry_budget.record_session(now)
         if sess.mid_flow or not (sess.is_client_retry or sess.returning):
-            self.probe_scheduler.session(self.endpoint_list.servers)
+            self.probe_scheduler.add_session_credit(self.endpoint_list.servers)
         self.admission.enter(now, sess)
 
     def on_session_taken_over(self, now, sess, server):
         sess.slot = self.slot_table.slot_of(sess)
         sess.server = server
         sess.attempts.append(Attempt(server, now))
-        self.attempt_runner.accepted(now, sess)
+        self.attempt_runner.on_accepted(now, sess)
 
     def on_session_handed_over(self, now, sess, server):
         """A session that another process of this proxy set up."""
@@ -257,24 +238,24 @@
         self.slot_table.add_session(now, sess)
 
     def on_session_accepted(self, now, sess):
-        self.attempt_runner.accepted(now, sess)
+        self.attempt_runner.on_accepted(now, sess)
 
     def on_outcome(self, now, sess, outcome, closed):
         self.forget(sess)
         if outcome is AttemptOutcome.RESET and sess.accepted_ms is not None:
-            self.outlier_detector.broke(now, sess.server, sess.accepted_ms)
+            self.outlier_detector.record_reset(now, sess.server, sess.accepted_ms)
             if now - sess.accepted_ms < self.EARLY:
-                self.admission.failed(now)
+                self.admission.on_setup_failure(now)
         if closed or sess.has_ended:
             self.on_client_left(now, sess)
         else:
             if outcome is AttemptOutcome.CONNECT_FAILED:
                 self.second_witness(now, sess.server)
-            self.attempt_runner.back(now, sess, outcome)
+            self.attempt_runner.on_failed(now, sess, outcome)
 
     def on_client_left(self, now, sess):
         sess.has_ended = True
-        self.admission.under_way.pop(sess, None)
+        self.admission.in_progress.pop(sess, None)
         self.forget(sess)
 
     def forget(self, sess):
@@ -288,7 +269,7 @@
     def on_message_latency(self, now, sess, message_ms):
         if message_ms > sess.listener.message_target_ms and sess.server:
             # Where the way alone takes so long the server is not to blame.
-            far = self.path_latency.slow(
+            far = self.path_latency.is_slow(
                 now, sess.server, sess.listener.message_target_ms
             )
             self.load_estimator.record_late_message(
@@ -301,14 +282,14 @@
         sent, server.probe_sent_ms = server.probe_sent_ms, None
         if outcome is AttemptOutcome.COMPLETED:
             if sent is not None:
-                self.path_latency.took(now, server, now - sent)
+                self.path_latency.record(now, server, now - sent)
             server.unanswered_probes = 0
             self.load_estimator.record_sample(now, server, report)
         elif outcome is not AttemptOutcome.AT_CAPACITY:
             # One that has too many probes to answer is not a silent one.
             server.unanswered_probes += 1
             self.second_witness(now, server)
-        self.server_selector.answered(
+        self.server_selector.on_probe_result(
             now,
             server,
             outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY),
@@ -335,7 +316,7 @@
             now - server.last_received_ms >= self.QUIET
             and server.unanswered_session not in (None, sess)
         ):
-            server.unanswered_probes = 2 if self.probe_scheduler.allowed else 0
+            server.unanswered_probes = 2 if self.probe_scheduler.is_enabled else 0
             self.effects.log(
                 f"move: {len(server.sessions)} connections off a server that says nothing"
             )
@@ -360,15 +341,15 @@
         for sess in sessions[: math.ceil(len(sessions) / parts)]:
             self.effects.migrate(sess)
 
-    def on_timer(self, now, name):
-        if name == "follow":
+    def on_timer(self, now, timer):
+        if timer.kind is TimerKind.POLL_ENDPOINT_LIST:
             self.endpoint_list.poll(now)
-        elif name == "tick":
-            self.effects.set_timer("tick", now + self.TICK)
+        elif timer.kind is TimerKind.TICK:
+            self.effects.set_timer(TICK_TIMER, now + self.TICK)
             self.tick(now)
-        elif name.startswith("wait "):
-            self.server_selector.out_of_patience(now, int(name[5:]))
-        elif name == "probe" and self.due_probes:
+        elif timer.kind is TimerKind.PROBE_WAIT:
+            self.server_selector.on_probe_timeout(now, timer.selection_number)
+        elif self.due_probes:
             server = self.due_probes.popleft()
             if server.phase is Phase.READY:
                 self.probe_scheduler.send(now, server)
@@ -388,7 +369,7 @@
             levels,
             self.CONNECTION_LIFE,
             lambda server: (
-                not self.outlier_detector.ill(now, server)
+                not self.outlier_detector.is_outlier(now, server)
                 and not self.slow_start.is_warming(now, server)
             ),
         )
@@ -410,14 +391,16 @@
                 list(server.sessions),
                 max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
             )
-        due = self.probe_scheduler.due(
+        due = self.probe_scheduler.select_due(
             now,
             self.endpoint_list.servers,
             self.load_estimator.loads(now, self.endpoint_list.servers),
         )
         self.due_probes = deque(due)
         for place in range(len(due)):
-            self.effects.set_timer("probe", now + self.TICK * (place + 0.5) / len(due))
+            self.effects.set_timer(
+                PROBE_TIMER, now + self.TICK * (place + 0.5) / len(due)
+            )
 
     def relieve(self, now):
         """Exception: polite moves off an overdriven server. Shifted slots only help sessions to come, and
@@ -432,7 +415,7 @@
                 now, self.endpoint_list.servers
             ).items()
             if self.load_estimator.reports_utilisation
-            and not self.outlier_detector.silent(server)
+            and not self.outlier_detector.is_unresponsive(server)
         }
         room = sum(full - load for load in loads.values()) > 0
         late = [
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -2,7 +2,7 @@
 
 import math
 
-from wheathill.model import LIST_POLL_MAX_MS, Phase, UpdateKind
+from wheathill.model import LIST_POLL_MAX_MS, POLL_TIMER, Phase, UpdateKind
 
 
 class EndpointList:
@@ -27,7 +27,9 @@
         """The list service is one for all and does not grow with them: a call by every proxy at the start
         would be turned away for most, and their next ones too."""
         if self.must_ask:
-            self.actions.set_timer("follow", now + self.uniform(0.0, self.poll_spread_ms))
+            self.actions.set_timer(
+                POLL_TIMER, now + self.uniform(0.0, self.poll_spread_ms)
+            )
 
     def poll(self, now):
         if self.must_ask and not self.following and self.asked is None:
@@ -44,7 +46,7 @@
                 LIST_POLL_MAX_MS,
                 max(500.0, self.poll_spread_ms / 2) * 2.0 ** min(self.failures, 5),
             )
-            self.actions.set_timer("follow", now + wait * self.uniform(0.5, 1.0))
+            self.actions.set_timer(POLL_TIMER, now + wait * self.uniform(0.5, 1.0))
             return [], []
         if kind in (UpdateKind.DELTA, UpdateKind.SNAPSHOT) and self.asked is not None:
             self.following, self.asked, self.failures = True, None, 0
--- a/wheathill/policy/probing.py
+++ b/wheathill/policy/probing.py
@@ -1,39 +1,83 @@
 """When servers are probed for their load, and how many probes sessions pay for."""
 
+from collections.abc import Collection, Mapping
+from dataclasses import dataclass
+
+from wheathill.model import Server, SessionEffects
+
+# How many probes one session pays for. By the clock instead, all proxies probing all
+# servers would grow with the product of both.
+CREDIT_PER_SESSION = 3.0
+# A server is probed in a round only when its last probe is so old, in ms: a little less
+# than the second between two rounds, which would otherwise leave out every other one.
+MIN_PROBE_INTERVAL_MS = 900.0
+
+
+@dataclass(frozen=True, slots=True)
+class ProbingConfig:
+    """Settings of the probes.
+
+    Attributes:
+        is_enabled: whether servers may be probed at all.
+        priority_load: servers from this load on are probed before all others.
+    """
+
+    is_enabled: bool
+    priority_load: float
+
 
 class ProbeScheduler:
-    """Sends probes: the asked ones, and within what sessions pay for a round over the fleet."""
+    """Sends probes: those that a session asks for, and rounds over the fleet.
+
+    Attributes:
+        is_enabled: whether servers may be probed at all.
+        credit: how many probes are paid for. Probes that a session asks for are always
+            sent, so that it may be negative.
+    """
 
-    def __init__(self, actions, allowed, a_session, every, near_full):
-        self.actions, self.allowed, self.a_session = actions, allowed, a_session
-        self.every, self.near_full = every, near_full
-        self.earned = 0.0
+    def __init__(self, effects: SessionEffects, config: ProbingConfig) -> None:
+        self._effects = effects
+        self._priority_load = config.priority_load
+        self.is_enabled = config.is_enabled
+        self.credit = 0.0
 
-    def session(self, servers):
-        # A probe has its price by the session and its work at the server: by the clock, all
-        # proxies probing all servers would grow with the product of both.
-        self.earned = min(self.earned + self.a_session, float(len(servers)))
+    def add_session_credit(self, servers: Collection[Server]) -> None:
+        """Credit a session's probes, up to one round over the servers.
 
-    def send(self, now, server):
+        A probe has its price by the session and its work at the server.
+        """
+        self.credit = min(self.credit + CREDIT_PER_SESSION, float(len(servers)))
+
+    def send(self, now_ms: float, server: Server) -> None:
+        """Probe a server, unless a probe of it is in flight."""
         if server.probe_sent_ms is None:
-            server.probe_sent_ms = server.last_probe_ms = now
-            self.earned -= 1.0
-            self.actions.send_probe(server)
+            server.probe_sent_ms = server.last_probe_ms = now_ms
+            self.credit -= 1.0
+            self._effects.send_probe(server)
+
+    def select_due(
+        self,
+        now_ms: float,
+        servers: Collection[Server],
+        loads: Mapping[Server, float],
+    ) -> list[Server]:
+        """Return the servers to probe in this round, as far as the credit goes.
 
-    def due(self, now, servers, figures):
-        """Those near full first, then those not asked for longest."""
-        if not self.allowed or self.earned < 1.0:
+        Those with a high load come first, as they are the next to be full, then those
+        that have not been probed for longest.
+        """
+        if not self.is_enabled or self.credit < 1.0:
             return []
-        near = {
-            server: None
-            for server, figure in figures.items()
-            if figure > self.near_full
+        highly_loaded = {
+            server for server, load in loads.items() if load > self._priority_load
         }
         due = [
             server
             for server in servers
-            if server.probe_sent_ms is None and now - server.last_probe_ms >= self.every
+            if server.probe_sent_ms is None
+            and now_ms - server.last_probe_ms >= MIN_PROBE_INTERVAL_MS
         ]
-        return sorted(
-            due, key=lambda server: (server not in near, server.last_probe_ms)
-        )[: int(self.earned)]
+        due.sort(
+            key=lambda server: (server not in highly_loaded, server.last_probe_ms),
+        )
+        return due[: int(self.credit)]
