--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -23,6 +23,8 @@
 from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
 from wheathill.policy.outlier_detection import RecordedAttempt
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CONFIGURATION = {
@@ -256,15 +258,15 @@
             69_000.0 + place,
         )
     for number, known in enumerate((table.moved_keys, table.exception_keys)):
-        known["key é"] = servers["ab"[number]], 69_600.5
-        known["second"] = servers["ba"[number]], 69_700.0
+        known["key é"] = KeyRoute(servers["ab"[number]], 69_600.5)
+        known["second"] = KeyRoute(servers["ba"[number]], 69_700.0)
     balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.credit = (
         12.75,
         3.5,
     )
     balancer.admission.concurrency_limit = 17.5
     balancer.admission.next_admission_ms = 69_999.0
-    balancer.retry_budget.retries.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
+    balancer.retry_budget.retries.extend([Retry(69_000.0, 1.5), Retry(69_800.5, 2.0)])
     balancer.outlier_detector.recent_attempts.extend(
         [
             RecordedAttempt(69_000.0, servers["a"], True),
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -29,6 +29,7 @@
         "wheathill.peers.drain_registry",
         "wheathill.peers.derived_config",
         "wheathill.peers.environment",
+        "wheathill.peers.event_log",
         "wheathill.peers.fleet_limits",
         "wheathill.peers.cluster_view",
         "wheathill.peers.connections",
@@ -80,6 +81,7 @@
     (
         "wheathill.net",
         "wheathill.drill",
+        "wheathill.simulator",
         "wheathill.peers",
         "wheathill.store",
         "wheathill.handover",
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -6,6 +6,7 @@
 from wheathill.model import AttemptOutcome, Session, SessionEffects
 from wheathill.policy.outlier_detection import OutlierDetector
 from wheathill.policy.retry_rules import may_reject
+from wheathill.policy.settings import EARLY_RESET_MS
 from wheathill.policy.stage import Stage
 
 # Limits of the sessions that may be in set-up at once. Below one, set-ups are spaced
@@ -19,7 +20,7 @@
 # before it was halved say nothing of the new limit.
 REDUCTION_INTERVAL_MS = 500.0
 # For so long after it was halved the limit does not grow, in ms.
-REDUCTION_HOLD_MS = 5000.0
+REDUCTION_HOLD_MS = EARLY_RESET_MS
 
 
 class AdmissionControl(Stage):
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -4,6 +4,7 @@
 from wheathill.policy.load_estimator import LoadEstimator
 from wheathill.policy.outlier_detection import OutlierDetector
 from wheathill.policy.retry_budget import RetryBudget
+from wheathill.policy.settings import TICK_INTERVAL_MS
 from wheathill.policy.slot_table import SlotTable
 from wheathill.policy.slow_start import SlowStartLimiter
 from wheathill.policy.stage import Stage
@@ -14,7 +15,7 @@
 FIRST_ATTEMPT_SHARE = 0.6
 # A server that answered a probe within this time does answer, and gets all of the time
 # that is left, in ms.
-RESPONSIVE_MS = 1000.0
+RESPONSIVE_MS = TICK_INTERVAL_MS
 # Outcomes that count against the server.
 FAILURES = frozenset(
     {
--- a/wheathill/policy/outlier_detection.py
+++ b/wheathill/policy/outlier_detection.py
@@ -5,6 +5,7 @@
 from dataclasses import dataclass
 
 from wheathill.model import Server
+from wheathill.policy.settings import CONNECTION_LIFETIME_MS, EARLY_RESET_MS
 
 # After so many probes in a row without an answer a server counts as unresponsive.
 MAX_UNANSWERED_PROBES = 2
@@ -13,12 +14,12 @@
 MIN_FAILURES = 2
 MAX_RESULTS_PER_FAILURE = 3
 # How long a failure counts against a server, in ms.
-RESULT_LIFETIME_MS = 10_000.0
+RESULT_LIFETIME_MS = CONNECTION_LIFETIME_MS
 # Failures within this time of each other are one failure: what breaks together failed
 # once. Also the unit of the wait for the next trial, in ms.
 FAILURE_INTERVAL_MS = 250.0
 # How long a trial session must stand until the server gets others again, in ms.
-TRIAL_MS = 2000.0
+TRIAL_MS = 0.4 * EARLY_RESET_MS
 # How many attempts are kept for the search for a common cause, and for how long, in ms.
 ATTEMPTS_KEPT = 16
 ATTEMPT_LIFETIME_MS = 5000.0
--- a/wheathill/policy/path_latency.py
+++ b/wheathill/policy/path_latency.py
@@ -4,9 +4,10 @@
 from statistics import median
 
 from wheathill.model import Server
+from wheathill.policy.settings import TICK_INTERVAL_MS
 
 # For how long a measurement stands for the path, in ms: five rounds of probes.
-SAMPLE_LIFETIME_MS = 5000.0
+SAMPLE_LIFETIME_MS = 5 * TICK_INTERVAL_MS
 # How many measurements are kept for a zone, as a whole.
 SAMPLES_PER_ZONE = 8
 # With fewer measurements than these, a zone says nothing of a server in it.
--- a/wheathill/policy/probing.py
+++ b/wheathill/policy/probing.py
@@ -1,29 +1,16 @@
 """When servers are probed for their load, and how many probes sessions pay for."""
 
 from collections.abc import Collection, Mapping
-from dataclasses import dataclass
 
 from wheathill.model import Server, SessionEffects
+from wheathill.policy.settings import TICK_INTERVAL_MS
 
 # How many probes one session pays for. By the clock instead, all proxies probing all
 # servers would grow with the product of both.
 CREDIT_PER_SESSION = 3.0
 # A server is probed in a round only when its last probe is so old, in ms: a little less
 # than the second between two rounds, which would otherwise leave out every other one.
-MIN_PROBE_INTERVAL_MS = 900.0
-
-
-@dataclass(frozen=True, slots=True)
-class ProbingConfig:
-    """Settings of the probes.
-
-    Attributes:
-        is_enabled: whether servers may be probed at all.
-        priority_load: servers from this load on are probed before all others.
-    """
-
-    is_enabled: bool
-    priority_load: float
+MIN_PROBE_INTERVAL_MS = 0.9 * TICK_INTERVAL_MS
 
 
 class ProbeScheduler:
@@ -35,10 +22,23 @@
             sent, so that it may be negative.
     """
 
-    def __init__(self, effects: SessionEffects, config: ProbingConfig) -> None:
+    def __init__(
+        self,
+        effects: SessionEffects,
+        *,
+        is_enabled: bool,
+        priority_load: float,
+    ) -> None:
+        """Begin without credit.
+
+        Args:
+            effects: carries the probes out.
+            is_enabled: whether servers may be probed at all.
+            priority_load: servers above this load are probed before all others.
+        """
         self._effects = effects
-        self._priority_load = config.priority_load
-        self.is_enabled = config.is_enabled
+        self._priority_load = priority_load
+        self.is_enabled = is_enabled
         self.credit = 0.0
 
     def add_session_credit(self, servers: Collection[Server]) -> None:
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -1,7 +1,7 @@
 """Selects the server for each attempt of a session."""
 
 import enum
-from collections.abc import Iterable, Iterator
+from collections.abc import Collection, Iterable, Iterator
 from dataclasses import dataclass
 from itertools import chain
 
@@ -20,6 +20,7 @@
 from wheathill.policy.probing import ProbeScheduler
 from wheathill.policy.retry_budget import RetryBudget
 from wheathill.policy.retry_rules import may_retry
+from wheathill.policy.settings import TICK_INTERVAL_MS
 from wheathill.policy.slot_table import SlotTable
 from wheathill.policy.slow_start import SlowStartLimiter
 from wheathill.policy.stage import Stage
@@ -28,7 +29,7 @@
 # load is not known get the attempt.
 MAX_PROBES_PER_SESSION = 4
 # A load that was reported within this time counts as known, in ms.
-RECENT_LOAD_MS = 400.0
+RECENT_LOAD_MS = 0.4 * TICK_INTERVAL_MS
 # A server that had no capacity is not probed again for this time, in ms: it hardly has
 # any now, and sessions that were retried met the same servers without capacity.
 FULL_SERVER_LIFETIME_MS = 4 * RECENT_LOAD_MS
@@ -123,7 +124,7 @@
         """
         first = self._slot_table.assign(now_ms, session.key, session.slot)
         seen = {attempt.server for attempt in session.attempts}
-        holders = list(self._slot_table.group_holders.get(session.group, ()))
+        holders = list(self._group_holders(session))
         following = self._slot_table.following_servers(session.slot)
         for server in chain((first,), holders, following):
             if server is not None and server not in seen:
@@ -278,10 +279,7 @@
         one that does not. What is not held through this proxy is likely held through
         others, where its slot leads.
         """
-        if session.group is None or server in self._slot_table.group_holders.get(
-            session.group,
-            (),
-        ):
+        if session.group is None or server in self._group_holders(session):
             return 1.0
         return max(
             GROUP_THRESHOLD_MIN_SHARE,
@@ -289,6 +287,12 @@
             - GROUP_THRESHOLD_STEP * (session.candidates_passed - 1),
         )
 
+    def _group_holders(self, session: Session) -> Collection[Server]:
+        """Return the servers that hold the session's group through this proxy."""
+        if session.group is None:
+            return ()
+        return self._slot_table.group_holders.get(session.group, ())
+
     def _send_probe(self, now_ms: float, session: Session, server: Server) -> None:
         """Probe a server, and let the session wait for its answer."""
         session.probes_requested += 1
