--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -83,6 +83,8 @@
         "wheathill.drill",
         "wheathill.simulator",
         "wheathill.peers",
+        "wheathill.peers.zones.service",
+        "wheathill.peers.zones.status",
         "wheathill.store",
         "wheathill.handover",
     ),
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -54,7 +54,7 @@
             second.start(
                 self.carrier.connect(second, second.address),
                 time_out,
-                self.limits.connect,
+                self.limits.connect_timeout_ms,
             )
 
 
