--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -13,9 +13,10 @@
 
 import orjson
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.lab.scale import fit
 from wheathill.model import (
+    PROBE_TIMER,
     AttemptOutcome,
     EndpointEntry,
     Listener,
@@ -74,7 +75,7 @@
 def proxy():
     """One that holds no sockets; its log goes nowhere."""
     loop = asyncio.new_event_loop()
-    node = node_of(
+    node = build_node_config(
         {
             "name": "p",
             "seed": "1",
@@ -154,8 +155,8 @@
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
     pieces = [
-        text[start : start + here.limits.read]
-        for start in range(0, len(text) + 1, here.limits.read)
+        text[start : start + here.limits.receive_buffer_bytes]
+        for start in range(0, len(text) + 1, here.limits.receive_buffer_bytes)
     ]
 
     def take(parts):
@@ -163,7 +164,7 @@
             watch.take(part)
         watch.take(b"\n")
 
-    found = {"list_bytes": len(text), "list_longest": here.limits.list_line}
+    found = {"list_bytes": len(text), "list_longest": here.limits.max_list_line_bytes}
     with Timer() as first:
         take(pieces)
     ready = len(here.balancer.endpoint_list.servers)
@@ -263,7 +264,7 @@
     for place, server in enumerate(servers):
         made.load_estimator.record_sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
         server.last_probe_ms = 0.0
-    made.probe_scheduler.earned = float(count)
+    made.probe_scheduler.credit = float(count)
     found["tick_probing_ms"] = timed(made.tick, 3000.0)
     return found
 
@@ -285,7 +286,7 @@
                 came += 1
             made.tick(1000.0 * second)
             for _ in range(len(made.due_probes)):
-                made.on_timer(1000.0 * second, "probe")
+                made.on_timer(1000.0 * second, PROBE_TIMER)
             answer(made, actions, 1000.0 * second)
             if second == 10:
                 before = actions.sent
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -116,7 +116,7 @@
             server: load
             for server, load in self._load_estimator.loads(now_ms, servers).items()
             if self._load_estimator.reports_utilisation
-            and not self._outlier_detector.silent(server)
+            and not self._outlier_detector.is_unresponsive(server)
         }
         threshold = self._load_estimator.overload_threshold
         has_room = sum(threshold - load for load in loads.values()) > 0
--- a/wheathill/simulator/simulated_proxy.py
+++ b/wheathill/simulator/simulated_proxy.py
@@ -8,7 +8,9 @@
 from collections.abc import Mapping
 from typing import Any
 
-from wheathill.config import Reader, read_listeners, read_policy
+from wheathill.config.listener_settings import read_listeners
+from wheathill.config.policy_settings import read_policy
+from wheathill.config.settings_reader import SettingsReader
 from wheathill.model import (
     AttemptOutcome,
     EndpointEntry,
@@ -17,8 +19,10 @@
     Phase,
     Server,
     Session,
+    Timer,
 )
 from wheathill.policy.balancer import Balancer
+from wheathill.simulator.timer_names import decode_timer, encode_timer
 from wheathill.simulator.wire import (
     CLIENT_RETRY,
     ENTRY_VALUES,
@@ -54,14 +58,14 @@
         """Read the settings; nothing is decided before `start`.
 
         Raises:
-            Misconfigured: the settings are wrong.
+            ConfigurationError: the settings are wrong.
         """
         self.orders = orders
         self._name = name
         self._servers: dict[str, Server] = {}
         self._sessions: dict[str, Session] = {}
         self._handles: dict[Session, str] = {}
-        reader = Reader(settings)
+        reader = SettingsReader(settings)
         self._listeners = read_listeners(reader)
         self._balancer = Balancer(self, random.Random(seed), read_policy(reader))
 
@@ -180,7 +184,9 @@
 
     def on_timer(self, now_ms: float, name: str) -> None:
         """Pass on that a timer is due."""
-        self._balancer.on_timer(now_ms, name)
+        timer = decode_timer(name)
+        if timer is not None:
+            self._balancer.on_timer(now_ms, timer)
 
     # Effects, see `SessionEffects`
 
@@ -213,9 +219,9 @@
         """Order a poll of the endpoint list."""
         self._order("follow", enabled)
 
-    def set_timer(self, name: str, at_ms: float) -> None:
+    def set_timer(self, timer: Timer, at_ms: float) -> None:
         """Order a timer."""
-        self._order("timer", name, at_ms / MS_PER_S)
+        self._order("timer", encode_timer(timer), at_ms / MS_PER_S)
 
     def log(self, text: str) -> None:
         """Order a line of the log."""
