--- a/wheathill/policy/__init__.py
+++ b/wheathill/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of the balancer, free of I/O: see `balancer` for how they are joined."""
+"""All decisions of the balancer, free of I/O: `balancer` takes what happens."""
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: lets sessions in, and gives the final answer when no later stage could."""
+"""Admission control: lets sessions in, and gives the final answer at last."""
 
 import math
 from collections.abc import Callable
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -19,7 +19,8 @@
 # within twice as long is a repetition.
 LATE_PERIOD_MS = 1.5 * TICK_INTERVAL_MS
 
-# Load over capacity says most; a queue or a count of connections only orders the servers.
+# Load over capacity says most; a queue or a count of connections only orders the
+# servers.
 LOAD_FIELDS = ("x0", "util", "queue")
 UTILISATION_FIELDS = ("x0", "util")
 # The first level begins here, and each further one at twice the load: requests where
@@ -286,7 +287,7 @@
     def levels(
         self, now_ms: float, servers: Sequence[Server] | dict[Server, None]
     ) -> dict[Server, int]:
-        """Return the level of each server; where it is unknown the median of the others.
+        """Return the level of each server, or the median where it is unknown.
 
         Exception: with most unknown, a level says nothing against the others'. Tables
         of hundreds of proxies, each shifted by the few loads that it happened to see,
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -10,7 +10,7 @@
 
 from wheathill.model import Phase, Server, Session, SessionEffects
 from wheathill.policy.load_estimator import LoadEstimator
-from wheathill.policy.outlier_detection import OutlierDetector
+from wheathill.policy.outlier_detection import MAX_UNANSWERED_PROBES, OutlierDetector
 from wheathill.policy.settings import TICK_INTERVAL_MS
 from wheathill.policy.slot_table import SlotTable
 
@@ -36,8 +36,6 @@
 # Nothing at all for so long from a server with two unanswered messages, in ms, means
 # that it is unresponsive.
 UNRESPONSIVE_MS = 500.0
-# So many unanswered probes make a server count as unresponsive.
-UNRESPONSIVE_PROBES = 2
 
 
 class SessionMigrator:
@@ -96,7 +94,7 @@
         if waited_ms >= UNANSWERED_MS:
             self._effects.migrate(session)
         elif is_second and now_ms - server.last_received_ms >= UNRESPONSIVE_MS:
-            server.unanswered_probes = UNRESPONSIVE_PROBES if self._may_probe else 0
+            server.unanswered_probes = MAX_UNANSWERED_PROBES if self._may_probe else 0
             self._effects.log(
                 f"move: {len(server.sessions)} connections off a server that says"
                 " nothing"
--- a/wheathill/policy/retry_rules.py
+++ b/wheathill/policy/retry_rules.py
@@ -1,4 +1,4 @@
-"""When a session may be attempted again or be rejected without any effect happening twice."""
+"""When a session may be retried or rejected without any effect happening twice."""
 
 from wheathill.model import Attempt, Idempotency, Server, Session
 
