--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -1,8 +1,12 @@
 """The judges of instances that know one another, fed events by hand: what a process couldn't know yet is no breach, and
 what it could is."""
 
+import ast
+import inspect
+
 import pytest
 
+from wheathill.lab.judging import mutated
 from wheathill.lab.judging.fleet import Apart, Shares, Timing, ToldToAll, Views, Zones
 from wheathill.lab.judging.judges import BudgetOfDials, Drains
 from wheathill.lab.scripts.language import Odd
@@ -505,3 +509,33 @@
     told.until(2000.0).host("a", "up")
     assert dial_twice(2) == []
     assert len(dial_twice(3)) == 1
+
+
+# Mutants
+
+
+def replaced_attributes(source):
+    """(object, attribute) of each assignment to an attribute of a name, as text."""
+    for node in ast.walk(ast.parse(source)):
+        if isinstance(node, ast.Assign | ast.AugAssign):
+            targets = node.targets if isinstance(node, ast.Assign) else [node.target]
+            for target in targets:
+                if isinstance(target, ast.Attribute) and isinstance(
+                    target.value, ast.Name
+                ):
+                    yield target.value.id, target.attr
+
+
+def test_mutants_replace_what_there_is():
+    """A replaced method of a name that is gone would break nothing, without an error."""
+    replaced = [
+        (vars(mutated)[owner], attribute)
+        for owner, attribute in replaced_attributes(inspect.getsource(mutated))
+        if owner in vars(mutated)
+    ]
+    assert len(replaced) >= len(mutated.MUTANTS)
+    assert [
+        (owner, attribute)
+        for owner, attribute in replaced
+        if not hasattr(owner, attribute)
+    ] == []
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -3,6 +3,7 @@
 
 import ast
 import pathlib
+import tomllib
 
 ROOT = pathlib.Path(__file__).parent.parent
 # From the bottom up; the longest name that fits counts, so that a new module of a package is in that package's layer.
@@ -193,6 +194,13 @@
     assert [name for within in LAYERS for name in within if name not in there] == []
 
 
+def test_every_package_is_installed():
+    listed = tomllib.loads((ROOT / "pyproject.toml").read_text())["tool"]["setuptools"]
+    packages = [path.parent for path in (ROOT / "wheathill").rglob("__init__.py")]
+    names = [".".join(path.relative_to(ROOT).parts) for path in packages]
+    assert sorted(listed["packages"]) == sorted(names)
+
+
 def test_faults_are_found():
     texts = {
         "wheathill": "",
