--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -105,7 +105,7 @@
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.balancer.server_selector.usable = lambda now, sess, server: (
+        self.balancer.server_selector.is_eligible = lambda now, sess, server: (
             server.phase is Phase.READY
         )
 
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -6,6 +6,7 @@
 from wheathill.model import (
     LIST_CALL_MS,
     LIST_POLL_MAX_MS,
+    POLL_TIMER,
     EndpointEntry,
     Phase,
     Server,
@@ -14,8 +15,6 @@
 )
 from wheathill.policy.settings import EndpointListSettings
 
-# The name of the timer that polls the list.
-POLL_TIMER = "follow"
 # The shortest wait after a failed poll, in ms, which doubles with each further failure
 # up to `MAX_BACKOFF_DOUBLINGS` times.
 MIN_BACKOFF_MS = 500.0
