--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -13,6 +13,8 @@
 from collections.abc import Collection, Sequence
 
 from wheathill.model import (
+    PROBE_TIMER,
+    TICK_TIMER,
     Attempt,
     AttemptOutcome,
     EndpointEntry,
@@ -20,43 +22,23 @@
     Server,
     Session,
     SessionEffects,
+    Timer,
+    TimerKind,
     UpdateKind,
 )
-from wheathill.policy.admission import AdmissionControl
-from wheathill.policy.attempts import AttemptRunner
-from wheathill.policy.endpoint_list import POLL_TIMER, EndpointList
-from wheathill.policy.load_estimator import LoadEstimator
-from wheathill.policy.migration import SessionMigrator
-from wheathill.policy.outlier_detection import OutlierDetector
-from wheathill.policy.path_latency import PathLatency
-from wheathill.policy.probing import ProbeScheduler
-from wheathill.policy.retry_budget import RetryBudget
-from wheathill.policy.server_selection import ServerSelector
+from wheathill.policy.parts import PolicyParts
 from wheathill.policy.settings import (
     CONNECTION_LIFETIME_MS,
     EARLY_RESET_MS,
     TICK_INTERVAL_MS,
     PolicySettings,
 )
-from wheathill.policy.slot_table import SlotTable
-from wheathill.policy.slow_start import SlowStartLimiter
 
-# Names of timers, beside `POLL_TIMER`; that of a wait is followed by its number.
-TICK_TIMER = "tick"
-PROBE_TIMER = "probe"
-WAIT_TIMER_PREFIX = "wait "
 
-# Where others of the fleet see a server fail, so many failures are noted here: as many
-# as make it an outlier.
-PEER_REPORTED_FAILURES = 2
-
-
-class Balancer:
-    """One proxy's decisions: joins the parts, and passes on to them what happens.
+class Balancer(PolicyParts):
+    """One proxy's decisions: passes on to the parts what happens.
 
     Attributes:
-        effects: carries out what is decided.
-        uniform: draws a number between two bounds.
         due_probes: the servers that are probed until the next tick.
     """
 
@@ -70,93 +52,9 @@
             rng: the one source of chance, from which all parts draw.
             settings: what this proxy is configured with.
         """
-        self.effects, self.uniform = effects, rng.uniform
+        super().__init__(effects, rng, settings)
         self._is_passthrough = settings.is_passthrough
         self.due_probes: deque[Server] = deque()
-        self._make_estimators(rng, settings)
-        self._make_stages(settings)
-        self.session_migrator = SessionMigrator(
-            effects,
-            rng.uniform,
-            self.slot_table,
-            self.load_estimator,
-            self.outlier_detector,
-            may_probe=settings.may_probe,
-        )
-
-    def _make_estimators(self, rng: random.Random, settings: PolicySettings) -> None:
-        """Make the parts that hold what is known, in the order in which they draw."""
-        proxy_count = settings.proxy_count
-        self.slot_table = SlotTable(rng.choice, settings.slot_table)
-        self.load_estimator = LoadEstimator(settings.load_estimator, proxy_count)
-        self.endpoint_list = EndpointList(
-            self.effects, rng.uniform, settings.endpoint_list, proxy_count
-        )
-        self.outlier_detector = OutlierDetector(
-            pause=250.0,
-            stood=0.4 * EARLY_RESET_MS,
-            memory=CONNECTION_LIFETIME_MS,
-            shared_memory=5000.0,
-        )
-        self.path_latency = PathLatency(fresh=5 * TICK_INTERVAL_MS)
-        # Without a number of its own, a proxy takes one at random.
-        proxy_index = settings.proxy_index
-        self.slow_start = SlowStartLimiter(
-            settings.slow_start,
-            self.load_estimator,
-            rng.uniform(0.0, proxy_count) if proxy_index is None else proxy_index,
-            proxy_count,
-        )
-        self.retry_budget = RetryBudget(settings.retry_budget)
-
-    def _make_stages(self, settings: PolicySettings) -> None:
-        """Make the stages that a session passes, and join them."""
-        self.probe_scheduler = ProbeScheduler(
-            self.effects,
-            settings.may_probe,
-            a_session=3.0,
-            every=0.9 * TICK_INTERVAL_MS,
-            near_full=self.load_estimator.overload_threshold / 2,
-        )
-        self.admission = AdmissionControl(
-            self.effects,
-            self.uniform,
-            self.outlier_detector,
-            settings.max_retry_after_ms,
-            most_set_ups=256,
-            least_set_ups=1 / 32,
-            pause=250.0,
-            cut_wait=500.0,
-            hold=EARLY_RESET_MS,
-        )
-        self.server_selector = ServerSelector(
-            self.effects,
-            self.slot_table,
-            self.load_estimator,
-            self.endpoint_list,
-            self.outlier_detector,
-            self.path_latency,
-            self.slow_start,
-            self.retry_budget,
-            self.probe_scheduler,
-            settings.max_attempts,
-            most_asked=4,
-            recent=0.4 * TICK_INTERVAL_MS,
-        )
-        self.attempt_runner = AttemptRunner(
-            self.effects,
-            self.slot_table,
-            self.load_estimator,
-            self.outlier_detector,
-            self.slow_start,
-            self.retry_budget,
-            alive=TICK_INTERVAL_MS,
-        )
-        for earlier, later in (
-            (self.admission, self.server_selector),
-            (self.server_selector, self.attempt_runner),
-        ):
-            earlier.next, later.before = later, earlier
 
     # Start, stop and timers
 
@@ -179,17 +77,16 @@
         if not self._is_passthrough:
             self.session_migrator.migrate_all(is_last=is_last)
 
-    def on_timer(self, now_ms: float, name: str) -> None:
+    def on_timer(self, now_ms: float, timer: Timer) -> None:
         """Do what a timer was set for."""
-        if name == POLL_TIMER:
+        if timer.kind is TimerKind.POLL_ENDPOINT_LIST:
             self.endpoint_list.poll(now_ms)
-        elif name == TICK_TIMER:
+        elif timer.kind is TimerKind.TICK:
             self.effects.set_timer(TICK_TIMER, now_ms + TICK_INTERVAL_MS)
             self.tick(now_ms)
-        elif name.startswith(WAIT_TIMER_PREFIX):
-            number = int(name[len(WAIT_TIMER_PREFIX) :])
-            self.server_selector.out_of_patience(now_ms, number)
-        elif name == PROBE_TIMER and self.due_probes:
+        elif timer.kind is TimerKind.PROBE_WAIT:
+            self.server_selector.on_probe_timeout(now_ms, timer.selection_number)
+        elif self.due_probes:
             server = self.due_probes.popleft()
             if server.phase is Phase.READY:
                 self.probe_scheduler.send(now_ms, server)
@@ -218,7 +115,7 @@
             levels,
             CONNECTION_LIFETIME_MS,
             lambda server: (
-                not self.outlier_detector.ill(now_ms, server)
+                not self.outlier_detector.is_outlier(now_ms, server)
                 and not self.slow_start.is_warming(now_ms, server)
             ),
         )
@@ -232,7 +129,7 @@
         """Spread the probes that are due evenly over the time until the next tick."""
         ready = self.endpoint_list.servers
         loads = self.load_estimator.loads(now_ms, ready)
-        due = self.probe_scheduler.due(now_ms, ready, loads)
+        due = self.probe_scheduler.select_due(now_ms, ready, loads)
         self.due_probes = deque(due)
         for index in range(len(due)):
             delay_ms = TICK_INTERVAL_MS * (index + 0.5) / len(due)
@@ -299,15 +196,8 @@
             failing_here: servers that fail for this proxy alone: the path to them is to
                 blame, and nothing that set-ups share.
         """
-        detector = self.outlier_detector
-        for server in failing:
-            if not detector.ill(now_ms, server):
-                failure = (now_ms, False)
-                server.recent_results.extend([failure] * PEER_REPORTED_FAILURES)
-        detector.dials = deque(
-            (dial for dial in detector.dials if dial[1] not in failing_here),
-            maxlen=detector.dials.maxlen,
-        )
+        self.outlier_detector.record_peer_failures(now_ms, failing)
+        self.outlier_detector.forget_attempts(failing_here)
 
     # Sessions
 
@@ -318,7 +208,7 @@
         # little of what it is given.
         self.retry_budget.record_session(now_ms)
         if session.mid_flow or not (session.is_client_retry or session.returning):
-            self.probe_scheduler.session(self.endpoint_list.servers)
+            self.probe_scheduler.add_session_credit(self.endpoint_list.servers)
         self.admission.enter(now_ms, session)
 
     def on_session_taken_over(
@@ -326,7 +216,7 @@
     ) -> None:
         """Take in an open session that another proxy has set up."""
         self._place(session, server, now_ms)
-        self.attempt_runner.accepted(now_ms, session)
+        self.attempt_runner.on_accepted(now_ms, session)
 
     def on_session_handed_over(
         self, now_ms: float, session: Session, server: Server
@@ -339,7 +229,7 @@
 
     def on_session_accepted(self, now_ms: float, session: Session) -> None:
         """Note that the server of an attempt has accepted the session."""
-        self.attempt_runner.accepted(now_ms, session)
+        self.attempt_runner.on_accepted(now_ms, session)
 
     def on_outcome(
         self,
@@ -361,20 +251,20 @@
         server, accepted_ms = session.server, session.accepted_ms
         is_reset = outcome is AttemptOutcome.RESET
         if is_reset and server is not None and accepted_ms is not None:
-            self.outlier_detector.broke(now_ms, server, accepted_ms)
+            self.outlier_detector.record_reset(now_ms, server, accepted_ms)
             if now_ms - accepted_ms < EARLY_RESET_MS:
-                self.admission.failed(now_ms)
+                self.admission.on_setup_failure(now_ms)
         if is_closed or session.has_ended:
             self.on_client_left(now_ms, session)
             return
         if outcome is AttemptOutcome.CONNECT_FAILED and server is not None:
             self._on_server_failed(now_ms, server)
-        self.attempt_runner.back(now_ms, session, outcome)
+        self.attempt_runner.on_failed(now_ms, session, outcome)
 
     def on_client_left(self, now_ms: float, session: Session) -> None:
         """Forget a session that has ended, or whose client has left."""
         session.has_ended = True
-        self.admission.under_way.pop(session, None)
+        self.admission.in_progress.pop(session, None)
         self._remove_from_server(session)
 
     def on_load_declared(self, now_ms: float, session: Session, load: float) -> None:
@@ -389,7 +279,7 @@
         if latency_ms <= target_ms or server is None:
             return
         # Where the path alone takes so long the server is not to blame.
-        is_path_slow = self.path_latency.slow(now_ms, server, target_ms)
+        is_path_slow = self.path_latency.is_slow(now_ms, server, target_ms)
         lateness = 0.0 if is_path_slow else latency_ms / target_ms
         self.load_estimator.record_late_message(now_ms, server, lateness)
 
@@ -422,7 +312,7 @@
         sent_ms, server.probe_sent_ms = server.probe_sent_ms, None
         if outcome is AttemptOutcome.COMPLETED:
             if sent_ms is not None:
-                self.path_latency.took(now_ms, server, now_ms - sent_ms)
+                self.path_latency.record(now_ms, server, now_ms - sent_ms)
             server.unanswered_probes = 0
             self.load_estimator.record_sample(now_ms, server, report)
         elif outcome is not AttemptOutcome.AT_CAPACITY:
@@ -430,7 +320,7 @@
             server.unanswered_probes += 1
             self._on_server_failed(now_ms, server)
         is_answered = outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY)
-        self.server_selector.answered(now_ms, server, is_answered)
+        self.server_selector.on_probe_result(now_ms, server, is_answered)
 
     def on_load_report(
         self, now_ms: float, server: Server, report: Sequence[float | None]
--- a/wheathill/simulator/simulated_proxy.py
+++ b/wheathill/simulator/simulated_proxy.py
@@ -19,8 +19,10 @@
     Phase,
     Server,
     Session,
+    Timer,
 )
 from wheathill.policy.balancer import Balancer
+from wheathill.simulator.timer_names import decode_timer, encode_timer
 from wheathill.simulator.wire import (
     CLIENT_RETRY,
     ENTRY_VALUES,
@@ -182,7 +184,9 @@
 
     def on_timer(self, now_ms: float, name: str) -> None:
         """Pass on that a timer is due."""
-        self._balancer.on_timer(now_ms, name)
+        timer = decode_timer(name)
+        if timer is not None:
+            self._balancer.on_timer(now_ms, timer)
 
     # Effects, see `SessionEffects`
 
@@ -215,9 +219,9 @@
         """Order a poll of the endpoint list."""
         self._order("follow", enabled)
 
-    def set_timer(self, name: str, at_ms: float) -> None:
+    def set_timer(self, timer: Timer, at_ms: float) -> None:
         """Order a timer."""
-        self._order("timer", name, at_ms / MS_PER_S)
+        self._order("timer", encode_timer(timer), at_ms / MS_PER_S)
 
     def log(self, text: str) -> None:
         """Order a line of the log."""
