--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -526,7 +526,7 @@
         }
     )
     monkeypatch.setattr(daemon, "serve", serve)
-    monkeypatch.setattr(daemon, "allow_sockets", lambda node: node)
+    monkeypatch.setattr(daemon, "raise_descriptor_limit", lambda node: node)
     monkeypatch.setattr(daemon, "Log", lambda *_: SimpleNamespace(close=lambda: None))
     before = signal.getsignal(signal.SIGHUP)
     try:
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -5,7 +5,6 @@
 
 import pytest
 
-from wheathill.log_events import LogEvent
 from wheathill.log_events import LogEvent
 from wheathill.model import Phase, Server
 from wheathill.peers.cluster_view import ClusterView, ClusterViewConfig, ViewState
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -39,7 +39,9 @@
         wheathill.peers.create_peer_service = partial(
             self.join, wheathill.peers.create_peer_service
         )
-        node = daemon.allow_sockets(operator.read_operator_config(self.crew.path))
+        node = daemon.raise_descriptor_limit(
+            operator.read_operator_config(self.crew.path)
+        )
         self.crew.log_line = Log(
             node.name,
             node.limits.max_queued_log_lines,
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -59,7 +59,7 @@
         self.proxy.start()
 
     def join(self, node, carrier):
-        """As `daemon.join`, but that the number of its birth comes from the seed."""
+        """As `daemon._start_peers`, but that the number of its birth comes from the seed."""
         from wheathill.peers import PeerEnvironment, create_peer_service
 
         birth = (
--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -2,16 +2,19 @@
 
 import re
 from collections.abc import Callable
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from wheathill.config.limits import ProxyLimits
 from wheathill.net.admin.errors import HttpError
-from wheathill.net.admin.interfaces import AdminConnection
 from wheathill.net.admin.request_target import RequestTarget, parse_target
 from wheathill.net.admin.response import encode_response
 from wheathill.net.lines import END, Malformed
 from wheathill.net.machine import Machine
 
+# Only their types are needed, and memory is short.
+if TYPE_CHECKING:
+    from wheathill.net.admin.interfaces import AdminConnection
+
 TOKEN = re.compile(rb"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")  # RFC 9110 section 5.6.2
 TARGET = re.compile(rb"[!-~]+")
 VERSION = re.compile(rb"HTTP/[0-9]\.[0-9]")
@@ -31,7 +34,7 @@
 
     def __init__(
         self,
-        connection: AdminConnection,
+        connection: "AdminConnection",
         answer: Answer,
         limits: ProxyLimits,
         clock: Any,  # noqa: ANN401 - the type of the transport's clock
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -2,19 +2,22 @@
 
 from collections.abc import Callable
 from functools import partial
-from typing import Any
+from typing import TYPE_CHECKING, Any
 
 from wheathill.net.admin.errors import HttpError
-from wheathill.net.admin.interfaces import AdminConnection, AdministeredProxy
 from wheathill.net.admin.request import AdminRequest
 from wheathill.net.admin.request_target import RequestTarget
 from wheathill.net.admin.routes import Routes
 
+# Only their types are needed, and memory is short.
+if TYPE_CHECKING:
+    from wheathill.net.admin.interfaces import AdminConnection, AdministeredProxy
+
 
 class AdminServer:
     """Holds a few requests at a time, in descriptors that are reserved for it."""
 
-    def __init__(self, proxy: AdministeredProxy) -> None:
+    def __init__(self, proxy: "AdministeredProxy") -> None:
         self._proxy = proxy
         # Not over yet, the oldest first -> since when, in ms.
         self._requests: dict[AdminRequest, float] = {}
@@ -31,7 +34,7 @@
         """Add a path of another part of the program; see `routes.Route`."""
         self._routes.add(method, path, handler, *parameters)
 
-    def accept(self, connection: AdminConnection) -> AdminRequest:
+    def accept(self, connection: "AdminConnection") -> AdminRequest:
         """Take a connection in."""
         proxy = self._proxy
         request = AdminRequest(connection, self.answer, proxy.limits, proxy.clock)
@@ -86,5 +89,5 @@
         return {"host": name, "out": out, "kept": is_kept}
 
 
-def _has_unread(connection: AdminConnection) -> bool:
+def _has_unread(connection: "AdminConnection") -> bool:
     return connection.open and connection.unread
