--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -58,7 +58,7 @@
         self.balancer = self
         self.updates, self.verdicts = [], []
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         self.updates.append((server.name, phase, born))
 
     def on_peer_health_reports(self, now_ms, failing, here):
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,5 +1,4 @@
-"""What instances say and conclude, without sockets: frames, streams that misbehave, who may be at work, drains,
-witnesses."""
+"""Proxies that know each other, without sockets: frames, rate limits, the view of the fleet, drains, health reports."""
 
 import random
 
--- a/wheathill/lab/cast/sessionless.py
+++ b/wheathill/lab/cast/sessionless.py
@@ -16,5 +16,5 @@
     def on_peer_health_reports(self, now, failing, here):
         pass
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         pass
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -40,7 +40,7 @@
         server.started_ms = entry.process_start_ms
         server.listed_phase = entry.phase
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         if server.listed_phase is not phase:
             server.listed_phase = phase
             self.told.setdefault((server.name, phase.value), self.clock.now())
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -89,7 +89,7 @@
     def on_peer_health_reports(self, now, failing, here):
         self.hollow.crew.counts["witnesses said"] += 1
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         self.hollow.told_of(server.name, phase, born)
 
 
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -58,7 +58,7 @@
 
     def join(self, create, told, environment, _birth, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
-        takes, told_by_peers = proxy.balancer.on_quota_changed, proxy.told_by_peers
+        takes, on_peer_update = proxy.balancer.on_quota_changed, proxy.on_peer_update
 
         def on_quota_changed(now, share):
             self.takes(now, share)
@@ -66,9 +66,12 @@
 
         def told_of(server, phase, born):
             self.told_of(server.name, phase, born)
-            told_by_peers(server, phase, born)
+            on_peer_update(server, phase, born)
 
-        proxy.balancer.on_quota_changed, proxy.told_by_peers = on_quota_changed, told_of
+        proxy.balancer.on_quota_changed, proxy.on_peer_update = (
+            on_quota_changed,
+            told_of,
+        )
         if crew.shape:
             carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
             environment = replace(environment, carrier=carrier)
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -276,7 +276,7 @@
         for old in list(islice(gone, max(0, over))):
             del self.names[old]
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         """Others were told of a drain, that it is over, or of a new start, which this proxy's list doesn't say."""
         started = self.clock.from_wall(born) if born else None
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
--- a/wheathill/peers/environment.py
+++ b/wheathill/peers/environment.py
@@ -41,7 +41,9 @@
     servers: Mapping[str, Server]
     balancer: Any
 
-    def told_by_peers(self, server: Server, phase: Phase, born: float) -> None:
+    def on_peer_update(
+        self, server: Server, phase: Phase, process_start_ms: float
+    ) -> None:
         """Take in a drain, its end or a new start that the own list doesn't say."""
 
 
--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -98,7 +98,7 @@
             server = self._proxy.servers.get(name)
             if server is not None and name in self._listed:
                 entry = self._effective_entry(name, self._listed[name])
-                self._proxy.told_by_peers(server, entry.phase, entry.process_start_ms)
+                self._proxy.on_peer_update(server, entry.phase, entry.process_start_ms)
 
 
 class DirectServerUpdates(ServerUpdates):
