--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -20,16 +20,16 @@
 from wheathill.net.machine import Machine
 
 LIMITS = SimpleNamespace(
-    line=8192,
-    read=65536,
-    sockets=1_000_000,
-    spare_sockets=0,
-    backlog=4096,
-    accepts=64,
-    accept_pause=10.0,
-    keep_alive=600_000.0,
-    linger=1000.0,
-    buffer=65536,
+    max_line_bytes=8192,
+    receive_buffer_bytes=65536,
+    max_sockets=1_000_000,
+    reserved_sockets=0,
+    listen_backlog=4096,
+    accepts_per_turn=64,
+    accept_pause_ms=10.0,
+    keepalive_idle_ms=600_000.0,
+    linger_ms=1000.0,
+    max_buffered_bytes=65536,
 )
 EVERY = 1.0  # between two looks at what is due, ms
 AT_A_LOOK = 256  # lines written before what came is read
