--- a/wheathill/lab/scale/parts.py
+++ b/wheathill/lab/scale/parts.py
@@ -28,7 +28,7 @@
         "update_capacity_estimate",
         "levels",
     ),
-    ProbeScheduler: ("due",),
+    ProbeScheduler: ("select_due",),
 }
 
 
