--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -7,7 +7,7 @@
 from wheathill.config import Misconfigured, node_of, read_node
 from wheathill.net import bans, log
 from wheathill.net.operators import OperatorsDoor
-from wheathill.peers.control import Control
+from wheathill.peers.control_socket import ControlConnection
 
 FIGURES = "figures"  # the event whose line tells the counts
 
@@ -47,7 +47,7 @@
 def control_answer(instance: Any, clock: Any, limits: Any, data: bytes) -> Sink:
     """Feeds the control socket of an instance with one caller's bytes."""
     wire = Sink()
-    control = Control(wire, instance.operator_requests.handle, limits, clock)
+    control = ControlConnection(wire, instance.operator_requests.handle, limits, clock)
     control.connected()
     control.received(data)
     return wire
--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -69,9 +69,9 @@
 )
 def peers(file, as_json, compare, remove):
     """Show the instances that the proxy of FILE knows. Exits with 1 where its view is not agreed."""
-    from wheathill.peers import show
+    from wheathill.peers import command
 
-    sys.exit(show.peers(file, as_json, compare, remove))
+    sys.exit(command.run(file, as_json, compare, remove))
 
 
 @main.group()
--- a/wheathill/lab/scale/honest.py
+++ b/wheathill/lab/scale/honest.py
@@ -17,7 +17,7 @@
 from wheathill.lab.scale.memory import resident_mb
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.worlds.processes import dies_with_the_lab
-from wheathill.peers.show import ask
+from wheathill.peers.control_client import call_control_socket
 
 BASES = 4  # real ones without peers
 WITHIN = 0.15
@@ -71,7 +71,7 @@
             return float(told.read())
 
     def links(self):
-        return ask(self.control, {})["links"]
+        return call_control_socket(self.control, {})["links"]
 
 
 def free_port():
@@ -115,7 +115,7 @@
             took = time.monotonic() - began
             used = [(one.cpu_s() - old) / took for one, old in zip(reals, spent)]
             last = [one.links() for one in peers]
-            state = [ask(one.control, {})["state"] for one in peers]
+            state = [call_control_socket(one.control, {})["state"] for one in peers]
             memory = [resident_mb(one.process.pid) for one in reals]
             in_use = [one.used_mb() for one in reals]
         finally:
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheathill.peers.control import Control
+from wheathill.peers.control_socket import ControlConnection
 from wheathill.peers.environment import Closeable, PeerEnvironment
 from wheathill.peers.membership import Membership
 from wheathill.peers.status import StatusReporter
@@ -36,7 +36,9 @@
         return carrier.meet(
             folder or ".",
             name,
-            lambda connection: Control(connection, self.handle, carrier.limits, clock),
+            lambda connection: ControlConnection(
+                connection, self.handle, carrier.limits, clock
+            ),
         )
 
     def handle(
