--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,6 +11,7 @@
 
 from drive import Drive
 from wheathill.model import Server
+from wheathill.policy.settings import SlowStartSettings
 
 WINDOW, COLD_FOR, SHARE, MULTIPLE = 1000.0, 20_000.0, 0.12, 2.0
 WARM = ("a", "b", "c")
@@ -34,12 +35,9 @@
         process = Drive(
             self.rng.random(),
             self.loads,
-            proxies=self.count,
-            number=number,
-            cold_for=COLD_FOR,
-            start_share=SHARE,
-            cold_multiple=MULTIPLE,
-            cold_window=WINDOW,
+            proxy_count=self.count,
+            proxy_index=number,
+            slow_start=SlowStartSettings(SHARE, COLD_FOR, MULTIPLE, WINDOW),
             **self.more,
         )
         process.loud = False
@@ -179,9 +177,9 @@
 def test_turns_are_spread_evenly_over_the_processes(count):
     """As many have a turn as the part says, to two or three, at any moment and for any server."""
     rng = random.Random(1)
-    budgets = [Drive(proxies=1).balancer.cold for _ in range(count)]
+    budgets = [Drive(proxy_count=1).balancer.slow_start for _ in range(count)]
     for number, budget in enumerate(budgets):
-        budget.number, budget.proxies = number, count
+        budget.proxy_index, budget.proxy_count = number, count
     for _ in range(300):
         server, part, now = (
             Server("s", started_ms=0.0),
@@ -189,5 +187,5 @@
             rng.uniform(0.0, COLD_FOR),
         )
         server.hash_draws = [rng.getrandbits(32)]
-        having = sum(budget.turn(now, server) < part for budget in budgets)
+        having = sum(budget.rotation_position(now, server) < part for budget in budgets)
         assert abs(having - count * part) < 3.0
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -18,11 +18,12 @@
 
 import pytest
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.judging.mutated import MUTANTS
 from wheathill.lab.scripts import language
 from wheathill.lab.scripts.run import play as processes
 from wheathill.lab.scripts.run import play as virtual
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -300,7 +301,7 @@
     assert all(
         now == 0.0
         for now, kind, fields in events[:100]
-        if kind == "log" and fields["event"] == "listening"
+        if kind == "log" and fields["event"] == LogEvent.LISTENING
     )
     truths = [
         (now, fields["starting"]) for now, kind, fields in events if kind == "truth"
@@ -328,7 +329,7 @@
     ],
 )
 def test_script_faults(change, fault):
-    with pytest.raises(Misconfigured) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         language.read(path_of("flapping"), [change])
     assert fault in str(wrong.value)
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -13,19 +13,19 @@
 
 from turns import Turns
 from wheathill import daemon
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.handover.restore import build_session
 from wheathill.handover.session_codec import decode_session, encode_session
 from wheathill.handover.snapshot import collect_session
 from wheathill.lab.scale import table as slots
 from wheathill.lab.scale import walks
 from wheathill.model import Listener, Session
-from wheathill.net.admin import Call
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.server import AdminServer
 from wheathill.net.client import Client
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Wire
 from wheathill.net.garbage import keep_collections_short
-from wheathill.net.operators import OperatorsDoor
 from wheathill.net.server import Dialled, ProbeLink
 
 pytestmark = pytest.mark.processes
@@ -40,12 +40,12 @@
         self.turns = turns
         self.proxy = turns.proxy
         self.number = 0
-        self.window = self.proxy.balancer.first.window
+        self.window = self.proxy.balancer.admission.concurrency_limit
 
     def open(self, **values):
         # What earlier ones met makes the decisions careful, which is not what is looked at here.
-        first = self.proxy.balancer.first
-        first.window, first.next_at = self.window, -math.inf
+        first = self.proxy.balancer.admission
+        first.concurrency_limit, first.next_admission_ms = self.window, -math.inf
         for server in self.proxy.servers.values():
             server.recent_results.clear()
         self.number += 1
@@ -93,7 +93,7 @@
         client, server = self.up()
         client.finish()
         self.turns.hears(server)
-        self.turns.for_ms(1.5 * self.proxy.limits.linger)
+        self.turns.for_ms(1.5 * self.proxy.limits.linger_ms)
         self.over(client, server)
 
     def client_resets(self):
@@ -105,7 +105,7 @@
         client, server = self.up()
         server.finish()
         self.turns.hears(client)
-        self.turns.for_ms(1.5 * self.proxy.limits.linger)
+        self.turns.for_ms(1.5 * self.proxy.limits.linger_ms)
         self.over(client, server)
 
     def server_resets(self):
@@ -115,7 +115,7 @@
 
     def moved(self):
         client, server = self.up()
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         self.turns.hears(client)
         self.over(client, server)
 
@@ -123,7 +123,7 @@
         client, server = self.up()
         server.say("half a li", end="")
         self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         server.say("ne")
         self.turns.hears(client)
         self.over(client, server)
@@ -132,7 +132,7 @@
         client, server = self.up()
         server.say("half a li", end="")
         self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
-        self.proxy.move(next(iter(self.proxy.clients)))
+        self.proxy.migrate(next(iter(self.proxy.clients)))
         next(iter(self.proxy.clients.values())).dial.close()
         self.over(client, server)
 
@@ -140,7 +140,7 @@
         client, server = self.up()
         client.say("a line")
         self.turns.hears(server)
-        self.turns.for_ms(2 * self.proxy.limits.sweep)
+        self.turns.for_ms(2 * self.proxy.limits.sweep_interval_ms)
         client.sock.close()
         self.over(client, server)
         for server in (
@@ -327,15 +327,15 @@
         gc.enable()
 
 
-KINDS = (Wire, Client, Dialled, ProbeLink, Watch, Call, Session)
+KINDS = (Wire, Client, Dialled, ProbeLink, Watch, AdminRequest, Session)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
-    "linger": 60.0,
-    "line_in": 80.0,
-    "sweep": 25.0,
-    "unanswered": 40.0,
-    "second_answer": 5.0,
-    "probe": 60.0,
+    "linger_ms": 60.0,
+    "first_line_timeout_ms": 80.0,
+    "sweep_interval_ms": 25.0,
+    "unanswered_after_ms": 40.0,
+    "second_answer_timeout_ms": 5.0,
+    "probe_timeout_ms": 60.0,
 }
 
 
@@ -381,7 +381,7 @@
 
         def ask():
             server = turns.proxy.servers["a"]
-            turns.proxy.probe(server)
+            turns.proxy.send_probe(server)
             at = turns.taken("a")
             turns.hears(at)
             said, _, reset = (answer or "").partition(" reset")
@@ -404,8 +404,12 @@
 @pytest.mark.parametrize("ends", ("silent", "closed", "nonsense", "no list", "left"))
 def test_no_watch_is_left_to_the_collector(ends):
     """They come again and again for as long as discovery is out of reach."""
-    patience = {"list_silence": 60.0, "list_again": 40.0} if ends == "silent" else {}
-    with Turns(limits={"list_retry": 20.0, **patience}) as turns:
+    patience = (
+        {"watch_silence_timeout_ms": 60.0, "watch_hedge_delay_ms": 40.0}
+        if ends == "silent"
+        else {}
+    )
+    with Turns(limits={"min_watch_interval_ms": 20.0, **patience}) as turns:
         turns.proxy.leave_watch()
 
         def answer():
@@ -439,10 +443,10 @@
 def test_no_call_of_an_operator_is_left_to_the_collector():
     with turned(discovery=False) as turns:
         turns.until(lambda: turns.proxy.ready)
-        door = OperatorsDoor(turns.proxy)
+        server = AdminServer(turns.proxy)
         with socket.create_server(("127.0.0.1", 0)) as free:
             at = free.getsockname()
-        listens = turns.carrier.listen(door.call, at, door.room)
+        listens = turns.carrier.listen(server.accept, at, server.make_room)
 
         def ask():
             for text in (b"GET /status HTTP/1.1\r\n\r\n", b"nonsense\r\n"):
@@ -512,7 +516,7 @@
         seen.append(gc.get_freeze_count() - seen[0])
         del kept
 
-    node = node_of(
+    node = build_node_config(
         {
             "name": "n0",
             "listen": "127.0.0.1:1",
@@ -522,7 +526,7 @@
         }
     )
     monkeypatch.setattr(daemon, "serve", serve)
-    monkeypatch.setattr(daemon, "allow_sockets", lambda node: node)
+    monkeypatch.setattr(daemon, "raise_descriptor_limit", lambda node: node)
     monkeypatch.setattr(daemon, "Log", lambda *_: SimpleNamespace(close=lambda: None))
     before = signal.getsignal(signal.SIGHUP)
     try:
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -18,9 +18,13 @@
 
 import pytest
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.handover.coordinator import UpgradeCoordinator
+from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
+from wheathill.policy.outlier_detection import RecordedAttempt
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
 GOLDEN = pathlib.Path(__file__).parent / "golden"
 CONFIGURATION = {
@@ -167,7 +171,7 @@
 class Process:
     def __init__(self, beside=False, **changed):
         """`beside`: another process is there, which is asked for its state."""
-        node = node_of({**CONFIGURATION, **changed})
+        node = build_node_config({**CONFIGURATION, **changed})
         self.events = []
         self.transport = Transport(node.limits)
         self.transport.reaches = beside
@@ -181,7 +185,12 @@
         self.receiver = self.transport.last_connection if beside else None
 
     def note(self, event, **values):
-        if "hand" in event or event in ("took over", "accepting", "fault"):
+        if "hand" in event or event in (
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+            LogEvent.INTERNAL_ERROR,
+            LogEvent.MAINTENANCE_ENTERED,
+        ):
             values.pop("after", None)
             self.events.append((event, values))
 
@@ -218,7 +227,7 @@
         (70_003, "z", True),
     ):
         proxy.clock.time = when
-        proxy.by_hand(name, out)
+        proxy.set_maintenance(name, out)
     balancer, servers = proxy.balancer, proxy.servers
     for number, server in enumerate(servers.values()):
         since = 60_000.125 + 100 * number
@@ -239,20 +248,30 @@
     servers["a"].last_late_message_ms = servers["b"].last_received_ms = servers[
         "a"
     ].last_probe_ms = float("-inf")
-    table = balancer.table
+    table = balancer.slot_table
     for place in range(3):
         slot = [
             slot for slot, server in enumerate(table.current) if server is servers["b"]
         ][10 * place]
-        table.new[slot], table.opened[slot] = servers["a"], 69_000.0 + place
-    for number, known in enumerate((table.moved, table.exceptions)):
-        known["key é"] = servers["ab"[number]], 69_600.5
-        known["second"] = servers["ba"[number]], 69_700.0
-    balancer.levels.bearable, balancer.probes.earned = 12.75, 3.5
-    balancer.first.window, balancer.first.next_at = 17.5, 69_999.0
-    balancer.budget.spent.extend([(69_000.0, 1.5), (69_800.5, 2.0)])
-    balancer.health.dials.extend(
-        [(69_000.0, servers["a"], True), (69_900.25, servers["b"], False)]
+        table.new[slot], table.transition_started_ms[slot] = (
+            servers["a"],
+            69_000.0 + place,
+        )
+    for number, known in enumerate((table.moved_keys, table.exception_keys)):
+        known["key é"] = KeyRoute(servers["ab"[number]], 69_600.5)
+        known["second"] = KeyRoute(servers["ba"[number]], 69_700.0)
+    balancer.load_estimator.capacity_estimate, balancer.probe_scheduler.credit = (
+        12.75,
+        3.5,
+    )
+    balancer.admission.concurrency_limit = 17.5
+    balancer.admission.next_admission_ms = 69_999.0
+    balancer.retry_budget.retries.extend([Retry(69_000.0, 1.5), Retry(69_800.5, 2.0)])
+    balancer.outlier_detector.recent_attempts.extend(
+        [
+            RecordedAttempt(69_000.0, servers["a"], True),
+            RecordedAttempt(69_900.25, servers["b"], False),
+        ]
     )
     proxy.ids.update({"id-over": None, "id ü": None})
     proxy.clock.time = 70_100.0
@@ -312,9 +331,9 @@
     recorder.run()
     if not operators:
         return recorder.lines
-    new.proxy.by_hand("a", True)
+    new.proxy.set_maintenance("a", True)
     recorder.run()
-    old.proxy.by_hand("a", False)
+    old.proxy.set_maintenance("a", False)
     recorder.run()
     return recorder.lines
 
@@ -408,7 +427,7 @@
             ]
         )
         for event, values in events
-        if event != "accepting"
+        if event != LogEvent.ACCEPTING_CONNECTIONS
     )
 
 
@@ -593,7 +612,7 @@
             connection.deliver(data, ["handle"] * handles)
         else:
             if data.startswith(b'{"hand"'):
-                (old if present == "old" else new).proxy.by_hand(*hands.pop())
+                (old if present == "old" else new).proxy.set_maintenance(*hands.pop())
             sent, given = connection.sent.pop(0)
             assert (len(given), sent) == (handles, data)
     assert not connection.sent and not hands
@@ -602,7 +621,10 @@
         assert old.transport.dropped == 2 * len(SESSIONS)
     else:
         assert new.transport.adopted == 2 * len(SESSIONS)
-        assert [event for event, _ in new.events][:2] == ["took over", "accepting"]
+        assert [event for event, _ in new.events][:2] == [
+            LogEvent.HANDOVER_RECEIVED,
+            LogEvent.ACCEPTING_CONNECTIONS,
+        ]
 
 
 def test_a_state_from_before_is_passed_on_as_it_came():
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -11,7 +11,7 @@
 import pytest
 
 from drive import kept
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.judging.baselines import by_weight
 from wheathill.lab.judging.mutants import MUTANTS
 from wheathill.lab.scripts import language as scripts
@@ -19,9 +19,9 @@
 from wheathill.lab.scripts.scene import Scene
 from wheathill.lab.tools.experiments import in_time
 from wheathill.lab.worlds.virtual import VirtualWorld
-from wheathill.net.admin import Call
+from wheathill.net.admin.request import AdminRequest
+from wheathill.net.admin.server import AdminServer
 from wheathill.net.client import Client
-from wheathill.net.operators import OperatorsDoor
 from wheathill.net.proxy import Proxy
 
 MUTANTS_SCRIPT = "tests/scripts/mutants.toml"
@@ -300,7 +300,7 @@
     def check():
         world.clock.after(1000.0, check)
         for name, seat in scene.seats.items():
-            figures = seat.proxy.metrics()
+            figures = seat.proxy.metrics_report()
             checks.append(name)
             for who, results in figures["downstream_requests"].items():
                 for result, count in results.items():
@@ -315,7 +315,7 @@
             )
             unusable = [
                 server
-                for server in seat.proxy.balancer.roster.servers
+                for server in seat.proxy.balancer.endpoint_list.servers
                 if server.name in seat.proxy.left_out(world.clock.now())
             ]
             assert figures["members_unavailable"] >= len(unusable)
@@ -332,14 +332,16 @@
     """The judge names a proxy that forgets its operators' calls; sessions that don't go over are cut."""
 
     class Deaf(Proxy):
-        def by_hand(self, name, out, told=None):
+        def set_maintenance(self, name, out, forwarded_by=None):
             pass
 
     found = play(scripts.read("experiments/out-by-hand.toml"), proxy=Deaf).breaches
     assert any(breach.rule == 3 for breach in found)
 
-    monkeypatch.setattr(OperatorsDoor, "room", lambda door: True)  # nobody makes room
-    monkeypatch.setattr(Call, "connected", lambda call: call.wire.hold(True))
+    monkeypatch.setattr(
+        AdminServer, "make_room", lambda server: True
+    )  # nobody makes room
+    monkeypatch.setattr(AdminRequest, "connected", lambda call: call.wire.hold(True))
     calls = play(scripts.read("experiments/callers.toml")).breaches
     assert any("an operator's call" in breach.what for breach in calls)
 
@@ -423,7 +425,7 @@
     ],
 )
 def test_script_faults(old, new, fault):
-    with pytest.raises(Misconfigured) as wrong:
+    with pytest.raises(ConfigurationError) as wrong:
         scripts.script_of(
             tomllib.loads(open(MUTANTS_SCRIPT).read().replace(old, new, 1))
         )
@@ -454,7 +456,7 @@
         .replace('weights = "registered"', 'weights = "off"')
     )
     with pytest.raises(
-        Misconfigured, match='a weight_error needs proxies.weights = "registered"'
+        ConfigurationError, match='a weight_error needs proxies.weights = "registered"'
     ):
         scripts.read(script)
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,7 +8,9 @@
 
 import pytest
 
-from wheathill.config import Misconfigured, checked, operator
+from wheathill.config import checked, operator
+from wheathill.config.errors import ConfigurationError
+from wheathill.log_events import LogEvent
 
 GOOD = """
 name = "edge"
@@ -76,8 +78,8 @@
 def test_faults(tmp_path, monkeypatch, old, new, faults):
     monkeypatch.chdir(tmp_path)
     (tmp_path / "file.toml").write_text((GOOD % 1).replace(old, new, 1))
-    with pytest.raises(Misconfigured) as wrong:
-        operator.file_of(checked.load("file.toml"))
+    with pytest.raises(ConfigurationError) as wrong:
+        operator.check_file(checked.load_toml("file.toml"))
     assert str(wrong.value).splitlines() == faults
 
 
@@ -111,12 +113,12 @@
                 path.write_text(good + 'stat = "ready"')
                 process.send_signal(signal.SIGHUP)
                 assert (
-                    until("bad configuration")["what"]
+                    until(LogEvent.CONFIGURATION_ERROR)["what"]
                     == "server[0].stat: no such key; did you mean state?"
                 )
                 path.write_text(good + 'state = "draining"')
                 process.send_signal(signal.SIGHUP)
-                assert until("reloaded")["servers"] == 1
+                assert until(LogEvent.CONFIGURATION_RELOADED)["servers"] == 1
                 assert client.recv(100) == b"MOVE\r\n"
             process.send_signal(signal.SIGTERM)
             assert process.wait(8) == 0
@@ -125,7 +127,7 @@
 
 
 def test_the_documented_file():
-    file = operator.file_of(checked.load("deploy/daemon.toml"))
+    file = operator.check_file(checked.load_toml("deploy/daemon.toml"))
     for part in (
         file,
         file.limits,
--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -7,6 +7,7 @@
 
 from drive import Rig, kept
 from turns import Turns, blocked, read_slowly
+from wheathill.log_events import LogEvent
 
 pytestmark = pytest.mark.processes
 
@@ -15,7 +16,9 @@
     """The end of this process follows the bytes, within the time in which it may be killed."""
     # Who reads nothing for as long as ends linger is cut off, stop or not: here it reads again before.
     with Turns(
-        dial=4.0, limits={"linger": 6000.0}, settings={"familyInfo": {"mode": "proxy"}}
+        dial=4.0,
+        limits={"linger_ms": 6000.0},
+        settings={"familyInfo": {"mode": "proxy"}},
     ) as turns:
         client = blocked(turns)
         ended = []
@@ -128,9 +131,9 @@
     with stopping(known=False) as rig:
         rig.process.send_signal(signal.SIGTERM)
         rig.process.send_signal(signal.SIGTERM)
-        rig.until_logged("stopping")
+        rig.until_logged(LogEvent.SHUTDOWN_STARTED)
         rig.process.send_signal(signal.SIGHUP)
-        rig.until_logged("reloaded")
+        rig.until_logged(LogEvent.CONFIGURATION_RELOADED)
         prober = rig.client("prober")
         prober.say("PING")
         prober.hear()
@@ -160,7 +163,7 @@
         left.hear()
         told.hear()
         told.hear()
-        rig.until_logged("took over")
+        rig.until_logged(LogEvent.HANDOVER_RECEIVED)
         server.say("and back")
         client.hear()
         rig.old[0].send_signal(signal.SIGTERM)
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -12,13 +12,15 @@
 
 import pytest
 
-from wheathill.config import Misconfigured, operator
+from wheathill.config import operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.scale import fit, fleet, honest, judge
 from wheathill.lab.scale.hollow import StretchedClock, idle_node
 from wheathill.lab.scale.layout import PORT, Layout, free_net, region_of
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.reals import numbers as real_numbers
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.net.driver import Carrier
 from wheathill.net.machine import Machine
 
@@ -103,7 +105,7 @@
     _, found, _ = run
     assert 0.5 < found["largest_sum_of_shares"] <= 1.0 + fleet.ROUNDING
     assert found["told_otherwise"] == 0 and not [
-        key for key in found["counts"] if key.startswith("fault")
+        key for key in found["counts"] if key.startswith(LogEvent.INTERNAL_ERROR)
     ]
 
 
@@ -317,7 +319,7 @@
             str(tmp_path / "key"),
         )
     )
-    assert operator.read(str(path)).peers == told.told(7)
+    assert operator.read_operator_config(str(path)).peers == told.told(7)
     assert [told.zone(number) for number in real_numbers(40, 4, 8)] == [
         0,
         1,
@@ -734,5 +736,5 @@
         told.number_at(told.host(number)) == number for number in (0, 249, 250, 2799)
     )
     assert told.told(3).listen == (told.host(3), PORT)
-    with pytest.raises(Misconfigured, match="--cut"):
+    with pytest.raises(ConfigurationError, match="--cut"):
         region_of("r3", told)
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -14,8 +14,8 @@
 
 From `took` on this goes on until the old process has no session left, and ends.
 
-Bounded: a line by `limits.list_line`, waits by `limits.handover`. Whoever is in doubt
-closes.
+Bounded: a line by `limits.max_list_line_bytes`, waits by `limits.handover_timeout_ms`.
+Whoever is in doubt closes.
 """
 
 from collections.abc import Sequence
@@ -28,6 +28,7 @@
 from wheathill.handover.messages import MaintenanceChange
 from wheathill.handover.restore import build_session
 from wheathill.handover.session_codec import decode_session
+from wheathill.log_events import LogEvent
 from wheathill.net.machine import Machine
 from wheathill.net.proxy import Proxy
 
@@ -88,7 +89,7 @@
         self._received_handles += handles
         *lines, self._unfinished_line = (self._unfinished_line + data).split(b"\n")
         try:
-            if len(self._unfinished_line) > self.limits.list_line:
+            if len(self._unfinished_line) > self.limits.max_list_line_bytes:
                 raise HandoverError("a message too long")
             for line in lines:
                 self._receive_line(line)
@@ -124,7 +125,7 @@
 
     def await_answer(self) -> None:
         """Give the other process so long to answer."""
-        self.set_timer(self.limits.handover, self.end, "no answer in time")
+        self.set_timer(self.limits.handover_timeout_ms, self.end, "no answer in time")
 
     def end(self, reason: str) -> None:
         """End the conversation, once; descriptors of no message are closed."""
@@ -149,7 +150,7 @@
                 self._adopt_session(fields, pair)
             except ValueError as error:
                 self.wire.carrier.drop(pair)
-                self._coordinator.log_event("bad handover", what=str(error))
+                self._coordinator.log_event(LogEvent.HANDOVER_ERROR, what=str(error))
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
         record = decode_session(fields)
@@ -172,4 +173,6 @@
     def apply_maintenance(self, value: object) -> None:
         """Put an operator's call that came to the other process in force here."""
         change = MaintenanceChange.decode(value)
-        self._proxy.by_hand(change.server_name, change.is_out, told=self)
+        self._proxy.set_maintenance(
+            change.server_name, change.is_out, forwarded_by=self
+        )
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -18,9 +18,12 @@
 )
 from wheathill.model import Listener, Phase, Server, Session
 from wheathill.net.proxy import Proxy
+from wheathill.policy.endpoint_list import MaintenancePeriod
+from wheathill.policy.outlier_detection import RecordedAttempt
+from wheathill.policy.retry_budget import Retry
+from wheathill.policy.slot_table import KeyRoute
 
-KeyRoutes = dict[str, tuple[Server, float]]  # key -> (server, since when)
-Attempts = list[tuple[float, Server, bool]]  # (when, where, whether it went well)
+KeyRoutes = dict[str, KeyRoute]
 
 
 @dataclass(slots=True)
@@ -41,7 +44,7 @@
     slots: _SlotTables
     moved_keys: KeyRoutes
     exception_keys: KeyRoutes
-    attempts: Attempts
+    attempts: list[RecordedAttempt]
     session_ids: list[str]
     server_names: list[str]
     decisions: DecisionsRecord
@@ -80,7 +83,11 @@
             moved_keys=moved_keys,
             exception_keys=exception_keys,
             attempts=[
-                (attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
+                RecordedAttempt(
+                    attempt.at_ms,
+                    servers[attempt.server_index],
+                    attempt.succeeded,
+                )
                 for attempt in snapshot.decisions.attempts
             ],
             session_ids=snapshot.session_ids,
@@ -98,38 +105,42 @@
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
         # Versions count at one address.
-        if self.decisions.discovery_address == list(proxy.node.discovery or ()):
+        if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
             proxy.seen = self.decisions.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
-        endpoint_list = proxy.balancer.roster
+        endpoint_list = proxy.balancer.endpoint_list
         endpoint_list.servers.update(self.ready_servers)
-        endpoint_list.out.update(self.decisions.maintenance_since_ms)
-        endpoint_list.back.update(self.decisions.maintenance_ended_ms)
+        endpoint_list.maintenance_since_ms.update(self.decisions.maintenance_since_ms)
+        endpoint_list.maintenance_ended_ms.update(
+            (name, MaintenancePeriod(*period))
+            for name, period in self.decisions.maintenance_ended_ms.items()
+        )
 
     def _apply_slots(self, proxy: Proxy) -> None:
-        table = proxy.balancer.table
-        routes = {"moved": self.moved_keys, "exceptions": self.exception_keys}
-        slots, transitions = {}, {}
-        if len(self.slots.current) == table.size:
-            slots = {"current": self.slots.current, "new": self.slots.new}
-            transitions = self.slots.transition_started_ms
-        # Of a build with fewer or more slots: filled anew, as by a list.
-        table.stand(list(self.ready_servers), slots, transitions, routes)
+        table = proxy.balancer.slot_table
+        ready, slots = list(self.ready_servers), self.slots
+        if len(slots.current) == table.size:
+            table.restore(ready, slots.current, slots.new, slots.transition_started_ms)
+        else:
+            # Of a build with fewer or more slots: filled anew, as by a list.
+            table.restore(ready, None, None, {})
+        table.moved_keys = self.moved_keys
+        table.exception_keys = self.exception_keys
 
     def _apply_estimates(self, proxy: Proxy) -> None:
         balancer, decisions = proxy.balancer, self.decisions
-        balancer.levels.bearable = decisions.capacity_estimate
+        balancer.load_estimator.capacity_estimate = decisions.capacity_estimate
         # What comes over comes fast, and was reported long ago.
-        balancer.levels.held = decisions.capacity_estimate
-        balancer.probes.earned = decisions.probe_credit
-        admission = balancer.first
-        admission.window = decisions.set_up_window
-        admission.cut_at = decisions.window_cut_at_ms
-        admission.next_at = decisions.next_set_up_at_ms
-        balancer.health.dials.extend(self.attempts)
-        balancer.budget.spent.extend(
-            (retry.at_ms, retry.utility) for retry in decisions.retries
+        balancer.load_estimator.previous_mean_sessions = decisions.capacity_estimate
+        balancer.probe_scheduler.credit = decisions.probe_credit
+        admission = balancer.admission
+        admission.concurrency_limit = decisions.set_up_window
+        admission.limit_reduced_ms = decisions.window_cut_at_ms
+        admission.next_admission_ms = decisions.next_set_up_at_ms
+        balancer.outlier_detector.recent_attempts.extend(self.attempts)
+        balancer.retry_budget.retries.extend(
+            Retry(retry.at_ms, retry.utility) for retry in decisions.retries
         )
 
 
@@ -206,7 +217,7 @@
     records: Sequence[KeyRouteRecord], servers: Sequence[Server]
 ) -> KeyRoutes:
     return {
-        record.key: (servers[record.server_index], record.since_ms)
+        record.key: KeyRoute(servers[record.server_index], record.since_ms)
         for record in records
     }
 
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -1,6 +1,6 @@
 """Records made of a running proxy: the one place where its state is read."""
 
-from collections.abc import Mapping
+from collections.abc import Iterable, Mapping
 
 from wheathill.handover.records import (
     AttemptRecord,
@@ -16,7 +16,7 @@
 from wheathill.net.client import Client
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
-from wheathill.policy.slot_table import SlotTable
+from wheathill.policy.slot_table import KeyRoute, SlotTable
 
 ServerIndexes = Mapping[Server, int]  # of each server's record
 
@@ -30,13 +30,13 @@
         servers=[
             collect_server(server, proxy.addresses.get(server)) for server in servers
         ],
-        slots=collect_slot_table(balancer.table, indexes),
-        moved_keys=_collect_key_routes(balancer.table.moved, indexes),
-        exception_keys=_collect_key_routes(balancer.table.exceptions, indexes),
+        slots=collect_slot_table(balancer.slot_table, indexes),
+        moved_keys=_collect_key_routes(balancer.slot_table.moved_keys, indexes),
+        exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
         session_ids=list(proxy.ids),
         server_names=list(proxy.names),
         decisions=collect_decisions(
-            balancer, indexes, proxy.seen, proxy.node.discovery
+            balancer, indexes, proxy.seen, proxy.node.discovery_address
         ),
     )
 
@@ -69,15 +69,22 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred=[indexes.get(server) for server in table.home],
-        current=[indexes.get(server) for server in table.current],
-        new=[indexes.get(server) for server in table.new],
-        transition_started_ms=dict(table.opened),
+        preferred=_indexes_of(table.preferred_servers, indexes),
+        current=_indexes_of(table.current, indexes),
+        new=_indexes_of(table.new, indexes),
+        transition_started_ms=dict(table.transition_started_ms),
     )
 
 
+def _indexes_of(
+    servers: Iterable[Server | None], indexes: ServerIndexes
+) -> list[int | None]:
+    """Return the servers' indexes, None for those that are no longer known."""
+    return [None if server is None else indexes.get(server) for server in servers]
+
+
 def _collect_key_routes(
-    routes: Mapping[str, tuple[Server, float]], indexes: ServerIndexes
+    routes: Mapping[str, KeyRoute], indexes: ServerIndexes
 ) -> list[KeyRouteRecord]:
     """Return the routes whose servers are still known."""
     return [
@@ -94,22 +101,28 @@
     discovery_address: tuple[str, int] | None,
 ) -> DecisionsRecord:
     """Return the record of what belongs to no single server or slot."""
-    admission = balancer.first
+    admission = balancer.admission
     return DecisionsRecord(
         list_version=list_version,
         discovery_address=discovery_address,
-        maintenance_since_ms=dict(balancer.roster.out),
-        maintenance_ended_ms=dict(balancer.roster.back),
-        capacity_estimate=balancer.levels.bearable,
-        probe_credit=balancer.probes.earned,
-        set_up_window=admission.window,
-        window_cut_at_ms=admission.cut_at,
-        next_set_up_at_ms=admission.next_at,
-        retries=[RetryRecord(when, utility) for when, utility in balancer.budget.spent],
+        maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
+        maintenance_ended_ms={
+            name: (period.started_ms, period.ended_ms)
+            for name, period in balancer.endpoint_list.maintenance_ended_ms.items()
+        },
+        capacity_estimate=balancer.load_estimator.capacity_estimate,
+        probe_credit=balancer.probe_scheduler.credit,
+        set_up_window=admission.concurrency_limit,
+        window_cut_at_ms=admission.limit_reduced_ms,
+        next_set_up_at_ms=admission.next_admission_ms,
+        retries=[
+            RetryRecord(when, utility)
+            for when, utility in balancer.retry_budget.retries
+        ],
         attempts=[
-            AttemptRecord(when, indexes[server], well)
-            for when, server, well in balancer.health.dials
-            if server in indexes
+            AttemptRecord(attempt.at_ms, indexes[attempt.server], attempt.succeeded)
+            for attempt in balancer.outlier_detector.recent_attempts
+            if attempt.server in indexes
         ],
     )
 
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -9,7 +9,7 @@
 from wheathill.model import AttemptOutcome
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.retry_rules import may_reject, may_retry
-from wheathill.policy.stage import Stage
+from wheathill.policy.stage import Stage, connect_stages
 
 
 class Plain(Stage):
@@ -21,28 +21,28 @@
         self.most_dials = most_dials
 
     def enter(self, now, sess):
-        sess.slot = self.balancer.table.slot(sess)
+        sess.slot = self.balancer.slot_table.slot_of(sess)
         self.go(now, sess)
 
     def go(self, now, sess):
         tried = [dial.server for dial in sess.attempts]
         able = [
             server
-            for server in self.balancer.roster.servers
+            for server in self.balancer.endpoint_list.servers
             if server not in tried
-            and self.balancer.roster.may_dial(now, server, False)
+            and self.balancer.endpoint_list.may_attempt(now, server, False)
             and may_retry(now, sess, server)
         ]
         if able:
             sess.server = self.pick(able)
-            self.next.enter(now, sess)
+            self.next_stage.enter(now, sess)
         else:
             self.give_up(sess)
 
-    def accepted(self, now, sess):
+    def on_accepted(self, now, sess):
         pass
 
-    def back(self, now, sess, outcome):
+    def on_failed(self, now, sess, outcome):
         if (
             len(sess.attempts) < self.most_dials
             and sess.deadline_ms > now
@@ -55,32 +55,28 @@
     def give_up(self, sess):
         sess.has_ended = True
         if may_reject(sess):
-            self.balancer.actions.refuse(sess, sess.listener.handshake_target_ms)
+            self.balancer.effects.reject(sess, sess.listener.handshake_target_ms)
         else:
-            self.balancer.actions.tear_down(sess)
+            self.balancer.effects.fail(sess)
 
 
 class Baseline(Balancer):
     """The module's list, its dials and its rules; none of its table, levels or limits."""
 
-    def __init__(self, pick, actions, rng, **settings):
-        super().__init__(actions, rng, **settings)
-        plain = Plain(self, partial(pick, rng), settings["most_dials"])
-        plain.next, self.dialling.before = self.dialling, plain
-        self.first = plain
+    def __init__(self, pick, effects, rng, settings):
+        super().__init__(effects, rng, settings)
+        plain = Plain(self, partial(pick, rng), settings.max_attempts)
+        connect_stages(plain, self.attempt_runner)
+        self.admission = plain
         # What asks for figures of set-ups under way finds none.
-        plain.under_way = {}
-        plain.failed = lambda now: None
+        plain.in_progress = {}
+        plain.on_setup_failure = lambda now: None
 
     def tick(self, now):
-        for server in list(
-            dict.fromkeys(sess.server for held in self.table.sessions for sess in held)
-        ):
-            if server.phase.value == "draining":
-                self.send_away(
-                    list(server.sessions),
-                    max(1, 3 - int((now - server.leaving_since_ms) / self.TICK)),
-                )
+        servers = dict.fromkeys(
+            sess.server for held in self.slot_table.sessions for sess in held
+        )
+        self.session_migrator.migrate_off_draining(now, servers)
 
 
 def at_random(rng, able):
--- a/wheathill/lab/scale/fleet.py
+++ b/wheathill/lab/scale/fleet.py
@@ -9,12 +9,13 @@
 import time
 from dataclasses import dataclass
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 from wheathill.lab.scale import judge
 from wheathill.lab.scale.crew import Crews, Lost
 from wheathill.lab.scale.layout import Layout, free_net, region_of, zone_of
 from wheathill.lab.scale.reals import GRACE, Reals
 from wheathill.lab.scale.reals import numbers as real_numbers
+from wheathill.log_events import LogEvent
 
 WITHIN = 6.0  # s for a change to be in force, and for a death to be known
 RACK = 20  # one in so many of a zone
@@ -61,11 +62,11 @@
 class Fleet:
     def __init__(self, plan, say=lambda text: None):
         if plan.regions > plan.zones or plan.zones > plan.members:
-            raise Misconfigured(
+            raise ConfigurationError(
                 "--zones: must be as many as --regions at the least, and --members as --zones"
             )
         if plan.real >= plan.members:
-            raise Misconfigured("--real: must be fewer than --members")
+            raise ConfigurationError("--real: must be fewer than --members")
         self.plan, self.say = plan, say
         net, self.held = free_net(os.getpid())
         ways = (1.0, 5.0, 80.0, 200.0) if plan.one_way else Layout.ways
@@ -83,7 +84,7 @@
             ways,
         )
         if plan.cut is not None and plan.cut_out is not None:
-            raise Misconfigured(
+            raise ConfigurationError(
                 "--cut-out: there is one cut at a time, and --cut asks for another"
             )
         self.out = plan.cut_out is not None
@@ -668,7 +669,9 @@
             yield f"views of {found['running'] - found['views_right']} members are wrong at the end"
         if found["deaths_not_known"]:
             yield f"{found['deaths_not_known']} times a death was not known at the end"
-        faults = [key for key in found["counts"] if key.startswith("fault")]
+        faults = [
+            key for key in found["counts"] if key.startswith(LogEvent.INTERNAL_ERROR)
+        ]
         if faults:
             yield f"faults in the program: {faults}"
         yield from self.session_breaches(found.get("real"))
@@ -703,8 +706,8 @@
 
 
 def play(plan, say=lambda text: None):
-    """The object that `--json` keeps. Raises Misconfigured."""
+    """The object that `--json` keeps. Raises ConfigurationError."""
     try:
         return asyncio.run(Fleet(plan, say).play())
     except Lost as wrong:
-        raise Misconfigured(str(wrong)) from None
+        raise ConfigurationError(str(wrong)) from None
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -1,7 +1,7 @@
 """Hollow proxies: everything of a proxy's control part and no sessions, many in one process.
 
 `python -m wheathill.lab.scale.hollow` reads orders from its standard input, a line of JSON each, and answers each with
-a line. Under a `PeerService` stands what it asks of a proxy; its transport, frames, membership, facts, drains and witnesses are the
+a line. Under a `PeerService` stands what it asks of a proxy; its transport, frames, membership, cluster view, drains and health reports are the
 ones that a proxy runs, over real loopback sockets. Times are in the fleet's ms, which a rate of time stretches.
 """
 
@@ -24,6 +24,7 @@
 from wheathill.lab.scale.layout import Layout
 from wheathill.lab.scale.memory import allocated_mb, resident_mb
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.net.clock import Clock
 from wheathill.net.driver import Carrier
@@ -64,14 +65,14 @@
 class Seen:
     """A server that a proxy has just heard of, or never has."""
 
-    samples = results = ()
-    silent, asked = 0, 0.0
+    load_samples = recent_results = ()
+    unanswered_probes, last_probe_ms = 0, 0.0
 
     def __init__(self, name, clock):
         self.name, self.clock = name, clock
 
     @property
-    def heard(self):
+    def last_received_ms(self):
         return self.clock.now() - FRESH if self.clock else -1e12
 
 
@@ -82,13 +83,13 @@
         super().__init__(servers, 0.25)
         self.hollow = hollow
 
-    def on_fleet(self, now, share):
+    def on_quota_changed(self, now, share):
         self.hollow.takes(now, share)
 
-    def on_witnesses(self, now, failing, here):
+    def on_peer_health_reports(self, now, failing, here):
         self.hollow.crew.counts["witnesses said"] += 1
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         self.hollow.told_of(server.name, phase, born)
 
 
@@ -113,8 +114,8 @@
     """The instance of member `number`, not yet started, knows all of `numbers`; `full`: as `Hollow.start`."""
     from wheathill.peers.membership import MemberState, MemberUpdate
 
-    log, now = peers.log_event, peers.clock.now()
-    peers.update_view = peers.log_event = lambda *_, **__: None
+    log, now = peers.events.log_event, peers.clock.now()
+    peers.update_view = peers.events.log_event = lambda *_, **__: None
     others = [
         other
         for other in numbers
@@ -145,7 +146,7 @@
             peers.authenticator.accept_counter(
                 layout.name(other), layout.birth(other, 1), 0
             )
-    peers.log_event = log
+    peers.events.log_event = log
     peers.membership.gossip.clear()
     # It asks nobody: at a start of all, answers of whole states would still be on their way when it is measured.
     peers.settings = replace(peers.settings, seeds=())
@@ -238,12 +239,12 @@
         if self.crew.log_line:
             self.crew.log_line(event, **fields)
         if (
-            event == "peer"
+            event == LogEvent.MEMBER_STATE_CHANGED
             and fields["state"] in ("dead", "left")
             and fields["peer"] in self.crew.gone
         ):
             self.crew.known.setdefault((self.name, fields["peer"]), self.clock.now())
-        elif event in ("fault", "peers: dropped"):
+        elif event in (LogEvent.INTERNAL_ERROR, LogEvent.FRAME_DROPPED):
             self.crew.counts[f"{event} {fields.get('why') or fields.get('what')}"] += 1
 
     def figures(self):
@@ -280,7 +281,9 @@
         if prompt:
             # Beside a proxy without sessions, as a real one: what that costs is taken off.
             self.log_line = Log(
-                node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+                node.name,
+                node.limits.max_queued_log_lines,
+                os.open(os.devnull, os.O_WRONLY),
             )
             self.proxy = Proxy(node, self.carrier, self.clock, self.log_line)
             self.proxy.start()
@@ -440,14 +443,15 @@
     with tempfile.NamedTemporaryFile("w", suffix=".toml") as file:
         file.write(FILE.format(sockets))
         file.flush()
-        return operator.read(file.name)
+        return operator.read_operator_config(file.name)
 
 
 async def serve(make):
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(
         lambda _, context: crew.log(
-            "fault", what=repr(context.get("exception") or context["message"])
+            LogEvent.INTERNAL_ERROR,
+            what=repr(context.get("exception") or context["message"]),
         )
     )
     crew = make(loop)
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -19,6 +19,7 @@
 from wheathill.lab.scale.memory import resident_mb
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
+from wheathill.log_events import LogEvent
 from wheathill.net.log import Log
 
 
@@ -38,32 +39,41 @@
         wheathill.peers.create_peer_service = partial(
             self.join, wheathill.peers.create_peer_service
         )
-        node = daemon.allow_sockets(operator.read(self.crew.path))
+        node = daemon.raise_descriptor_limit(
+            operator.read_operator_config(self.crew.path)
+        )
         self.crew.log_line = Log(
-            node.name, node.limits.log_lines, os.open(os.devnull, os.O_WRONLY)
+            node.name,
+            node.limits.max_queued_log_lines,
+            os.open(os.devnull, os.O_WRONLY),
         )
         serving = self.crew.loop.create_task(
-            daemon.serve(node, self.log, lambda: operator.read(self.crew.path))
+            daemon.serve(
+                node, self.log, lambda: operator.read_operator_config(self.crew.path)
+            )
         )
         serving.add_done_callback(
             lambda task: self.log(
-                "fault", what=repr(task.exception() or "it has ended")
+                LogEvent.INTERNAL_ERROR, what=repr(task.exception() or "it has ended")
             )
         )
 
     def join(self, create, told, environment, _birth, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
-        takes, told_by_peers = proxy.balancer.on_fleet, proxy.told_by_peers
+        takes, on_peer_update = proxy.balancer.on_quota_changed, proxy.on_peer_update
 
-        def on_fleet(now, share):
+        def on_quota_changed(now, share):
             self.takes(now, share)
             takes(now, share)
 
         def told_of(server, phase, born):
             self.told_of(server.name, phase, born)
-            told_by_peers(server, phase, born)
+            on_peer_update(server, phase, born)
 
-        proxy.balancer.on_fleet, proxy.told_by_peers = on_fleet, told_of
+        proxy.balancer.on_quota_changed, proxy.on_peer_update = (
+            on_quota_changed,
+            told_of,
+        )
         if crew.shape:
             carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
             environment = replace(environment, carrier=carrier)
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -13,14 +13,29 @@
 
 import orjson
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.lab.scale import fit
-from wheathill.model import AttemptOutcome, Listener, Phase, Server, Session, UpdateKind
+from wheathill.model import (
+    PROBE_TIMER,
+    AttemptOutcome,
+    EndpointEntry,
+    Listener,
+    Phase,
+    Server,
+    Session,
+    UpdateKind,
+)
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
 from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
 from wheathill.policy.balancer import Balancer
+from wheathill.policy.settings import (
+    EndpointListSettings,
+    LoadEstimatorSettings,
+    PolicySettings,
+    SlowStartSettings,
+)
 
 SHARDS = 420_000
 SERVERS = 8_000
@@ -31,24 +46,16 @@
     100.0,
     1000.0,
 )  # sessions a second, for which probes are counted
-USUAL = dict(
-    zone=0,
-    proxies=2800,
-    report_names=["x0"],
+USUAL = PolicySettings(
+    proxy_count=2800,
     may_probe=True,
-    must_ask=False,
-    ask_every=10_000.0,
-    drain_grace=500.0,
-    sized=True,
-    start_share=0.2,
-    cold_for=10_000.0,
-    cold_multiple=3.0,
-    cold_window=1000.0,
-    most_dials=3,
-    longest_wait=1000.0,
-    crossing_price=0.0,
-    move_price=0.0,
-    passes_through=False,
+    max_attempts=3,
+    max_retry_after_ms=1000.0,
+    load_estimator=LoadEstimatorSettings(report_fields=["x0"]),
+    endpoint_list=EndpointListSettings(drain_grace_ms=500.0, uses_weights=True),
+    slow_start=SlowStartSettings(
+        initial_share=0.2, duration_ms=10_000.0, rate_multiple=3.0
+    ),
 )
 
 
@@ -68,7 +75,7 @@
 def proxy():
     """One that holds no sockets; its log goes nowhere."""
     loop = asyncio.new_event_loop()
-    node = node_of(
+    node = build_node_config(
         {
             "name": "p",
             "seed": "1",
@@ -89,7 +96,7 @@
     )
     log = lambda *_, **__: None  # noqa: E731
     found = Proxy(node, Carrier(loop, node.limits, log), Clock(loop), log)
-    found.alarm = log  # nothing rings: the clock's work is called by hand
+    found.set_timer = log  # nothing rings: the clock's work is called by hand
     return found, loop
 
 
@@ -148,8 +155,8 @@
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
     pieces = [
-        text[start : start + here.limits.read]
-        for start in range(0, len(text) + 1, here.limits.read)
+        text[start : start + here.limits.receive_buffer_bytes]
+        for start in range(0, len(text) + 1, here.limits.receive_buffer_bytes)
     ]
 
     def take(parts):
@@ -157,10 +164,10 @@
             watch.take(part)
         watch.take(b"\n")
 
-    found = {"list_bytes": len(text), "list_longest": here.limits.list_line}
+    found = {"list_bytes": len(text), "list_longest": here.limits.max_list_line_bytes}
     with Timer() as first:
         take(pieces)
-    ready = len(here.balancer.roster.servers)
+    ready = len(here.balancer.endpoint_list.servers)
     found["list_ms"], found["list_taken"] = first.ms, ready == count
     found["list_again_ms"] = timed(take, pieces)
     drains = orjson.dumps(
@@ -178,10 +185,12 @@
 def slots(count, seed):
     """The table by itself: built, with one and with a fifteenth leaving, and what a slot is then."""
     here, loop = proxy()
-    table = here.balancer.table
+    table = here.balancer.slot_table
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
     found = {
-        "weigh_ms": sum(timed(table.weigh, server) for server in servers),
+        "weigh_ms": sum(
+            timed(table.set_effective_weight, server) for server in servers
+        ),
         "join_ms": timed(table.update, 0.0, servers, {}, servers),
     }
     found["draws_bytes_a_server"] = fmean(
@@ -193,10 +202,10 @@
         "with_slot": len(held),
         "most_slots": max(held.values()),
         "shards_a_slot": SHARDS / table.size,
-        "may_be_halved": sum(one > table.least + 1 for one in held.values()),
+        "may_be_halved": sum(one > table.min_slots + 1 for one in held.values()),
         # A group's members go to its slot's server, then to those of the slots that follow.
         "reach": fmean(
-            1 + len(set(table.others(slot)) - {table.current[slot]})
+            1 + len(set(table.following_servers(slot)) - {table.current[slot]})
             for slot in range(table.size)
         ),
     }
@@ -221,28 +230,28 @@
         self.sent = 0
         self.dialled = []  # not up yet
 
-    def dial(self, sess, server, time_out):
-        self.dialled.append(sess)
+    def start_attempt(self, session, server, timeout_ms):
+        self.dialled.append(session)
 
-    def probe(self, server):
+    def send_probe(self, server):
         self.probed.append(server)
         self.sent += 1
 
     def nothing(self, *_):
         pass
 
-    refuse = tear_down = move = follow_list = alarm = log = nothing
+    reject = fail = migrate = poll_endpoint_list = set_timer = log = nothing
 
 
 def balancer(count, seed):
     actions = Quiet()
-    made = Balancer(actions, random.Random(seed), **USUAL)
+    made = Balancer(actions, random.Random(seed), USUAL)
     made.on_start(0.0)
     servers = [Server(host(place)["host"], zone=place % 15) for place in range(count)]
-    made.on_list(
+    made.on_endpoint_update(
         0.0,
         UpdateKind.SNAPSHOT,
-        [(server, Phase.READY, 1.0, None) for server in servers],
+        [EndpointEntry(server, Phase.READY, 1.0, None) for server in servers],
     )
     return made, actions, servers
 
@@ -253,9 +262,9 @@
     made.tick(1000.0)
     found = {"tick_ms": timed(made.tick, 2000.0)}
     for place, server in enumerate(servers):
-        made.levels.sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
+        made.load_estimator.record_sample(2900.0, server, [0.2 + 0.4 * (place % 2)])
         server.last_probe_ms = 0.0
-    made.probes.earned = float(count)
+    made.probe_scheduler.credit = float(count)
     found["tick_probing_ms"] = timed(made.tick, 3000.0)
     return found
 
@@ -276,8 +285,8 @@
                 answer(made, actions, now)
                 came += 1
             made.tick(1000.0 * second)
-            for _ in range(len(made.next_probes)):
-                made.on_alarm(1000.0 * second, "probe")
+            for _ in range(len(made.due_probes)):
+                made.on_timer(1000.0 * second, PROBE_TIMER)
             answer(made, actions, 1000.0 * second)
             if second == 10:
                 before = actions.sent
@@ -288,10 +297,10 @@
 def answer(made, actions, now):
     """All that were asked, with a load that leaves room; all that were dialled come up, and end."""
     while actions.probed:
-        made.on_probed(now, actions.probed.pop(), AttemptOutcome.COMPLETED, [0.3])
+        made.on_probe_result(now, actions.probed.pop(), AttemptOutcome.COMPLETED, [0.3])
     while actions.dialled:
         sess = actions.dialled.pop()
-        made.on_accepted(now, sess)
+        made.on_session_accepted(now, sess)
         made.on_outcome(now, sess, AttemptOutcome.COMPLETED, True)
 
 
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -4,9 +4,9 @@
 from dataclasses import replace
 from functools import partial
 
-from wheathill.config import node_of
+from wheathill.config.platform import build_node_config
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
-from wheathill.net.operators import OperatorsDoor
+from wheathill.net.admin.server import AdminServer
 
 
 class Seat:
@@ -37,8 +37,8 @@
 
     def open_to_operators(self, carrier):
         if self.calls:
-            door = OperatorsDoor(self.proxy)
-            carrier.listen(door.call, self.admin, door.room)
+            server = AdminServer(self.proxy)
+            carrier.listen(server.accept, self.admin, server.make_room)
 
     @property
     def running(self):
@@ -46,7 +46,7 @@
 
     def start(self):
         self.starts += 1
-        node = replace(node_of(self.values), peers=self.told)
+        node = replace(build_node_config(self.values), peers=self.told)
         self.host.begin()
         carrier = VirtualCarrier(self.host, node.limits, self.log)
         self.proxy = self.world.make_proxy(
@@ -59,7 +59,7 @@
         self.proxy.start()
 
     def join(self, node, carrier):
-        """As `daemon.join`, but that the number of its birth comes from the seed."""
+        """As `daemon._start_peers`, but that the number of its birth comes from the seed."""
         from wheathill.peers import PeerEnvironment, create_peer_service
 
         birth = (
@@ -72,7 +72,7 @@
             self.told,
             PeerEnvironment(self.proxy, carrier, self.host.clock, self.log),
             birth,
-            node.balancer["proxies"],
+            node.policy.proxy_count,
         )
         if self.odd and self.odd.version:
             self.proxy.peers.authenticator.version += 1
@@ -101,7 +101,7 @@
         stopped()
 
     def reload(self):
-        self.proxy.reload(node_of(self.values))
+        self.proxy.reload(build_node_config(self.values))
 
     def pause(self):
         """There is no process to stop where none runs, and the next one starts as any other."""
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -197,6 +197,23 @@
     sessions: "dict[Session, None]" = field(default_factory=dict)
 
 
+@dataclass(frozen=True, slots=True)
+class EndpointEntry:
+    """What an update of the endpoint list states of one server.
+
+    Attributes:
+        server: the server.
+        phase: the phase that is stated.
+        weight: the stated weight, None where there is none.
+        started_ms: when its process started; None means long ago.
+    """
+
+    server: Server
+    phase: Phase
+    weight: float | None
+    started_ms: float | None
+
+
 @dataclass(eq=False, slots=True)
 class Attempt:
     """One attempt to set up a session at a server.
@@ -265,29 +282,58 @@
     has_ended: bool = False
 
 
+class TimerKind(enum.Enum):
+    """What the decisions set a timer for."""
+
+    POLL_ENDPOINT_LIST = enum.auto()
+    TICK = enum.auto()
+    PROBE = enum.auto()
+    PROBE_WAIT = enum.auto()
+
+
+@dataclass(frozen=True, slots=True)
+class Timer:
+    """A timer that the decisions set, and get back when it fires.
+
+    Attributes:
+        kind: what it is for.
+        selection_number: of a PROBE_WAIT, which selection has waited for long enough.
+    """
+
+    kind: TimerKind
+    selection_number: int = 0
+
+
+POLL_TIMER = Timer(TimerKind.POLL_ENDPOINT_LIST)
+TICK_TIMER = Timer(TimerKind.TICK)
+PROBE_TIMER = Timer(TimerKind.PROBE)
+
+
 class SessionEffects(Protocol):
     """What the decisions call for, carried out by a proxy or the simulator adapter."""
 
-    def dial(self, session: Session, server: Server, timeout_ms: float) -> None:
+    def start_attempt(
+        self, session: Session, server: Server, timeout_ms: float
+    ) -> None:
         """Make an attempt at a server, which has so long to accept the session."""
 
-    def refuse(self, session: Session, retry_after_ms: float) -> None:
+    def reject(self, session: Session, retry_after_ms: float) -> None:
         """Reject the session: nothing of it was executed; the client may retry."""
 
-    def tear_down(self, session: Session) -> None:
+    def fail(self, session: Session) -> None:
         """Answer the session as failed: it may have been executed."""
 
-    def move(self, session: Session) -> None:
+    def migrate(self, session: Session) -> None:
         """Ask the client to reconnect, so that its session migrates."""
 
-    def probe(self, server: Server) -> None:
+    def send_probe(self, server: Server) -> None:
         """Send a health check to a server."""
 
-    def follow_list(self, enabled: bool) -> None:
+    def poll_endpoint_list(self, enabled: bool) -> None:
         """Poll the endpoint list, and watch it from then on."""
 
-    def alarm(self, name: str, at_ms: float) -> None:
-        """Call `Balancer.on_alarm` with this name at that time."""
+    def set_timer(self, timer: Timer, at_ms: float) -> None:
+        """Call `Balancer.on_timer` with this timer at that time."""
 
     def log(self, text: str) -> None:
         """Log a decision for operators."""
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -3,6 +3,7 @@
 
 from itertools import islice
 
+from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
 from wheathill.net.lines import Head, Malformed, report
@@ -35,21 +36,21 @@
         that has come and was not read yet is asked for."""
         if self.fits():
             return True
-        for client in self.asking_nothing(self.limits.accepts):
+        for client in self.asking_nothing(self.limits.accepts_per_turn):
             self.shut(client)
         return self.fits()
 
     def fits(self):
-        return len(self.silent) < self.limits.sockets // 6 and self.spare(NEWCOMERS)
+        return len(self.silent) < self.limits.max_sockets // 6 and self.spare(NEWCOMERS)
 
     def spare(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
         one: who may be most may take least."""
-        return self.carrier.free > -self.limits.spare_sockets * eighths / 8
+        return self.carrier.free > -self.limits.reserved_sockets * eighths / 8
 
     def asking_nothing(self, count):
         """Of so many that have sent no line, the oldest."""
-        late = self.now() - self.limits.ask_within
+        late = self.now() - self.limits.min_silence_to_evict_ms
         return [
             client
             for client, since in islice(self.silent.items(), count)
@@ -89,7 +90,7 @@
         left = min(
             head.number("d", listener.dial_timeout_ms), listener.dial_timeout_ms
         ) - (now - came)
-        if left < -self.limits.too_late:
+        if left < -self.limits.max_answer_delay_ms:
             return self.give_up(client)
         tenant = head.values.get("t")
         if tenant is not None and self.tenants and tenant not in self.tenants:
@@ -101,9 +102,9 @@
         sess = Session(
             listener=listener,
             key=head.key,
-            deadline_ms=now + left - self.limits.answer_margin,
+            deadline_ms=now + left - self.limits.answer_margin_ms,
             tenant=self.tenants.get(tenant, 0),
-            group=head.values.get("g") if self.node.groups else None,
+            group=head.values.get("g") if self.node.uses_groups else None,
             load=head.number("h"),
             mid_flow=head.flag("mid"),
             returning=head.flag("again"),
@@ -111,16 +112,16 @@
         )
         self.note_id(head, sess)
         if not self.make_room():
-            self.figures.count("no sockets")
+            self.metrics.count("no sockets")
             self.answer(client, self.come_back(listener))
         elif "at" in head.values:
             client.sess = sess
-            sess.deadline_ms = now + self.limits.standing
+            sess.deadline_ms = now + self.limits.restore_timeout_ms
             self.stand(client, sess)
         else:
             self.clients[sess] = client
             client.sess = sess
-            self.figures.count("came")
+            self.metrics.count("came")
             client.set_timer(left, self.late, client)
             self.balancer.on_session(now, sess)
 
@@ -153,8 +154,8 @@
 
     def stood_still(self, now):
         """Where a sweep is late by a whole one, what is read now and in a moment has waited as well."""
-        if now - self.swept > self.limits.sweep:
-            self.old_until = now + 2 * self.limits.sweep
+        if now - self.swept > self.limits.sweep_interval_ms:
+            self.old_until = now + 2 * self.limits.sweep_interval_ms
 
     def give_up(self, client):
         """Its time was over long before its line was read."""
@@ -169,7 +170,7 @@
         self.ids[head.id] = sess
         # Those that are open stay, and may be far more than the limit. Two looks for each that comes keep those that
         # are over fewer than the open ones and the limit; as many as there are above it took seconds for each client.
-        for _ in range(2 if len(self.ids) > self.limits.ids else 0):
+        for _ in range(2 if len(self.ids) > self.limits.max_session_ids else 0):
             oldest, held = next(iter(self.ids.items()))
             if held is sess or held in self.clients:
                 self.ids.move_to_end(oldest)
@@ -182,17 +183,19 @@
         now = self.now()
         self.stood_still(now)
         behind = (
-            now - client.sess.deadline_ms - self.limits.answer_margin
+            now - client.sess.deadline_ms - self.limits.answer_margin_ms
             if client.sess
             else 0.0
         )
         self.log_event(
-            "late" if behind >= self.limits.sweep or now < self.old_until else "fault",
+            LogEvent.DEADLINE_MISSED
+            if behind >= self.limits.sweep_interval_ms or now < self.old_until
+            else LogEvent.INTERNAL_ERROR,
             where="decisions",
             what="no answer in time",
             behind=round(behind),
         )
-        if behind < self.limits.too_late:
+        if behind < self.limits.max_answer_delay_ms:
             self.answer_alone(client)
         else:
             self.hung_up(client)
@@ -217,28 +220,30 @@
 
     def come_back(self, listener):
         return busy(
-            min(listener.handshake_target_ms, self.node.balancer["longest_wait"])
+            min(listener.handshake_target_ms, self.node.policy.max_retry_after_ms)
         )
 
     def answer(self, client, line):
         """A session's final answer where it isn't UP: the one place where it is given, and counted for the
         listener that it named."""
         if client.listener is not None:
-            self.figures.ended(
+            self.metrics.count_result(
                 client.listener, "rejected" if line.startswith(b"BUSY") else "failed"
             )
         client.answer(line)
 
     def bad_client(self, client, why):
         self.silent.pop(client, None)
-        self.figures.count("bad")
+        self.metrics.count("bad")
         # They come by hundreds, at full speed: most are only counted.
         now = self.now()
-        if now - self.bad_since >= self.limits.bad_every:
+        if now - self.bad_since >= self.limits.protocol_error_window_ms:
             self.bad_since, self.bad_logged = now, 0
         self.bad_logged += 1
-        if self.bad_logged <= self.limits.bad_lines:
-            self.log_event("bad input", what=why, so_far=self.figures.counts["bad"])
+        if self.bad_logged <= self.limits.max_protocol_errors_logged:
+            self.log_event(
+                LogEvent.PROTOCOL_ERROR, what=why, so_far=self.metrics.counts["bad"]
+            )
         client.lines.rest = b""
         self.answer(client, b"ERR")
 
@@ -253,7 +258,7 @@
             client.dial.wire.abort()
         if sess in self.clients:
             self.over(sess, "hung up")
-            self.balancer.on_hang_up(self.now(), sess)
+            self.balancer.on_client_left(self.now(), sess)
         client.sess = None
 
     def over(self, sess, how):
@@ -264,11 +269,11 @@
             None  # a generator that holds its session: a cycle, and of no use any more
         )
         self.ids[client.head.id] = None
-        self.figures.count(how)
+        self.metrics.count(how)
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
         self.log_event(
-            "session",
+            LogEvent.SESSION_ENDED,
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
@@ -286,7 +291,7 @@
         return client
 
     def heard(self, server):
-        self.balancer.on_heard(self.now(), server)
+        self.balancer.on_server_activity(self.now(), server)
 
     def asks(self, client):
         """A line of it went to its server."""
@@ -296,23 +301,23 @@
     def message_took(self, client, spent):
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
-            self.figures.count("late messages")
-            self.balancer.on_notice(self.now(), client.sess, message_ms=spent)
+            self.metrics.count("late messages")
+            self.balancer.on_message_latency(self.now(), client.sess, spent)
 
     def load_told(self, client, text):
         try:
             load = float(text)
         except ValueError:
-            return self.log_event("bad input", what="LOAD without a number")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
         if client.sess is not None:
-            self.balancer.on_notice(self.now(), client.sess, load=load)
+            self.balancer.on_load_declared(self.now(), client.sess, load)
 
     def sweep(self):
-        self.clock.after(self.limits.sweep, self.sweep)
+        self.clock.after(self.limits.sweep_interval_ms, self.sweep)
         now = self.now()
         self.worst_delay = max(self.worst_delay, now - self.swept)
         self.stood_still(now)
-        self.swept = now + self.limits.sweep
+        self.swept = now + self.limits.sweep_interval_ms
         # These alone, and not all that are open: looking at each of them took a part of a core that grew with them.
         for client in list(self.asking):
             # Who reads nothing itself can't be brought an answer. One may end others of the same server.
@@ -320,10 +325,15 @@
                 client.sess is not None
                 and client.asked is not None
                 and not client.wire.full
-                and now - client.asked >= self.limits.unanswered
+                and now - client.asked >= self.limits.unanswered_after_ms
             ):
-                self.balancer.on_unanswered(now, client.sess, now - client.asked)
-                if client.moving and now - client.asked >= self.limits.half_line:
+                self.balancer.on_message_unanswered(
+                    now, client.sess, now - client.asked
+                )
+                if (
+                    client.moving
+                    and now - client.asked >= self.limits.partial_line_timeout_ms
+                ):
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.dial.close()
 
@@ -336,13 +346,13 @@
         if client.sess is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
-            self.log_event("lost standing", server=name)
+            self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
             self.answer(client, b"ERR")
         elif name in self.servers:
             sess.server = self.servers[name]
             self.connect(client, sess.server, sess.deadline_ms - now)
         else:
-            self.clock.after(self.limits.sweep, self.stand, client, sess)
+            self.clock.after(self.limits.sweep_interval_ms, self.stand, client, sess)
 
     # Sessions of another process of this proxy, and for it
 
@@ -363,7 +373,7 @@
         client.wire.abort()
         client.dial.wire.abort()
         self.over(sess, "handed over")
-        self.balancer.on_hang_up(self.now(), sess)
+        self.balancer.on_client_left(self.now(), sess)
         return handles
 
     def carry(self, line, sess, handles, came, asked, server, rest):
@@ -386,8 +396,8 @@
         dial.rest = rest
         self.clients[sess] = client
         self.ids[head.id] = sess
-        self.figures.know([sess.listener.name])
-        self.balancer.on_carried(self.now(), sess, dial.server)
+        self.metrics.add_listeners([sess.listener.name])
+        self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
             self.carrier.adopt(handle, machine)
 
@@ -399,7 +409,9 @@
             client.sess.attempts[-1].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
         dial.start(
-            self.carrier.connect(dial, dial.address), time_out, self.limits.connect
+            self.carrier.connect(dial, dial.address),
+            time_out,
+            self.limits.connect_timeout_ms,
         )
 
     @property
@@ -419,7 +431,7 @@
         if sess not in self.clients:
             return True
         # The window of an earlier dial may have ended meanwhile as well.
-        may = self.balancer.roster.may_dial(
+        may = self.balancer.endpoint_list.may_attempt(
             now, dial.server, sess.mid_flow
         ) and may_retry(now, sess, dial.server)
         # Told before the first byte leaves: from then on it may run.
@@ -427,32 +439,35 @@
         return may
 
     def dial_sent(self, dial):
-        self.figures.count("dials sent")
+        self.metrics.count("dials sent")
 
     def dial_up(self, dial, line):
         client, sess, now = dial.client, dial.client.sess, self.now()
-        if sess in self.clients and now > sess.deadline_ms + self.limits.answer_margin:
+        if (
+            sess in self.clients
+            and now > sess.deadline_ms + self.limits.answer_margin_ms
+        ):
             # This process stood still over the dial timeout, and what its server said waited to be read before the
             # alarm that was due: UP is not said any more.
             return self.late(client)
-        self.figures.ended(client.listener, "completed")
+        self.metrics.count_result(client.listener, "completed")
         client.serve(dial, line)
         self.heard(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
-            self.balancer.on_accepted(now, sess)
+            self.balancer.on_session_accepted(now, sess)
         else:
             self.clients[sess] = client
-            self.balancer.on_open_session(now, sess, dial.server)
+            self.balancer.on_session_taken_over(now, sess, dial.server)
 
     def dial_over(self, dial, outcome):
         client, now = dial.client, self.now()
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
         sess = client.sess if client.dial is dial else None
         if not dial.up:
-            self.figures.count("dial: " + outcome.value)
+            self.metrics.count("dial: " + outcome.value)
             self.log_event(
-                "dial failed",
+                LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
                 outcome=outcome.value,
                 after=round(now - dial.started, 1),
@@ -461,7 +476,7 @@
             pass
         elif sess not in self.clients:
             # A standing connection that did not come up.
-            self.clock.after(self.limits.sweep, self.stand, client, sess)
+            self.clock.after(self.limits.sweep_interval_ms, self.stand, client, sess)
         elif dial.up:
             self.over(sess, outcome.value)
             self.balancer.on_outcome(now, sess, outcome, True)
@@ -473,23 +488,25 @@
             self.balancer.on_outcome(now, sess, outcome, False)
 
     def odd_answer(self, dial, line):
-        self.log_event("bad input", server=dial.server.name, what=repr(line[:80]))
+        self.log_event(
+            LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
+        )
 
     def reported(self, server, text):
         figures = report(text, self.node.report_fields)
         if figures:
-            self.balancer.on_report(self.now(), server, figures)
+            self.balancer.on_load_report(self.now(), server, figures)
 
     # What the decisions call for
 
-    def dial(self, sess, server, time_out):
-        client = self.clients[sess]
-        if len(sess.attempts) > 1:
-            self.figures.count("further dials")
+    def start_attempt(self, session, server, timeout_ms):
+        client = self.clients[session]
+        if len(session.attempts) > 1:
+            self.metrics.count("further dials")
         if not self.spare(DIALS):
-            self.clock.soon(self.no_socket, sess, sess.attempts[-1])
+            self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
-            self.connect(client, server, time_out)
+            self.connect(client, server, timeout_ms)
 
     def no_socket(self, sess, dial):
         """Of that very dial: another one may be out by now."""
@@ -498,14 +515,14 @@
                 self.now(), sess, AttemptOutcome.CONNECT_FAILED, False
             )
 
-    def refuse(self, sess, come_back_after):
-        self.answer(self.over(sess, "refused"), busy(come_back_after))
+    def reject(self, session, retry_after_ms):
+        self.answer(self.over(session, "refused"), busy(retry_after_ms))
 
-    def tear_down(self, sess):
-        self.answer(self.over(sess, "torn down"), b"ERR")
+    def fail(self, session):
+        self.answer(self.over(session, "torn down"), b"ERR")
 
-    def move(self, sess):
-        client = self.clients.get(sess)
+    def migrate(self, session):
+        client = self.clients.get(session)
         if client is not None and client.up and not client.moving:
             self.move_client(client)
 
@@ -520,32 +537,37 @@
     def moved(self, sess):
         self.balancer.on_outcome(self.now(), sess, AttemptOutcome.CANCELLED, True)
 
-    def alarm(self, name, at):
-        self.clock.at(at, self.ring, name)
+    def set_timer(self, timer, at_ms):
+        self.clock.at(at_ms, self.ring, timer)
 
-    def ring(self, name):
-        self.balancer.on_alarm(self.now(), name)
+    def ring(self, timer):
+        self.balancer.on_timer(self.now(), timer)
 
     def log(self, text):
-        self.log_event("decision", what=text)
+        self.log_event(LogEvent.POLICY_DECISION, what=text)
 
     # Probes
 
-    def probe(self, server):
-        self.figures.count("probes")
+    def send_probe(self, server):
+        self.metrics.count("probes")
         link = self.links.pop(server, None)
         if link is None:
-            if len(self.links) >= self.limits.probe_links or self.carrier.free <= 0:
+            if (
+                len(self.links) >= self.limits.max_probe_connections
+                or self.carrier.free <= 0
+            ):
                 self.close_link()
             if not self.spare(PROBES):
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
         self.links[server] = link
-        link.ask(self.now() + self.limits.probe)
+        link.ask(self.now() + self.limits.probe_timeout_ms)
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
-        self.balancer.on_probed(self.now(), server, AttemptOutcome.AT_CAPACITY, None)
+        self.balancer.on_probe_result(
+            self.now(), server, AttemptOutcome.AT_CAPACITY, None
+        )
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
@@ -555,11 +577,13 @@
     def probe_again(self, server, until):
         """Its link was closed for idleness in the moment in which it was asked, which tells nothing of the server."""
         if server in self.addresses:
-            self.figures.count("probes")
+            self.metrics.count("probes")
             link = self.links[server] = self.new_link(server)
             link.ask(until)
         else:
-            self.balancer.on_probed(self.now(), server, AttemptOutcome.RESET, None)
+            self.balancer.on_probe_result(
+                self.now(), server, AttemptOutcome.RESET, None
+            )
 
     def close_link(self):
         for link in list(self.links.values()):
@@ -574,4 +598,4 @@
         figures = report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
-        self.balancer.on_probed(self.now(), link.server, outcome, figures)
+        self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -9,9 +9,10 @@
 from collections import OrderedDict
 from dataclasses import replace
 
+from wheathill.log_events import LogEvent
 from wheathill.model import Phase, UpdateKind
 from wheathill.net.carried import Carried
-from wheathill.net.figures import Figures
+from wheathill.net.metrics import ProxyMetrics
 from wheathill.net.told import Told
 from wheathill.policy.balancer import Balancer
 
@@ -19,7 +20,7 @@
 class Proxy(Carried, Told):
     def __init__(self, node, carrier, clock, log, decisions=Balancer):
         self.carrier = carrier
-        self.figures = Figures()
+        self.metrics = ProxyMetrics()
         self.door = None  # where clients are taken in
         self.upgrade = None  # where another process may take over, or has
         self.handed_over = False
@@ -29,7 +30,7 @@
         )
         self.old_until = 0.0  # until then lines may be read that have lain here while this process stood still
         self.take(node)
-        self.started_with = node.told
+        self.started_with = node.source
         self.clock = clock
         self.log_event = log
         self.zones = {name: place for place, name in enumerate(node.zones)}
@@ -56,7 +57,7 @@
         self.stopping = None  # since when
         self.stop_last = 0.0  # when those that are left are sent away
         self.bad_since = self.bad_logged = 0
-        self.balancer = decisions(self, random.Random(node.seed), **node.balancer)
+        self.balancer = decisions(self, random.Random(node.seed), node.policy)
 
     def now(self):
         return self.clock.now()
@@ -66,26 +67,34 @@
     def start(self, taken=False):
         """`taken`: the list and all else are those of the process before."""
         self.balancer.on_start(self.now())
-        self.read_bans()
-        known, self.node = self.node.known, replace(self.node, known={})
+        self.load_maintenance()
+        known, self.node = (
+            self.node.initial_endpoints,
+            replace(self.node, initial_endpoints={}),
+        )
         if known and not taken:
             self.listed(
-                known, UpdateKind.CACHED if self.node.discovery else UpdateKind.SNAPSHOT
+                known,
+                UpdateKind.CACHED
+                if self.node.discovery_address
+                else UpdateKind.SNAPSHOT,
             )
-        if taken or not self.node.discovery:
+        if taken or not self.node.discovery_address:
             self.first_list_over()
-        if self.node.discovery:
+        if self.node.discovery_address:
             self.open_watch()
-        self.clock.after(0.0 if taken else self.limits.list_wait, self.get_ready)
-        self.swept = self.now() + self.limits.sweep
-        self.clock.after(self.limits.sweep, self.sweep)
-        self.clock.after(self.limits.figures, self.log_figures)
+        self.clock.after(
+            0.0 if taken else self.limits.first_list_timeout_ms, self.get_ready
+        )
+        self.swept = self.now() + self.limits.sweep_interval_ms
+        self.clock.after(self.limits.sweep_interval_ms, self.sweep)
+        self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
 
     def get_ready(self):
         self.first_list_over()
         if not self.ready and self.stopping is None:
             self.ready = True
-            self.log_event("ready", servers=len(self.servers))
+            self.log_event(LogEvent.READY, servers=len(self.servers))
 
     def stop(self, stopped):
         """Newcomers still come for a while and are served; `stopped` is called when all is done."""
@@ -96,19 +105,21 @@
             # breaks if it ends by itself: all its clients then came back at once, and were refused.
             # Settled now: a configuration that comes later may shorten the dial timeouts of who is in already.
             most = (
-                self.limits.longest_dial + self.limits.stop_margin
-                if self.node.moves_at_stop
-                else self.limits.stop_hold
+                self.limits.max_dial_timeout_ms + self.limits.shutdown_margin_ms
+                if self.node.migrates_at_shutdown
+                else self.limits.passthrough_shutdown_ms
             )
             self.stop_last = self.stopping + most
-            self.log_event("stopping", sessions=len(self.clients))
+            self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
             if self.node.listen_fd is not None and self.door:
                 # Others listen on the same socket: whoever waits there is theirs.
                 self.door.close()
             self.clock.after(
-                self.limits.sweep
+                self.limits.sweep_interval_ms
                 if self.handed_over
-                else min(self.limits.newcomers, most - self.limits.sweep),
+                else min(
+                    self.limits.shutdown_accept_ms, most - self.limits.sweep_interval_ms
+                ),
                 self.wait_for_end,
                 stopped,
             )
@@ -124,14 +135,16 @@
             self.answer_all()
         if last or not self.expected():
             self.log_event(
-                "stopped",
+                LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
-                since_start=self.figures.since_start(),
+                since_start=self.metrics.for_log(),
             )
-            self.see_off(stopped, now + self.limits.stop_linger)
+            self.see_off(stopped, now + self.limits.shutdown_linger_ms)
         else:
             self.clock.after(
-                min(self.limits.sweep, self.stop_last - now), self.wait_for_end, stopped
+                min(self.limits.sweep_interval_ms, self.stop_last - now),
+                self.wait_for_end,
+                stopped,
             )
 
     def expected(self):
@@ -154,31 +167,33 @@
         now, parting = self.now(), list(self.carrier.parting)
         if parting and (
             now < until
-            or now < self.stop_last + self.limits.stop_linger
+            or now < self.stop_last + self.limits.shutdown_linger_ms
             and any(wire.to_send for wire in parting)
         ):
-            self.clock.after(self.limits.see_off, self.see_off, stopped, until)
+            self.clock.after(
+                self.limits.shutdown_poll_interval_ms, self.see_off, stopped, until
+            )
         else:
             stopped()
 
-    def log_figures(self):
-        self.clock.after(self.limits.figures, self.log_figures)
+    def log_metrics(self):
+        self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
         self.log_event(
-            "figures",
+            LogEvent.METRICS,
             **self.beliefs(),
             worst_delay=round(self.worst_delay, 1),
-            since_start=self.figures.since_start(),
+            since_start=self.metrics.for_log(),
         )
         self.worst_delay = 0.0
 
-    def metrics(self):
+    def metrics_report(self):
         """What operators are told; the counts are those of the log."""
         listed = [
             server for server in self.servers.values() if server.phase is not Phase.GONE
         ]
         left_out = self.left_out(self.now())
         return {
-            **self.figures.told(),
+            **self.metrics.for_operators(),
             "pending": len(self.clients),
             "members": len(listed),
             "members_unavailable": sum(
@@ -194,37 +209,41 @@
             "up": sum(client.up for client in self.clients.values()),
             "placed": sum(len(server.sessions) for server in self.servers.values()),
             "sockets": self.carrier.sockets,
-            "servers": len(self.balancer.roster.servers),
+            "servers": len(self.balancer.endpoint_list.servers),
             "left_out": self.left_out(self.now()),
             "doubted": {
                 server.name: round(server.report_correction, 2)
-                for server in self.balancer.roster.servers
+                for server in self.balancer.endpoint_list.servers
                 if server.report_correction != 1.0
             },
-            "further_withheld": self.balancer.budget.withheld,
+            "further_withheld": self.balancer.retry_budget.denied,
             **({"peers": self.peers.status.metrics()} if self.peers else {}),
         }
 
     def left_out(self, now):
         """The ready servers that nothing new goes to, by name, and why."""
         balancer = self.balancer
-        servers = list(balancer.roster.servers)
+        servers = list(balancer.endpoint_list.servers)
         return {
             server.name: why
             for why, test in (
                 (
                     "cold, past its budget",
-                    lambda server: not balancer.cold.allows(now, server),
+                    lambda server: not balancer.slow_start.allows(now, server),
                 ),
                 (
                     "full",
                     lambda server: (
-                        balancer.levels.expected(now, server) >= balancer.levels.full
+                        balancer.load_estimator.expected_load(now, server)
+                        >= balancer.load_estimator.overload_threshold
                     ),
                 ),
-                ("late", lambda server: balancer.levels.late_now(now, server)),
-                ("failing", lambda server: balancer.health.failing(now, server)),
-                ("silent", balancer.health.silent),
+                ("late", lambda server: balancer.load_estimator.is_late(now, server)),
+                (
+                    "failing",
+                    lambda server: balancer.outlier_detector.is_failing(now, server),
+                ),
+                ("silent", balancer.outlier_detector.is_unresponsive),
             )
             for server in servers
             if test(server)
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -3,10 +3,12 @@
 import math
 from itertools import islice
 
-from wheathill.config import address, needs_restart
-from wheathill.model import AttemptOutcome, Phase, Server, UpdateKind
-from wheathill.net import bans
+from wheathill.config.addresses import parse_address
+from wheathill.config.reload import keys_needing_restart
+from wheathill.log_events import LogEvent
+from wheathill.model import AttemptOutcome, EndpointEntry, Phase, Server, UpdateKind
 from wheathill.net.discovery import Watch
+from wheathill.net.maintenance_store import maintenance_store_of
 
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
@@ -20,7 +22,7 @@
         self.node = node
         self.limits = self.carrier.limits = node.limits
         self.listeners = {listener.name: listener for listener in node.listeners}
-        self.figures.know(self.listeners)
+        self.metrics.add_listeners(self.listeners)
         self.tenants = {name: place for place, name in enumerate(node.tenants)}
 
     def reload(self, node):
@@ -28,57 +30,74 @@
         were taken with. Servers stay known until the list at a new address has come whole."""
         old = self.node
         self.take(node)
-        changed = needs_restart(self.started_with, node.told)
-        self.log_event("reloaded", needs_restart=changed, **self.beliefs())
-        if node.discovery is None:
+        changed = keys_needing_restart(self.started_with, node.source)
+        self.log_event(
+            LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
+        )
+        if node.discovery_address is None:
             self.leave_watch()
-            self.listed(node.known, UpdateKind.SNAPSHOT)
-        elif node.discovery != old.discovery:
+            self.listed(node.initial_endpoints, UpdateKind.SNAPSHOT)
+        elif node.discovery_address != old.discovery_address:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
             self.seen = 0
             self.open_watch()
 
-    # Servers out by hand
+    # Servers in maintenance
+
+    def set_maintenance(self, name, out, forwarded_by=None):
+        """Takes a server out of service or back in; returns whether that outlives this process.
 
-    def by_hand(self, name, out, told=None):
-        """Kept first, then in force: whether it outlives this process. Raises OSError with nothing changed.
-        `told`: the other process that said so."""
-        held = dict(self.balancer.roster.out)
+        Kept first, then in force. `forwarded_by`: the other process that an operator called. Raises OSError with
+        nothing changed."""
+        held = dict(self.balancer.endpoint_list.maintenance_since_ms)
         if out:
             held.setdefault(name, self.now())
         else:
             held.pop(name, None)
-        path = bans.path_of(self.node)
-        if path and list(held) != list(self.balancer.roster.out):
+        store = maintenance_store_of(self.node)
+        if store and list(held) != list(
+            self.balancer.endpoint_list.maintenance_since_ms
+        ):
             try:
-                bans.write(
-                    path,
-                    {other: self.clock.to_wall(since) for other, since in held.items()},
+                store.save(
+                    {other: self.clock.to_wall(since) for other, since in held.items()}
                 )
             except OSError as wrong:
-                if told is None:
+                if forwarded_by is None:
                     raise
                 # The other process has kept it, and said yes: it counts here all the same.
-                self.log_event("bad bans", path=path, what=str(wrong))
-        self.log_event("out by hand" if out else "put back", server=name, out=len(held))
-        self.balancer.on_hand(self.now(), name, out, self.servers.get(name))
+                self.log_event(
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
+                )
+        self.log_event(
+            LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
+            server=name,
+            out=len(held),
+        )
+        self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.upgrade:
-            self.upgrade.forward_maintenance(name, out, told)
-        return bool(path)
+            self.upgrade.forward_maintenance(name, out, forwarded_by)
+        return store is not None
 
-    def read_bans(self):
-        path = bans.path_of(self.node)
+    def load_maintenance(self):
+        store = maintenance_store_of(self.node)
+        if store is None:
+            return
         try:
-            for name, since in (
-                bans.read(path, self.limits.names).items() if path else ()
-            ):
+            for name, since in store.load(self.limits.max_unlisted_names).items():
                 self.names[name] = None
-                self.balancer.roster.out.setdefault(name, self.clock.from_wall(since))
+                self.balancer.endpoint_list.maintenance_since_ms.setdefault(
+                    name, self.clock.from_wall(since)
+                )
                 self.log_event(
-                    "out by hand", server=name, out=len(self.balancer.roster.out)
+                    LogEvent.MAINTENANCE_ENTERED,
+                    server=name,
+                    out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
         except (OSError, ValueError) as wrong:
-            self.log_event("bad bans", path=path, what=str(wrong))
+            self.log_event(
+                LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
+            )
 
     # The list of servers
 
@@ -89,12 +108,14 @@
         self.asked_at = self.now()
         self.watch = self.ask_list()
         self.next_watch = self.clock.after(
-            self.limits.list_again, self.ask_beside, self.watch
+            self.limits.watch_hedge_delay_ms, self.ask_beside, self.watch
         )
 
     def ask_list(self):
-        watch = Watch(self.node.discovery[0], self.seen, self, self.limits, self.clock)
-        watch.start(self.carrier.connect(watch, self.node.discovery))
+        watch = Watch(
+            self.node.discovery_address[0], self.seen, self, self.limits, self.clock
+        )
+        watch.start(self.carrier.connect(watch, self.node.discovery_address))
         return watch
 
     def ask_beside(self, watch):
@@ -106,10 +127,10 @@
                 self.beside.leave()
                 self.beside = None
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
-            if self.now() - watch.came >= self.limits.list_again:
+            if self.now() - watch.came >= self.limits.watch_hedge_delay_ms:
                 self.beside = self.ask_list()
             self.next_watch = self.clock.after(
-                self.limits.list_again, self.ask_beside, watch
+                self.limits.watch_hedge_delay_ms, self.ask_beside, watch
             )
 
     def watch_answered(self, watch):
@@ -133,15 +154,15 @@
         if watch is not self.watch:
             return
         if why != self.watch_why:
-            self.log_event("watch over", why=why)
+            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
         self.leave_watch()
-        if self.limits.list_spread:
+        if self.limits.watch_backoff_ms:
             # Every proxy meets its failure at once, and calls that come together again keep it down.
             self.list_failures = 0 if watch.answered else self.list_failures + 1
             wait = min(
-                self.limits.list_longest,
-                self.limits.list_spread * 2.0 ** min(self.list_failures, 5),
+                self.limits.max_watch_backoff_ms,
+                self.limits.watch_backoff_ms * 2.0 ** min(self.list_failures, 5),
             )
             self.next_watch = self.clock.after(
                 wait * self.balancer.uniform(0.5, 1.0), self.open_watch
@@ -149,25 +170,26 @@
             return
         # At once after one that had lasted: what the agent has meanwhile counts as told.
         self.next_watch = self.clock.at(
-            max(self.now(), self.asked_at + self.limits.list_retry), self.open_watch
+            max(self.now(), self.asked_at + self.limits.min_watch_interval_ms),
+            self.open_watch,
         )
 
     def read_again(self, watch):
         if watch is self.watch:
             self.open_watch()
 
-    def follow_list(self, on):
+    def poll_endpoint_list(self, enabled):
         """The watch is always open: the agent is on this machine and costs nothing."""
         self.clock.soon(self.followed)
 
     def followed(self):
-        self.balancer.on_list(self.now(), UpdateKind.DELTA, [])
+        self.balancer.on_endpoint_update(self.now(), UpdateKind.DELTA, [])
 
     def listed(self, found, kind=None):
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
-            return self.log_event("bad input", what="a list without hosts")
+            return self.log_event(LogEvent.PROTOCOL_ERROR, what="a list without hosts")
         kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
         version = found.get("seq") if isinstance(found.get("seq"), int) else None
         entries, moved, unread = [], [], 0
@@ -175,20 +197,22 @@
             try:
                 entries.append(self.entry(host, version, moved))
             except (AttributeError, KeyError, TypeError, ValueError) as wrong:
-                self.log_event("bad input", what=f"an entry of the list: {wrong!r}")
+                self.log_event(
+                    LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
+                )
                 unread += 1
                 entries += self.what_is_left(host)
         if unread and not entries:
             kind = (
                 UpdateKind.DELTA
             )  # nothing of it could be read: it is no list of nobody
-        before = dict(self.balancer.roster.servers)
+        before = dict(self.balancer.endpoint_list.servers)
         try:
-            self.balancer.on_list(self.now(), kind, entries)
+            self.balancer.on_endpoint_update(self.now(), kind, entries)
         except Exception:
             # Who leaves is not dialled any more. But asked for again, the list has to change the slots as well: whoever
             # joined or left by it does so once more.
-            self.balancer.roster.servers = before
+            self.balancer.endpoint_list.servers = before
             raise
         self.note_told(entries, kind, version)
         for server in moved:
@@ -198,7 +222,7 @@
         self.forget_gone()
         if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
-                self.log_event("watch back")
+                self.log_event(LogEvent.ENDPOINT_WATCH_RESTORED)
             self.watch_why = None
             self.first_list_over()
             self.get_ready()
@@ -213,15 +237,16 @@
         version is noted."""
         if not self.gap:
             self.gap = True
-            again = self.limits.list_retry * 2 ** min(self.gaps, 4)
+            again = self.limits.min_watch_interval_ms * 2 ** min(self.gaps, 4)
             self.gaps += 1
             self.clock.after(again, self.read_again, watch)
 
     def note_told(self, entries, kind, version):
-        for server, phase, _, started in entries:
-            self.names.pop(server.name, None)
-            self.names[server.name] = (
-                None if phase is Phase.READY else (version, started)
+        for entry in entries:
+            name = entry.server.name
+            self.names.pop(name, None)
+            self.names[name] = (
+                None if entry.phase is Phase.READY else (version, entry.started_ms)
             )
         if kind is UpdateKind.SNAPSHOT:
             for server in self.servers.values():
@@ -230,7 +255,7 @@
 
     def forget_gone(self):
         """Names may be new with every release: those that left would add up. One that comes back is new."""
-        ready = self.balancer.roster.servers
+        ready = self.balancer.endpoint_list.servers
         for name, server in list(self.servers.items()):
             if (
                 server.phase is Phase.GONE
@@ -244,26 +269,29 @@
                 if self.peers:
                     self.peers.forget_server(name)
         # Of those listed the list is the bound; of the others the oldest go, unless they are out.
-        over = len(self.names) - len(self.servers) - self.limits.names
+        over = len(self.names) - len(self.servers) - self.limits.max_unlisted_names
         gone = (
             old
             for old in self.names
-            if old not in self.servers and old not in self.balancer.roster.out
+            if old not in self.servers
+            and old not in self.balancer.endpoint_list.maintenance_since_ms
         )
         for old in list(islice(gone, max(0, over))):
             del self.names[old]
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         """Others were told of a drain, that it is over, or of a new start, which this proxy's list doesn't say."""
         started = self.clock.from_wall(born) if born else None
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
             started or 0.0
         ):
-            self.log_event("told by a peer", server=server.name, phase=phase.value)
-            self.balancer.on_list(
+            self.log_event(
+                LogEvent.ENDPOINT_PHASE_FROM_PEER, server=server.name, phase=phase.value
+            )
+            self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
-                [(server, phase, server.weight, started)],
+                [EndpointEntry(server, phase, server.weight, started)],
             )
 
     def entry(self, host, version, moved):
@@ -279,7 +307,7 @@
             raise ValueError("no name, or figures that are none")
         server = self.servers.get(name) or Server(name)
         where = (
-            address(host["dial"], "dial")
+            parse_address(host["dial"], "dial")
             if host.get("dial")
             else self.addresses.get(server)
         )
@@ -298,7 +326,9 @@
         ):
             # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
             # come back by an older one, unless it has started since.
-            self.log_event("older list", server=name, version=version, newer=left)
+            self.log_event(
+                LogEvent.STALE_ENDPOINT_LIST, server=name, version=version, newer=left
+            )
             phase, started = (
                 server.listed_phase if name in self.servers else Phase.GONE,
                 since,
@@ -310,7 +340,7 @@
         if host.get("site") is not None:
             server.zone, server.cell = self.zones.get(host["site"], -1), cell
         self.servers[name] = server
-        return server, phase, weight, started
+        return EndpointEntry(server, phase, weight, started)
 
     def what_is_left(self, host):
         """Of an entry that can't be read: the known server that it is about, as it was, but that it leaves where that
@@ -324,7 +354,7 @@
             isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
         )
         return [
-            (
+            EndpointEntry(
                 server,
                 PHASES[phase] if leaves else server.listed_phase,
                 server.weight,
--- a/wheathill/peers/command.py
+++ b/wheathill/peers/command.py
@@ -4,7 +4,8 @@
 
 import click
 
-from wheathill.config import Misconfigured, checked, operator
+from wheathill.config import checked, operator
+from wheathill.config.errors import ConfigurationError
 from wheathill.peers.cluster_view import ViewState
 from wheathill.peers.control_client import call_control_socket
 from wheathill.peers.status_text import status_lines
@@ -20,7 +21,7 @@
     whether all views are alike.
 
     Raises:
-        Misconfigured: The file names no control socket, or nobody replies there.
+        ConfigurationError: The file names no control socket, or nobody replies there.
     """
     path = _control_socket_path(file)
     if remove is not None:
@@ -37,9 +38,9 @@
 
 
 def _control_socket_path(file: str) -> str:
-    settings = operator.file_of(checked.load(file))
+    settings = operator.check_file(checked.load_toml(file))
     if settings.peers is None or settings.peers.control is None:
-        raise Misconfigured(
+        raise ConfigurationError(
             "peers.control: is missing, so that the instance can't be asked"
         )
     path: str = settings.peers.control
--- a/wheathill/peers/control_client.py
+++ b/wheathill/peers/control_client.py
@@ -4,7 +4,7 @@
 import socket
 from typing import Any
 
-from wheathill.config import Misconfigured
+from wheathill.config.errors import ConfigurationError
 
 TIMEOUT_S = 5.0  # for each wait for bytes
 RECEIVE_BUFFER = 65_536  # bytes
@@ -14,7 +14,7 @@
     """Send one request to a running proxy, and return its reply.
 
     Raises:
-        Misconfigured: Nobody replies at that path.
+        ConfigurationError: Nobody replies at that path.
     """
     try:
         with socket.socket(socket.AF_UNIX, socket.SOCK_STREAM) as connection:
@@ -24,7 +24,9 @@
             reply: dict[str, Any] = json.loads(_read_line(connection))
             return reply
     except (OSError, ValueError) as error:
-        raise Misconfigured(f"{path}: no instance answers there: {error}") from None
+        raise ConfigurationError(
+            f"{path}: no instance answers there: {error}"
+        ) from None
 
 
 def _read_line(connection: socket.socket) -> bytes:
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from wheathill.config import Limits
+from wheathill.config.limits import ProxyLimits
 from wheathill.net.machine import Machine
 from wheathill.peers.environment import Clock
 
@@ -29,7 +29,7 @@
         self,
         connection: Any,  # noqa: ANN401  # a Unix connection of the carrier
         handle_request: Callable[[dict[str, Any], OnDone], None],
-        limits: Limits,
+        limits: ProxyLimits,
         clock: Clock,
     ) -> None:
         super().__init__(None, limits, clock)
