--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -11,7 +11,7 @@
 from wheathill.net import log
 from wheathill.net.admin.server import AdminServer
 from wheathill.net.maintenance_store import MaintenanceStore, maintenance_store_of
-from wheathill.peers.control import Control
+from wheathill.peers.control_socket import ControlConnection
 
 FIGURES = LogEvent.METRICS  # the event whose line tells the counts
 
@@ -51,7 +51,7 @@
 def control_answer(instance: Any, clock: Any, limits: Any, data: bytes) -> Sink:
     """Feeds the control socket of an instance with one caller's bytes."""
     wire = Sink()
-    control = Control(wire, instance.operator_requests.handle, limits, clock)
+    control = ControlConnection(wire, instance.operator_requests.handle, limits, clock)
     control.connected()
     control.received(data)
     return wire
