--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -98,7 +98,7 @@
         self.limit_reduced_ms = now_ms
         self._space_admissions(now_ms)
         self._effects.log(
-            f"store: at most {self.concurrency_limit:.2g} set-ups at once",
+            f"admission: at most {self.concurrency_limit:.2g} concurrent set-ups",
         )
 
     def on_failed(
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -121,7 +121,7 @@
         )
         if shift:
             self.effects.log(
-                f"shift: {shift.slot_count} slots off a server on level"
+                f"slot table: {shift.slot_count} slots shifted off a server on level"
                 f" {levels[shift.server]}"
             )
 
@@ -150,7 +150,9 @@
             server.last_probe_ms = now_ms - age_ms
         for verb, servers in (("joined", change.joined), ("left", change.left)):
             if servers:
-                self.effects.log(f"list: {len(servers)} {verb}, {len(ready)} ready")
+                self.effects.log(
+                    f"endpoint list: {len(servers)} {verb}, {len(ready)} ready"
+                )
 
     def set_maintenance(
         self, now_ms: float, name: str, is_out: bool, server: Server | None
@@ -337,4 +339,4 @@
         if server.is_removal_unconfirmed:
             left = self.endpoint_list.confirm_removal(now_ms, server)
             self.slot_table.update(now_ms, [], left, self.endpoint_list.servers)
-            self.effects.log("list: 1 left, it gives no answer either")
+            self.effects.log("endpoint list: 1 left, unresponsive as well")
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -96,8 +96,7 @@
         elif is_second and now_ms - server.last_received_ms >= UNRESPONSIVE_MS:
             server.unanswered_probes = MAX_UNANSWERED_PROBES if self._may_probe else 0
             self._effects.log(
-                f"move: {len(server.sessions)} connections off a server that says"
-                " nothing"
+                f"migration: {len(server.sessions)} sessions off an unresponsive server"
             )
             self.migrate(list(server.sessions), 1)
         server.unanswered_session = session
@@ -144,7 +143,8 @@
         if count:
             server.next_migration_ms = now_ms + MIGRATION_PAUSE_MS
             self._effects.log(
-                f"move: {count} connections off a server at {load:.1f} of its capacity"
+                f"migration: {count} sessions off a server at {load:.1f}"
+                " of its capacity"
             )
 
     def _in_order_of_migration(self, server: Server) -> list[Session]:
