--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -120,9 +120,9 @@
 )
 def peers(file: str, as_json: bool, compare: bool, remove: str | None) -> None:
     """Ask a running proxy for its view of the cluster, and print it."""
-    from wheathill.peers import show
+    from wheathill.peers import command
 
-    sys.exit(show.peers(file, as_json, compare, remove))
+    sys.exit(command.run(file, as_json, compare, remove))
 
 
 @main.group(
