--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -82,14 +82,7 @@
             slots=slots,
             moved_keys=moved_keys,
             exception_keys=exception_keys,
-            attempts=[
-                RecordedAttempt(
-                    attempt.at_ms,
-                    servers[attempt.server_index],
-                    attempt.succeeded,
-                )
-                for attempt in snapshot.decisions.attempts
-            ],
+            attempts=_resolve_attempts(snapshot.decisions, servers),
             session_ids=snapshot.session_ids,
             server_names=snapshot.server_names,
             decisions=snapshot.decisions,
@@ -189,6 +182,15 @@
     return session
 
 
+def _resolve_attempts(
+    record: DecisionsRecord, servers: Sequence[Server]
+) -> list[RecordedAttempt]:
+    return [
+        RecordedAttempt(attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
+        for attempt in record.attempts
+    ]
+
+
 def _resolve_slots(record: SlotTableRecord, servers: Sequence[Server]) -> _SlotTables:
     tables = _SlotTables(
         preferred=_resolve_indexes(record.preferred, servers),
