--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -105,6 +105,6 @@
 
 def log_line(descriptor: int, event: str, fields: dict) -> None:
     """Writes one line of the log."""
-    writer = log.Log("n0", 10, descriptor)
+    writer = log.EventLog("n0", 10, descriptor)
     writer(event, **fields)
     writer.close()
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -23,8 +23,8 @@
 from wheathill.net.admin.request import AdminRequest
 from wheathill.net.admin.server import AdminServer
 from wheathill.net.client import Client
+from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
-from wheathill.net.driver import Wire
 from wheathill.net.garbage import keep_collections_short
 from wheathill.net.server import Dialled, ProbeLink
 
@@ -327,7 +327,7 @@
         gc.enable()
 
 
-KINDS = (Wire, Client, Dialled, ProbeLink, Watch, AdminRequest, Session)
+KINDS = (Connection, Client, Dialled, ProbeLink, Watch, AdminRequest, Session)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
     "linger_ms": 60.0,
@@ -527,7 +527,9 @@
     )
     monkeypatch.setattr(daemon, "serve", serve)
     monkeypatch.setattr(daemon, "raise_descriptor_limit", lambda node: node)
-    monkeypatch.setattr(daemon, "Log", lambda *_: SimpleNamespace(close=lambda: None))
+    monkeypatch.setattr(
+        daemon, "EventLog", lambda *_: SimpleNamespace(close=lambda: None)
+    )
     before = signal.getsignal(signal.SIGHUP)
     try:
         with Walked():
--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -16,10 +16,15 @@
         "wheathill.net.carried",
         "wheathill.net.client",
         "wheathill.net.discovery",
-        "wheathill.net.lines",
-        "wheathill.net.machine",
+        "wheathill.net.errors",
+        "wheathill.net.fault_isolation",
+        "wheathill.net.line_buffer",
+        "wheathill.net.load_report",
         "wheathill.net.maintenance_store",
         "wheathill.net.metrics",
+        "wheathill.net.protocol_machine",
+        "wheathill.net.interfaces",
+        "wheathill.net.open_request",
         "wheathill.net.proxy",
         "wheathill.net.server",
         "wheathill.net.told",
@@ -207,8 +212,8 @@
         "wheathill.daemon": "",
         "wheathill.model": "if True:\n    from wheathill import policy",
         "wheathill.policy": "def f():\n    def g():\n        from wheathill.model import Phase",
-        "wheathill.net.lines": "import wheathill.net.driver as driver",
-        "wheathill.net.driver": "class A:\n    import json, wheathill.daemon",
+        "wheathill.net.line_buffer": "import wheathill.net.transport as transport",
+        "wheathill.net.transport": "class A:\n    import json, wheathill.daemon",
         "wheathill.cli": "from wheathill.lab.tools.experiments import run",
         "wheathill.lab.tools.experiments": "from wheathill import net",
     }
@@ -217,8 +222,8 @@
     assert upward(arrows) == [
         "wheathill.cli -> wheathill.lab.tools.experiments",
         "wheathill.model -> wheathill.policy",
-        "wheathill.net.driver -> wheathill.daemon",
-        "wheathill.net.lines -> wheathill.net.driver",
+        "wheathill.net.line_buffer -> wheathill.net.transport",
+        "wheathill.net.transport -> wheathill.daemon",
     ]
     arrows = imports(
         {
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -6,10 +6,12 @@
 from wheathill.config.limits import ProxyLimits, buffer_sizes
 from wheathill.model import Server
 from wheathill.net.client import Client
+from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
-from wheathill.net.driver import Carrier, Wire
-from wheathill.net.lines import Head, report
+from wheathill.net.load_report import parse_load_report
+from wheathill.net.open_request import OpenRequest
 from wheathill.net.server import Dialled
+from wheathill.net.transport import Transport
 
 
 class Hand:
@@ -129,7 +131,7 @@
 
 def end_of_what_was_reset():
     lines = []
-    wire = Wire(Carrier(None, LIMITS, None), lambda _: Hand("machine", lines))
+    wire = Connection(Transport(None, LIMITS, None), lambda _: Hand("machine", lines))
     wire.connection_made(Hand("transport", lines))
 
     def write_eof():
@@ -194,11 +196,13 @@
 
 
 def head_and_report():
-    yield str(Head(b"OPEN id k c=any,d=2000,t=x").parts(17.9))
-    yield str(Head(b"OPEN id k d=2000").parts(17.9))
-    yield str(Head(b"OPEN id k c=d").parts(17.9))
-    yield str(report(b"active=3,x0=0.5,odd,new=1,cpu=?", ["x0", "active", "cpu"]))
-    yield str(report(b"", ["x0"]))
+    yield str(OpenRequest(b"OPEN id k c=any,d=2000,t=x").encode(17.9))
+    yield str(OpenRequest(b"OPEN id k d=2000").encode(17.9))
+    yield str(OpenRequest(b"OPEN id k c=d").encode(17.9))
+    yield str(
+        parse_load_report(b"active=3,x0=0.5,odd,new=1,cpu=?", ["x0", "active", "cpu"])
+    )
+    yield str(parse_load_report(b"", ["x0"]))
 
 
 SCENARIOS = {
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -21,8 +21,8 @@
 from wheathill.lab.scale.reals import numbers as real_numbers
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
 from wheathill.log_events import LogEvent
-from wheathill.net.driver import Carrier
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
+from wheathill.net.transport import Transport
 
 WANTED = (
     "members",
@@ -551,7 +551,7 @@
 # Between members
 
 
-class End(Machine):
+class End(ProtocolMachine):
     def __init__(self, loop, limits, clock):
         super().__init__(None, limits, clock)
         self.loop, self.came, self.over = loop, [], loop.create_future()
@@ -579,7 +579,7 @@
         self.layout = Layout(2, 2, 2, net, 1, 1000.0, 300.0, 0, 0, False)
         self.clock = StretchedClock(loop, 1.0)
         self.limits = idle_node(1024).limits
-        self.carrier = Carrier(loop, self.limits, lambda *_, **__: None)
+        self.carrier = Transport(loop, self.limits, lambda *_, **__: None)
         self.shape = Shape(self.layout, self.clock, random.Random(1), loss)
         self.one, self.other = (
             ShapedCarrier(self.carrier, self.shape, number) for number in (0, 1)
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -15,7 +15,7 @@
 from wheathill.lab.worlds.host import raise_fault
 from wheathill.lab.worlds.sockets import LabClock
 from wheathill.lab.worlds.virtual import VirtualWorld
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 
 LIMITS = ProxyLimits(
     max_sockets=100,
@@ -26,7 +26,7 @@
 STILL = {"same": 1.0, "cross": 4.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
 
 
-class Writes(Machine):
+class Writes(ProtocolMachine):
     """Writes down what its wire tells it."""
 
     def __init__(self, name, lines, clock):
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -13,8 +13,8 @@
 from drive import Peer, listener
 from wheathill.config.platform import build_node_config
 from wheathill.net.clock import Clock
-from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
+from wheathill.net.transport import Transport
 
 PATIENCE = 8.0
 
@@ -69,7 +69,7 @@
             },
         }
         node = self.node()
-        self.carrier = Carrier(self.loop, node.limits, self.note)
+        self.carrier = Transport(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
         self.proxy.door = self.carrier.listen(
             self.proxy.client, node.listen_address, self.proxy.room
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -17,10 +17,10 @@
 from wheathill.config.node import NodeConfig
 from wheathill.log_events import LogEvent
 from wheathill.net.clock import Clock
-from wheathill.net.driver import Carrier
 from wheathill.net.garbage import keep_collections_short
-from wheathill.net.log import Log
+from wheathill.net.log import EventLog
 from wheathill.net.proxy import Proxy
+from wheathill.net.transport import Transport
 
 # Returns the configuration as it is now, or raises ConfigurationError.
 ReadConfig = Callable[[], NodeConfig]
@@ -43,7 +43,7 @@
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         node = raise_descriptor_limit(read_config())
-        log = Log(node.name, node.limits.max_queued_log_lines)
+        log = EventLog(node.name, node.limits.max_queued_log_lines)
         keep_collections_short()
         serving = serve(node, log, read_config)
         # A list of thousands is held once, by the proxy.
@@ -80,7 +80,7 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(partial(_log_internal_error, log))
     clock = Clock(loop)
-    carrier = Carrier(loop, node.limits, log)
+    carrier = Transport(loop, node.limits, log)
     proxy = Proxy(node, carrier, clock, log)
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, log, read_config)
@@ -113,7 +113,7 @@
     )
 
 
-def _start_peers(proxy: Proxy, carrier: Carrier, clock: Clock, log: WriteLog) -> None:
+def _start_peers(proxy: Proxy, carrier: Transport, clock: Clock, log: WriteLog) -> None:
     """Join the cluster.
 
     No two processes of one name may be taken for one another, whatever seed their file
@@ -142,7 +142,7 @@
 
 
 def _open_admin_endpoint(
-    proxy: Proxy, carrier: Carrier, address: tuple[str, int], log: WriteLog
+    proxy: Proxy, carrier: Transport, address: tuple[str, int], log: WriteLog
 ) -> None:
     # Imported only where operators may call.
     from wheathill.net.admin.server import AdminServer
@@ -154,7 +154,7 @@
     log(LogEvent.ADMIN_LISTENING, at=_address_text(address))
 
 
-def _listen_for_clients(proxy: Proxy, carrier: Carrier, log: WriteLog) -> None:
+def _listen_for_clients(proxy: Proxy, carrier: Transport, log: WriteLog) -> None:
     node = proxy.node
     address, inherited = node.listen_address, node.listen_fd
     proxy.door = _listen(
@@ -164,7 +164,7 @@
 
 
 def _listen(
-    carrier: Carrier,
+    carrier: Transport,
     key: str,
     accept: Callable[..., Any],
     address: tuple[str, int],
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -45,12 +45,12 @@
         """Close descriptors that came over or were meant to."""
 
     def meet(
-        self, folder: str | None, name: str, make_machine: Callable[..., Any]
+        self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> ServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
     def reach(
-        self, folder: str | None, name: str, make_machine: Callable[..., Any]
+        self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> "Connection":
         """Connect to another process's Unix socket; raises OSError."""
 
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -29,7 +29,7 @@
 from wheathill.handover.restore import build_session
 from wheathill.handover.session_codec import decode_session
 from wheathill.log_events import LogEvent
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.net.proxy import Proxy
 
 
@@ -46,7 +46,7 @@
     log_event: EventLog
 
 
-class HandoverProtocol(Machine):
+class HandoverProtocol(ProtocolMachine):
     """One end of a handover.
 
     Attributes:
--- a/wheathill/lab/cast/callers.py
+++ b/wheathill/lab/cast/callers.py
@@ -1,7 +1,7 @@
 """Stand-ins for operators' staff and their tools: some read the figures, some say nothing or half a call and
 stay."""
 
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 
 WHOLE = b"GET /status/metrics HTTP/1.1\r\nHost: lab\r\n\r\n"
 PIECES = b"", b"GET /sta", b"GET /status HTTP/1.1\r\nHost:"
@@ -9,7 +9,7 @@
 STAYS = 4000.0
 
 
-class Caller(Machine):
+class Caller(ProtocolMachine):
     def __init__(self, callers, limits, clock, text):
         super().__init__(callers, limits, clock)
         self.text = text
@@ -40,7 +40,7 @@
     def over(self):
         self.timer.cancel()
         if self.text is WHOLE:
-            self.door.called(self)
+            self.owner.called(self)
         self.text = None
 
 
--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -2,8 +2,8 @@
 
 import math
 
-from wheathill.net.lines import END
-from wheathill.net.machine import Machine
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
 
 
 class Crowd:
@@ -153,7 +153,7 @@
                 self.later(crowd.wait * crowd.uniform(0.5, 1.5), repeat=True)
 
 
-class Visit(Machine):
+class Visit(ProtocolMachine):
     """One connection of a client: a session from its line to its end."""
 
     def __init__(self, person, name, proxy, repeat, again, mid):
@@ -210,7 +210,7 @@
             self.person.name.encode(),
             b" ",
             ",".join(values).encode(),
-            END,
+            CRLF,
         )
         if crowd.leaves and crowd.random() < crowd.leaves:
             self.clock.after(
@@ -236,7 +236,7 @@
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             if not self.over:
                 self.line(line)
             elif self.final:
@@ -281,7 +281,7 @@
 
     def say(self):
         self.asked = self.clock.now()
-        self.wire.send(b"SAY", END)
+        self.wire.send(b"SAY", CRLF)
         self.set_timer(self.crowd.silence, self.unanswered)
 
     def unanswered(self):
--- a/wheathill/lab/cast/discovery.py
+++ b/wheathill/lab/cast/discovery.py
@@ -3,8 +3,8 @@
 
 import orjson
 
-from wheathill.net.lines import END
-from wheathill.net.machine import Machine
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
 
 
 class Registry:
@@ -130,7 +130,7 @@
                 watch.tell(True, list(self.entries.values()))
 
 
-class Watcher(Machine):
+class Watcher(ProtocolMachine):
     """One watch."""
 
     def __init__(self, agent, limits, clock):
@@ -140,7 +140,7 @@
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             if line.startswith(b"GET "):
                 self.asked = True
             elif not line and self.asked:
@@ -162,7 +162,7 @@
         )
 
     def write(self, body):
-        self.wire.send(b"%x" % len(body), END, body, END)
+        self.wire.send(b"%x" % len(body), CRLF, body, CRLF)
 
     def still_here(self):
         self.set_timer(self.agent.registry.silence, self.still_here)
--- a/wheathill/lab/cast/front.py
+++ b/wheathill/lab/cast/front.py
@@ -1,8 +1,8 @@
 """A stand-in for the front: deals clients' connections out to the proxies of a zone. It takes a proxy in once
 that has answered PING with PONG, and notices only after a while that one has died."""
 
-from wheathill.net.lines import END
-from wheathill.net.machine import Machine
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
 
 
 class Front:
@@ -66,7 +66,7 @@
         return name, self.proxies[name][1]
 
 
-class Asker(Machine):
+class Asker(ProtocolMachine):
     """One PING."""
 
     def __init__(self, front, name, limits, clock):
@@ -79,11 +79,11 @@
         self.set_timer(500.0, self.over, False)
 
     def connected(self):
-        self.wire.send(b"PING", END)
+        self.wire.send(b"PING", CRLF)
 
     def received(self, data):
         self.lines.feed(data)
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line is not None:
             self.over(line == b"PONG")
 
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -6,8 +6,10 @@
 
 from collections import deque
 
-from wheathill.net.lines import END, Head, Malformed
-from wheathill.net.machine import Machine
+from wheathill.net.errors import ProtocolError
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.open_request import OpenRequest
+from wheathill.net.protocol_machine import ProtocolMachine
 
 
 class Gateway:
@@ -187,7 +189,7 @@
             self.clock.after(250.0, self.send_away)
 
 
-class Link(Machine):
+class Link(ProtocolMachine):
     """One connection to a gateway: a session's, or a prober's."""
 
     def __init__(self, gateway, limits, clock):
@@ -205,14 +207,14 @@
             self.first = self.clock.now() if self.wire.came is None else self.wire.came
         self.lines.feed(data)
         try:
-            while not self.over and (line := self.lines.next()) is not None:
+            while not self.over and (line := self.lines.next_line()) is not None:
                 if self.up:
                     self.line()
                 elif line in (b"STATS", b"PING"):
                     self.probe(line)
                 else:
                     self.open(line)
-        except Malformed:
+        except ProtocolError:
             self.gateway.record.note("syntax", server=self.gateway.name)
             self.end(b"SYNTAX")
 
@@ -220,16 +222,16 @@
         gateway = self.gateway
         gateway.record.counts["probes"] += 1
         answer = (
-            (b"PONG", b" " + gateway.report(), END)
+            (b"PONG", b" " + gateway.report(), CRLF)
             if line == b"STATS"
-            else (b"PONG", END)
+            else (b"PONG", CRLF)
         )
         if not gateway.job(gateway.probe_ms, lambda: self.wire.send(*answer)):
-            self.wire.send(b"BUSY", END)
+            self.wire.send(b"BUSY", CRLF)
 
     def open(self, line):
         gateway = self.gateway
-        self.head = head = Head(line)
+        self.head = head = OpenRequest(line)
         gateway.record.note("dial", server=gateway.name, sess=head.id, first=self.first)
         if head.flag("mid"):
             return self.go_on()
@@ -290,13 +292,13 @@
         gateway.record.note(
             "up", server=gateway.name, sess=self.head.id, receipt=receipt
         )
-        self.wire.send(b"UP ", receipt.encode(), END)
+        self.wire.send(b"UP ", receipt.encode(), CRLF)
         if gateway.tells_load:
             # In microseconds of core time a second, as the bench's servers tell it.
             self.wire.send(
                 b"LOAD %d"
                 % round(load * 1e6 * gateway.cores * gateway.speed / gateway.holds),
-                END,
+                CRLF,
             )
 
     def line(self):
@@ -305,16 +307,16 @@
 
     def echo(self):
         if self.up and not self.over:
-            self.wire.send(b"DONE", END)
+            self.wire.send(b"DONE", CRLF)
 
     def end(self, word):
         self.note_over("answered " + word.decode())
-        self.wire.send(word, END)
+        self.wire.send(word, CRLF)
         self.wire.part()
 
     def leave(self, word):
         """An open connection that this gateway ends by itself."""
-        self.wire.send(word, END)
+        self.wire.send(word, CRLF)
         self.note_over("sent away")
         self.wire.part()
 
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -4,14 +4,14 @@
 from itertools import count
 
 from wheathill.model import Phase
-from wheathill.net.lines import END
+from wheathill.net.line_buffer import CRLF
 from wheathill.net.proxy import Proxy
 from wheathill.net.server import Dialled
 
 
 class AnswersTwice(Proxy):
     def reject(self, session, retry_after_ms):
-        self.clients[session].wire.send(b"ERR", END)
+        self.clients[session].wire.send(b"ERR", CRLF)
         super().reject(session, retry_after_ms)
 
 
--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -15,9 +15,9 @@
 
 from wheathill.lab.worlds.host import raise_fault
 from wheathill.net.clock import Clock
-from wheathill.net.driver import Carrier
-from wheathill.net.lines import END
-from wheathill.net.machine import Machine
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
+from wheathill.net.transport import Transport
 
 LIMITS = SimpleNamespace(
     max_line_bytes=8192,
@@ -47,7 +47,7 @@
 )
 
 
-class Served(Machine):
+class Served(ProtocolMachine):
     """A proxy's connection to a server."""
 
     def connected(self):
@@ -55,14 +55,14 @@
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             if self.open:
                 if self.way in SERVERS_ENDS:
                     return self.end_it(self.way)
-                if self.door.holds:
-                    self.door.held.append((self, line))
+                if self.owner.holds:
+                    self.owner.held.append((self, line))
                 else:
-                    self.wire.send(line, END)
+                    self.wire.send(line, CRLF)
             elif line.startswith(b"OPEN "):
                 self.open = True
                 key = line.split(b" ")[2]
@@ -71,18 +71,18 @@
                 )
                 if self.way in UNANSWERED:
                     return self.end_it(self.way)
-                self.door.served[self] = None
-                self.wire.send(b"UP r", line.split(b" ")[1], END)
+                self.owner.served[self] = None
+                self.wire.send(b"UP r", line.split(b" ")[1], CRLF)
             else:
-                self.wire.send(b"PONG util=0.3", END)
+                self.wire.send(b"PONG util=0.3", CRLF)
 
     def end_it(self, way):
         if way == "by_bye":
-            self.wire.send(b"BYE", END)
+            self.wire.send(b"BYE", CRLF)
         elif way == "by_busy":
-            self.wire.send(b"BUSY", END)
+            self.wire.send(b"BUSY", CRLF)
         elif way == "by_err":
-            self.wire.send(b"ERR", END)
+            self.wire.send(b"ERR", CRLF)
         if way == "by_server_reset":
             self.lost(True)
             self.wire.abort(reset=True)
@@ -95,14 +95,14 @@
         self.wire.abort()
 
     def lost(self, reset):
-        self.door.served.pop(self, None)
+        self.owner.served.pop(self, None)
 
     def fault(self):
         self.lost(True)
         self.wire.abort()
 
 
-class Caller(Machine):
+class Caller(ProtocolMachine):
     """One client: comes, and comes again where it has to."""
 
     def __init__(self, door, number):
@@ -113,44 +113,44 @@
         self.tries = 0
 
     def come(self):
-        self.lines.rest, self.up = b"", False
-        self.wire = self.door.carrier.connect(self, self.door.proxy)
+        self.lines.unconsumed, self.up = b"", False
+        self.wire = self.owner.carrier.connect(self, self.owner.proxy)
 
     def connected(self):
         self.tries += 1
         group = (
-            b",g=t%d" % (self.number % self.door.groups) if self.door.groups else b""
+            b",g=t%d" % (self.number % self.owner.groups) if self.owner.groups else b""
         )
         self.wire.send(
             b"OPEN %s-%d-%d k%s-%d c=any,d=%d%s"
             % (
-                self.door.name,
+                self.owner.name,
                 self.number,
                 self.tries,
-                self.door.name,
+                self.owner.name,
                 self.number,
-                self.door.patience,
+                self.owner.patience,
                 group,
             ),
-            END,
+            CRLF,
         )
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             word, _, rest = line.partition(b" ")
             if self.up and word in (b"D", b"Q"):
-                self.door.took[word].append(time.monotonic_ns() - int(rest))
+                self.owner.took[word].append(time.monotonic_ns() - int(rest))
             elif self.up and word == b"MOVE":
-                self.door.counts["moved"] += 1
+                self.owner.counts["moved"] += 1
                 self.began = self.clock.now()
-                return self.again(self.door.spread())
+                return self.again(self.owner.spread())
             elif not self.up and word == b"UP":
                 self.up = True
-                self.door.ups.append(self.clock.now() - self.began)
-                self.door.is_up(self)
+                self.owner.ups.append(self.clock.now() - self.began)
+                self.owner.is_up(self)
             elif not self.up:
-                self.door.counts["refused" if word == b"BUSY" else "failed"] += 1
+                self.owner.counts["refused" if word == b"BUSY" else "failed"] += 1
                 return self.again(float(rest) if word == b"BUSY" and rest else 500.0)
 
     def again(self, wait):
@@ -159,9 +159,9 @@
         self.leave(wait)
 
     def leave(self, wait):
-        self.door.up.pop(self, None)
+        self.owner.up.pop(self, None)
         self.up = False
-        if self.door.returns:
+        if self.owner.returns:
             self.set_timer(wait, self.come)
 
     def ended(self):
@@ -169,17 +169,17 @@
         self.wire.abort(reset=True)
 
     def lost(self, reset):
-        self.door.counts["lost" if self.up else "not up"] += 1
+        self.owner.counts["lost" if self.up else "not up"] += 1
         if self.up:
             self.began = self.clock.now()
-        self.leave(self.door.spread())
+        self.leave(self.owner.spread())
 
     def fault(self):
         self.lost(True)
         self.wire.abort(reset=True)
 
 
-class Passer(Machine):
+class Passer(ProtocolMachine):
     """A client whose session ends at once, one way or another."""
 
     def __init__(self, door, number, way):
@@ -189,40 +189,40 @@
 
     def connected(self):
         if self.way == "by_looking":
-            return self.wire.send(b"PING", END)
+            return self.wire.send(b"PING", CRLF)
         if self.way == "by_nonsense":
-            return self.wire.send(b"WHAT", END)
+            return self.wire.send(b"WHAT", CRLF)
         self.wire.send(
             b"OPEN %s-%d %s-%d c=any,d=2000"
-            % (self.door.name, self.number, self.way.encode(), self.number),
-            END,
+            % (self.owner.name, self.number, self.way.encode(), self.number),
+            CRLF,
         )
         if self.way == "by_leaving":
             self.set_timer(20.0, self.leave)
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             if not self.up and line.startswith(b"UP"):
                 self.up = True
-                self.door.counts["up"] += 1
+                self.owner.counts["up"] += 1
                 if self.way == "by_client_reset":
                     return self.leave()
-                self.wire.send(b"a line", END)
+                self.wire.send(b"a line", CRLF)
             elif self.way in ("by_finishing", "by_looking"):
                 return self.wire.finish()
 
     def leave(self):
         self.wire.abort(reset=True)
-        self.door.passed()
+        self.owner.passed()
 
     def ended(self):
         self.wire.abort()
-        self.door.passed()
+        self.owner.passed()
 
     def lost(self, reset):
         self.timer.cancel()
-        self.door.passed()
+        self.owner.passed()
 
     def fault(self):
         self.wire.abort(reset=True)
@@ -234,7 +234,7 @@
     def __init__(self, loop):
         self.loop = loop
         self.clock = Clock(loop)
-        self.carrier = Carrier(loop, LIMITS, raise_fault)
+        self.carrier = Transport(loop, LIMITS, raise_fault)
         self.served, self.held, self.holds = {}, [], False
         self.callers, self.up = [], {}
         self.fresh()
@@ -290,12 +290,12 @@
             self.wire_half(machine, on, half)
         held, self.held = ([], self.held) if on else (self.held, [])
         for machine, line in held:
-            machine.wire.send(line, END)
+            machine.wire.send(line, CRLF)
         return {}
 
     @staticmethod
     def wire_half(machine, on, half):
-        machine.wire.send(b"x" * half if on else END)
+        machine.wire.send(b"x" * half if on else CRLF)
 
     def do_deliver(self, rate, seconds, seed):
         """Lines at `rate` a second to clients drawn at random; answers when the last is written."""
@@ -333,7 +333,7 @@
                 if written >= count or due > now:
                     break
                 machine = next(to)
-                machine.wire.send(line(due), END)
+                machine.wire.send(line(due), CRLF)
                 written += 1
             if written >= count:
                 self.say(
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -27,9 +27,9 @@
 from wheathill.log_events import LogEvent
 from wheathill.model import Phase
 from wheathill.net.clock import Clock
-from wheathill.net.driver import Carrier
-from wheathill.net.log import Log
+from wheathill.net.log import EventLog
 from wheathill.net.proxy import Proxy
+from wheathill.net.transport import Transport
 
 FRESH = 500.0  # ms since a server was last heard, where the proxy sees it
 
@@ -277,10 +277,10 @@
         self.layout = Layout(**layout)
         self.clock = StretchedClock(self.loop, rate)
         node = idle_node(sockets)
-        self.carrier = Carrier(self.loop, node.limits, self.log)
+        self.carrier = Transport(self.loop, node.limits, self.log)
         if prompt:
             # Beside a proxy without sessions, as a real one: what that costs is taken off.
-            self.log_line = Log(
+            self.log_line = EventLog(
                 node.name,
                 node.limits.max_queued_log_lines,
                 os.open(os.devnull, os.O_WRONLY),
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -20,7 +20,7 @@
 from wheathill.lab.scale.operators_file import operators_file
 from wheathill.lab.scale.shape import Shape, ShapedCarrier
 from wheathill.log_events import LogEvent
-from wheathill.net.log import Log
+from wheathill.net.log import EventLog
 
 
 class Member(Hollow):
@@ -42,7 +42,7 @@
         node = daemon.raise_descriptor_limit(
             operator.read_operator_config(self.crew.path)
         )
-        self.crew.log_line = Log(
+        self.crew.log_line = EventLog(
             node.name,
             node.limits.max_queued_log_lines,
             os.open(os.devnull, os.O_WRONLY),
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -11,7 +11,7 @@
 import math
 from collections import Counter
 
-from wheathill.net.driver import Guarded
+from wheathill.net.fault_isolation import FaultIsolation
 
 SEGMENT, RESEND, FIRST_AGAIN = 1400, 200.0, 1000.0
 JITTER = 0.1
@@ -93,7 +93,7 @@
 
 
 class ShapedCarrier:
-    """What one member has for a `net.driver.Carrier`; `inner` is the process's real one."""
+    """What one member has for a `net.transport.Transport`; `inner` is the process's real one."""
 
     def __init__(self, inner, shape, number):
         self.inner, self.shape, self.number = inner, shape, number
@@ -145,8 +145,8 @@
         self.post.close()
 
 
-class ShapedWire(Guarded):
-    """To the machine a `net.driver.Wire`; to the real wire a machine."""
+class ShapedWire(FaultIsolation):
+    """To the machine a `net.connection.Connection`; to the real wire a machine."""
 
     def __init__(self, carrier, machine, address, source):
         self.carrier, self.shape, self.machine = carrier, carrier.shape, machine
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -27,8 +27,8 @@
 )
 from wheathill.net.clock import Clock
 from wheathill.net.discovery import Watch
-from wheathill.net.driver import Carrier
 from wheathill.net.proxy import Proxy
+from wheathill.net.transport import Transport
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.settings import (
     EndpointListSettings,
@@ -95,7 +95,7 @@
         }
     )
     log = lambda *_, **__: None  # noqa: E731
-    found = Proxy(node, Carrier(loop, node.limits, log), Clock(loop), log)
+    found = Proxy(node, Transport(loop, node.limits, log), Clock(loop), log)
     found.set_timer = log  # nothing rings: the clock's work is called by hand
     return found, loop
 
--- a/wheathill/lab/scale/visits.py
+++ b/wheathill/lab/scale/visits.py
@@ -11,9 +11,9 @@
 
 from wheathill.lab.scale.hollow import StretchedClock, main
 from wheathill.lab.worlds.host import raise_fault
-from wheathill.net.driver import Carrier
-from wheathill.net.lines import END
-from wheathill.net.machine import Machine
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
+from wheathill.net.transport import Transport
 
 LIMITS = SimpleNamespace(
     max_line_bytes=8192,
@@ -29,7 +29,7 @@
 )
 
 
-class Served(Machine):
+class Served(ProtocolMachine):
     """A proxy's connection to the server `name`."""
 
     def __init__(self, door, name, wire):
@@ -39,31 +39,31 @@
 
     def received(self, data):
         self.lines.feed(data)
-        while (line := self.lines.next()) is not None:
+        while (line := self.lines.next_line()) is not None:
             if self.proxy is not None:
-                self.wire.send(line, END)
+                self.wire.send(line, CRLF)
             elif line.startswith(b"OPEN "):
                 session = line.split(b" ")[1]
                 self.proxy = int(session.partition(b"-")[0])
-                self.door.opens.append((self.name, self.proxy, self.clock.now()))
-                self.door.open_at[self] = None
-                self.wire.send(b"UP r", session, END)
+                self.owner.opens.append((self.name, self.proxy, self.clock.now()))
+                self.owner.open_at[self] = None
+                self.wire.send(b"UP r", session, CRLF)
             else:
-                self.wire.send(b"PONG util=0.3", END)
+                self.wire.send(b"PONG util=0.3", CRLF)
 
     def ended(self):
         self.lost(False)
         self.wire.abort()
 
     def lost(self, reset):
-        self.door.open_at.pop(self, None)
+        self.owner.open_at.pop(self, None)
 
     def fault(self):
         self.lost(True)
         self.wire.abort()
 
 
-class Visit(Machine):
+class Visit(ProtocolMachine):
     """One session: opened, a line each `EVERY`, each answered in order, closed after `LASTS`."""
 
     EVERY, LASTS, PATIENCE = 500.0, 8000.0, 5000.0  # ms
@@ -80,27 +80,27 @@
         self.wire.send(
             b"OPEN %d-%d k%d-%d c=all,d=%d"
             % (self.proxy, self.number, self.proxy, self.number, self.PATIENCE),
-            END,
+            CRLF,
         )
 
     def received(self, data):
         self.lines.feed(data)
-        while not self.over and (line := self.lines.next()) is not None:
+        while not self.over and (line := self.lines.next_line()) is not None:
             word, _, rest = line.partition(b" ")
             if self.up:
                 if word == b"MOVE":
                     # At once again, by the proxy's word: to another server.
                     self.end("moved")
-                    self.door.visit(self.proxy, self.ends)
+                    self.owner.visit(self.proxy, self.ends)
                 elif line != b"line %d" % self.heard:
                     self.end("answered out of order")
                 else:
                     self.heard += 1
-                    self.door.lines += 1
+                    self.owner.lines += 1
             elif word == b"UP":
                 self.up = True
-                self.door.took.append(self.clock.now() - self.began)
-                self.door.count(self.proxy, "up")
+                self.owner.took.append(self.clock.now() - self.began)
+                self.owner.count(self.proxy, "up")
                 self.say()
             else:
                 self.end("refused" if word == b"BUSY" else "failed")
@@ -108,7 +108,7 @@
     def say(self):
         if self.clock.now() >= self.ends:
             return self.end("ended")
-        self.wire.send(b"line %d" % self.said, END)
+        self.wire.send(b"line %d" % self.said, CRLF)
         self.said += 1
         self.set_timer(self.EVERY, self.say)
 
@@ -116,7 +116,7 @@
         if not self.over:
             self.over = True
             self.timer.cancel()
-            self.door.over(self, how)
+            self.owner.over(self, how)
             self.wire.abort()
 
     def ended(self):
@@ -126,7 +126,7 @@
         # Its proxy may have been killed: whoever killed it said so before.
         self.end(
             "died with its proxy"
-            if self.proxy in self.door.down
+            if self.proxy in self.owner.down
             else "broken"
             if self.up
             else "failed"
@@ -162,7 +162,7 @@
     def do_build(self, rate, servers, host, seed):
         """Returns "HOST:PORT" of each server."""
         self.clock = StretchedClock(self.loop, rate)
-        self.carrier = Carrier(self.loop, LIMITS, raise_fault)
+        self.carrier = Transport(self.loop, LIMITS, raise_fault)
         self.random = random.Random(f"{seed}/visits").random
         doors = [
             self.carrier.listen(
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -7,7 +7,7 @@
 from wheathill.lab.scale.table import proxy, timed
 from wheathill.model import Listener, Session
 from wheathill.net.client import Client
-from wheathill.net.lines import Head
+from wheathill.net.open_request import OpenRequest
 
 FOR = 2.0  # s of processor time, at most, for each figure
 MOST = 2000  # of what is timed
@@ -49,7 +49,7 @@
     while done < MOST and time.process_time() - begun < FOR:
         sess = Session(listener, "k", 0.0)
         here.clients[sess] = None
-        here.note_id(Head(b"OPEN new%d k c=any" % done), sess)
+        here.note_id(OpenRequest(b"OPEN new%d k c=any" % done), sess)
         done += 1
     return 1000 * (time.process_time() - begun) / done
 
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -2,7 +2,7 @@
 fault took effect, counted from outside."""
 
 from wheathill.lab.scripts.language import SENT, expand
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.frames import FrameAuthenticator, FrameRejectedError
 
 NEIGHBOURS = 4  # busy processes beside a starved one
@@ -247,7 +247,7 @@
                 self.clock.soon(self.happen, event, None, one)
 
 
-class Stranger(Machine):
+class Stranger(ProtocolMachine):
     """Learns an instance's generation from a stream, as anybody can, and then sends it lies and nonsense."""
 
     def __init__(self, world, members, on, authenticator, chance):
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -8,7 +8,7 @@
 from wheathill.handover.coordinator import UpgradeCoordinator
 from wheathill.lab.worlds.network import Door, VirtualCarrier, VirtualHost
 from wheathill.lab.worlds.seat import Seat
-from wheathill.net.driver import Guarded
+from wheathill.net.fault_isolation import FaultIsolation
 
 
 class HeldDoor(Door):
@@ -133,7 +133,7 @@
             del self.carrier.places[self.name]
 
 
-class VirtualPost(Guarded):
+class VirtualPost(FaultIsolation):
     def __init__(self, carrier):
         self.carrier = carrier
         self.over = False
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -10,7 +10,7 @@
 from wheathill.lab.worlds.host import Host
 from wheathill.lab.worlds.tap import Tap
 from wheathill.lab.worlds.ways import Ways
-from wheathill.net.driver import Guarded
+from wheathill.net.fault_isolation import FaultIsolation
 
 
 class VirtualHost(Host):
@@ -150,7 +150,7 @@
         return VirtualDatagrams(self, machine, tuple(address))
 
 
-class VirtualDatagrams(Guarded):
+class VirtualDatagrams(FaultIsolation):
     """What the driver's is on sockets: of one process, on its host's only address for datagrams."""
 
     def __init__(self, carrier, machine, address):
@@ -354,8 +354,8 @@
         self.transmit(far, door.host, wire.host, wire.came_up)
 
 
-class VirtualWire(Guarded):
-    """One end of a connection, as `net.driver.Wire` is on sockets."""
+class VirtualWire(FaultIsolation):
+    """One end of a connection, as `net.connection.Connection` is on sockets."""
 
     WINDOW = 262_144
 
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -24,7 +24,7 @@
 from wheathill.lab.worlds.outside import Outside, parts_of
 from wheathill.lab.worlds.relay import Relay
 from wheathill.lab.worlds.sockets import LOOPBACK, SPARE_FILES, SocketSeat, SocketWorld
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 
 LIBC = ctypes.CDLL(None)
 PR_SET_PDEATHSIG = 1
@@ -172,7 +172,7 @@
             self.asker = asker
 
 
-class Asker(Machine):
+class Asker(ProtocolMachine):
     """One question at a control socket."""
 
     def __init__(self, seat, world):
@@ -220,9 +220,9 @@
         super().__init__(seed, network)
         self.clock.hold()
         from wheathill.lab.worlds.host import raise_fault
-        from wheathill.net.driver import Carrier
+        from wheathill.net.transport import Transport
 
-        self.carrier = Carrier(self.loop, limits, raise_fault)
+        self.carrier = Transport(self.loop, limits, raise_fault)
         self.ways = Relay(
             self.loop,
             self.carrier,
@@ -363,7 +363,7 @@
         super().close()
 
 
-class Finder(Machine):
+class Finder(ProtocolMachine):
     """Tries the private address of a process that has started until it takes streams."""
 
     EVERY = 10.0
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -14,7 +14,7 @@
 import struct
 
 from wheathill.lab.worlds.ways import Ways
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 
 SO_ATTACH_FILTER, SO_DETACH_FILTER = 26, 27
 
@@ -154,7 +154,7 @@
         self.sock.close()
 
 
-class Half(Machine):
+class Half(ProtocolMachine):
     """One end of a stream through the relay; what comes in goes out at the other."""
 
     def __init__(self, pipe, relay, wire=None):
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -21,7 +21,7 @@
 from wheathill.lab.worlds.host import Host, raise_fault
 from wheathill.lab.worlds.tap import Tap
 from wheathill.net.clock import Clock
-from wheathill.net.driver import Carrier
+from wheathill.net.transport import Transport
 
 FIRST_PORT, LAST_PORT = (
     20_000,
@@ -229,7 +229,7 @@
     def __init__(self, world, name, zone, limits, peers):
         super().__init__(name, zone, world.clock)
         self.world = world
-        self.carrier = Carrier(world.loop, limits, raise_fault)
+        self.carrier = Transport(world.loop, limits, raise_fault)
         self.taps = {}
         self.doors = []
         self.jams = []
--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -8,8 +8,9 @@
 from wheathill.net.admin.errors import HttpError
 from wheathill.net.admin.request_target import RequestTarget, parse_target
 from wheathill.net.admin.response import encode_response
-from wheathill.net.lines import END, Malformed
-from wheathill.net.machine import Machine
+from wheathill.net.errors import ProtocolError
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
 
 # Only their types are needed, and memory is short.
 if TYPE_CHECKING:
@@ -25,7 +26,7 @@
 Answer = Callable[[str, RequestTarget], Any]
 
 
-class AdminRequest(Machine):
+class AdminRequest(ProtocolMachine):
     """Reads one request, sends one response, and closes the connection.
 
     `answer` takes the method and the target; it returns the value that is sent with
@@ -43,7 +44,7 @@
         self.wire = connection
         self.done = False
         self._answer = answer
-        self.lines.longest = limits.max_admin_head_bytes
+        self.lines.max_length = limits.max_admin_head_bytes
         # Not a bound method, by which the request would hold itself.
         self._read_next = AdminRequest._read_request_line
         self._method, self._target = "", b""
@@ -62,7 +63,7 @@
         try:
             while not self.done and self._read_next(self):
                 pass
-        except Malformed:
+        except ProtocolError:
             self._send_error(self._head_too_large())
         except HttpError as error:
             self._send_error(error)
@@ -97,9 +98,9 @@
         )
 
     def _next_head_line(self) -> bytes | None:
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line is not None:
-            self._head_bytes += len(line) + len(END)
+            self._head_bytes += len(line) + len(CRLF)
         if self._head_bytes > self.limits.max_admin_head_bytes:
             raise self._head_too_large()
         return line
@@ -159,8 +160,8 @@
         No request here needs one; it is read so that the response is not lost with
         what was not read.
         """
-        self._content_length = (self._content_length or 0) - len(self.lines.rest)
-        self.lines.rest = b""
+        self._content_length = (self._content_length or 0) - len(self.lines.unconsumed)
+        self.lines.unconsumed = b""
         if self._content_length <= 0:
             target = parse_target(self._target)
             self._send(200, self._answer(self._method, target), {})
@@ -171,7 +172,7 @@
     def _send(self, status: int, value: object, headers: dict[str, str]) -> None:
         head, body = encode_response(status, value, headers)
         self.done = True
-        self.lines.rest = b""
+        self.lines.unconsumed = b""
         self.timer.cancel()
         self.wire.send(head, body)
         self.wire.part()
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -6,7 +6,9 @@
 from wheathill.log_events import LogEvent
 from wheathill.model import AttemptOutcome, Session
 from wheathill.net.client import Client
-from wheathill.net.lines import Head, Malformed, report
+from wheathill.net.errors import ProtocolError
+from wheathill.net.load_report import parse_load_report
+from wheathill.net.open_request import OpenRequest
 from wheathill.net.server import Dialled, ProbeLink
 from wheathill.policy.retry_rules import may_reject, may_retry
 
@@ -85,7 +87,7 @@
         came = now - self.waited(client) if came is None else came
         listener = self.listeners.get(head.values.get("c"))
         if listener is None:
-            raise Malformed("c names no listener")
+            raise ProtocolError("c names no listener")
         client.listener = listener
         left = min(
             head.number("d", listener.dial_timeout_ms), listener.dial_timeout_ms
@@ -94,7 +96,7 @@
             return self.give_up(client)
         tenant = head.values.get("t")
         if tenant is not None and self.tenants and tenant not in self.tenants:
-            raise Malformed("t names no tenant")
+            raise ProtocolError("t names no tenant")
         if self.early is not None:
             # What discovery's agent knows counts as told from the first moment, and the known list may be old.
             self.early[client] = came
@@ -144,7 +146,7 @@
     def come_in(self, client, came):
         try:
             self.opened(client, came)
-        except Malformed as wrong:
+        except ProtocolError as wrong:
             self.bad_client(client, str(wrong))
 
     def waited(self, client):
@@ -166,7 +168,7 @@
         """Ids are new with every connection: one that was seen belongs to another client, and servers answer
         its second session with ERR. Packets that come through this proxy again are the exception."""
         if head.id in self.ids and not sess.mid_flow and "at" not in head.values:
-            raise Malformed("the id of another session")
+            raise ProtocolError("the id of another session")
         self.ids[head.id] = sess
         # Those that are open stay, and may be far more than the limit. Two looks for each that comes keep those that
         # are over fewer than the open ones and the limit; as many as there are above it took seconds for each client.
@@ -244,7 +246,7 @@
             self.log_event(
                 LogEvent.PROTOCOL_ERROR, what=why, so_far=self.metrics.counts["bad"]
             )
-        client.lines.rest = b""
+        client.lines.unconsumed = b""
         self.answer(client, b"ERR")
 
     def hung_up(self, client):
@@ -381,8 +383,8 @@
         if server not in self.servers:
             raise ValueError(f"a session at {server!r}, which is not known")
         try:
-            head = Head(line)
-        except Malformed as wrong:
+            head = OpenRequest(line)
+        except ProtocolError as wrong:
             raise ValueError(str(wrong)) from None
         client = Client(None, self, self.limits, self.clock)
         client.dial = dial = Dialled(
@@ -493,7 +495,7 @@
         )
 
     def reported(self, server, text):
-        figures = report(text, self.node.report_fields)
+        figures = parse_load_report(text, self.node.report_fields)
         if figures:
             self.balancer.on_load_report(self.now(), server, figures)
 
@@ -595,7 +597,7 @@
             del self.links[link.server]
 
     def probed(self, link, outcome, text):
-        figures = report(text, self.node.report_fields)
+        figures = parse_load_report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.heard(link.server)
         self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -1,11 +1,13 @@
 """A client's connection: its first line, the wait for an answer, then lines in both directions."""
 
 from wheathill.model import Idempotency
-from wheathill.net.lines import END, Head, Malformed
-from wheathill.net.machine import Machine
+from wheathill.net.errors import ProtocolError
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.open_request import OpenRequest
+from wheathill.net.protocol_machine import ProtocolMachine
 
 
-class Client(Machine):
+class Client(ProtocolMachine):
     def __init__(self, wire, door, limits, clock):
         super().__init__(door, limits, clock)
         self.wire = wire
@@ -22,7 +24,7 @@
     def connected(self):
         self.came = self.clock.now()
         self.set_timer(self.limits.first_line_timeout_ms, self.no_line)
-        self.door.came(self)
+        self.owner.came(self)
 
     def received(self, data):
         if self.up:
@@ -35,35 +37,35 @@
 
     def read_head(self):
         try:
-            while self.head is None and (line := self.lines.next()) is not None:
+            while self.head is None and (line := self.lines.next_line()) is not None:
                 if line == b"PING":
                     self.pings += 1
                     allowed = (
                         self.limits.max_ping_burst
                         + (self.clock.now() - self.came) / self.limits.ping_interval_ms
                     )
-                    if self.lines.rest or self.pings > allowed:
-                        raise Malformed("more than a line at once")
-                    self.wire.send(b"PONG" if self.door.ready else b"ERR", END)
+                    if self.lines.unconsumed or self.pings > allowed:
+                        raise ProtocolError("more than a line at once")
+                    self.wire.send(b"PONG" if self.owner.ready else b"ERR", CRLF)
                     self.set_timer(self.limits.next_line_timeout_ms, self.no_line)
                 else:
-                    head = Head(line)
-                    if self.lines.rest:
-                        raise Malformed("more than a line at once")
+                    head = OpenRequest(line)
+                    if self.lines.unconsumed:
+                        raise ProtocolError("more than a line at once")
                     self.head = head
                     self.timer.cancel()
-                    self.door.opened(self)
-        except Malformed as wrong:
-            self.door.bad_client(self, str(wrong))
+                    self.owner.opened(self)
+        except ProtocolError as wrong:
+            self.owner.bad_client(self, str(wrong))
 
     def too_early(self):
         """A client waits for UP. What comes sooner was meant for a proxy, like hundreds of commands at
         once, and must not reach a server; its session ends with it."""
-        self.door.hung_up(self)
-        self.door.bad_client(self, "more than a line before UP")
+        self.owner.hung_up(self)
+        self.owner.bad_client(self, "more than a line before UP")
 
     def no_line(self):
-        self.door.bad_client(self, "no line in time")
+        self.owner.bad_client(self, "no line in time")
 
     def serve(self, dial, line):
         """The server's UP line and what came along with it."""
@@ -75,7 +77,7 @@
         # Half a line asks for nothing yet.
         if self.asked is None and b"\n" in data:
             self.asked = self.clock.now()
-            self.door.asks(self)
+            self.owner.asks(self)
         self.dial.wire.send(data)
 
     @property
@@ -107,12 +109,12 @@
         """The server has sent a line back."""
         if self.asked is not None:
             asked, self.asked = self.asked, None
-            self.door.message_took(self, self.clock.now() - asked)
+            self.owner.message_took(self, self.clock.now() - asked)
 
     def answer(self, *parts):
         """The final answer of a session that is not up; nothing goes out after it."""
         self.timer.cancel()
-        self.wire.send(*parts, END)
+        self.wire.send(*parts, CRLF)
         self.wire.part()
 
     def move(self):
@@ -130,7 +132,7 @@
             self.dial.wire.hold(on)
 
     def ended(self):
-        self.door.hung_up(self)
+        self.owner.hung_up(self)
         if self.up:
             self.dial.wire.finish()
             self.dial.set_timer(self.limits.linger_ms, self.dial.close)
@@ -140,7 +142,7 @@
 
     def lost(self, reset):
         self.timer.cancel()
-        self.door.hung_up(self)
+        self.owner.hung_up(self)
         if self.up:
             self.dial.wire.abort(reset=reset)
 
@@ -155,4 +157,4 @@
             self.wire.abort(reset=True)
         else:
             self.timer.cancel()
-            self.door.answer_alone(self)
+            self.owner.answer_alone(self)
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -5,8 +5,8 @@
 
 import orjson
 
-from wheathill.net.lines import Malformed
-from wheathill.net.machine import Machine
+from wheathill.net.errors import ProtocolError
+from wheathill.net.protocol_machine import ProtocolMachine
 
 # A string that is whole
 STRING = rb'"[^"\\\x00-\x1f]*+(?:\\.[^"\\\x00-\x1f]*+)*+"'
@@ -33,14 +33,14 @@
         self.rest += data
 
     def next(self):
-        """The next whole object, b"" for an empty line between two, or None. Raises Malformed."""
+        """The next whole object, b"" for an empty line between two, or None. Raises ProtocolError."""
         if not self.open:
             self.rest, self.seen = self.rest.lstrip(b" \t\r"), 0
             if self.rest.startswith(b"\n"):
                 self.rest = self.rest[1:]
                 return b""
             if self.rest and not self.rest.startswith(b"{"):
-                raise Malformed(f"not a list: {self.rest[:20]!r}")
+                raise ProtocolError(f"not a list: {self.rest[:20]!r}")
         for mark in MARK.finditer(self.rest, self.seen):
             self.seen = mark.end()
             if mark[0] in (b"{", b"["):
@@ -48,7 +48,7 @@
             elif mark[0] in CLOSES:
                 # Else one that never closes would swallow all that follow it.
                 if self.open.pop() != CLOSES[mark[0]]:
-                    raise Malformed("not a list: what closes was not open")
+                    raise ProtocolError("not a list: what closes was not open")
                 if not self.open:
                     found, self.rest = self.rest[: self.seen], self.rest[self.seen :]
                     return found
@@ -58,15 +58,15 @@
             elif mark[0] == b'"':
                 # No string holds a line's end: waited for, its other quote would swallow the lists to come.
                 if CONTROL.search(self.rest, self.seen):
-                    raise Malformed("not a list: a string without end")
+                    raise ProtocolError("not a list: a string without end")
                 self.seen = mark.start()
                 break
         if len(self.rest) > self.longest:
-            raise Malformed("a list too long")
+            raise ProtocolError("a list too long")
         return None
 
 
-class Watch(Machine):
+class Watch(ProtocolMachine):
     """Asks once, then hands every object to `door`; whatever goes wrong ends it, and `door` opens another.
 
     It lives by what it tells: a list, the empty line that is due while nothing changes, or so much of a long list
@@ -108,21 +108,21 @@
         try:
             while self.read(self):
                 pass
-        except Malformed as wrong:
+        except ProtocolError as wrong:
             self.end(str(wrong))
 
     def status(self):
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line is None:
             return False
         words = line.split(b" ", 2)
         if len(words) < 2 or not words[0].startswith(b"HTTP/1.") or words[1] != b"200":
-            raise Malformed(f"answered {line[:80]!r}")
+            raise ProtocolError(f"answered {line[:80]!r}")
         self.read = Watch.header
         return True
 
     def header(self):
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line is None:
             return False
         name, _, value = line.partition(b":")
@@ -131,7 +131,7 @@
             self.chunked = True
         elif name == b"content-length":
             if not value.isdigit():
-                raise Malformed(f"an answer of {value[:20]!r} bytes")
+                raise ProtocolError(f"an answer of {value[:20]!r} bytes")
             self.left = int(value)
         if not line:
             self.read = Watch.chunk_size if self.chunked else Watch.plain
@@ -139,7 +139,7 @@
 
     def plain(self):
         """A body without chunks: as long as it says, or until the connection ends."""
-        data, self.lines.rest = self.lines.rest, b""
+        data, self.lines.unconsumed = self.lines.unconsumed, b""
         if self.left is None:
             self.take(data)
             return False
@@ -147,25 +147,25 @@
         self.left -= len(data)
         if self.left <= 0:
             # The connection may stay open for another request, but this one's answer is over.
-            raise Malformed("the answer ended")
+            raise ProtocolError("the answer ended")
         return False
 
     def chunk_size(self):
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line is None:
             return False
         try:
             self.left = int(line.split(b";")[0], 16)
         except ValueError:
-            raise Malformed(f"a chunk of size {line[:20]!r}") from None
+            raise ProtocolError(f"a chunk of size {line[:20]!r}") from None
         if self.left <= 0:
-            raise Malformed("the answer ended")
+            raise ProtocolError("the answer ended")
         self.read = Watch.chunk
         return True
 
     def chunk(self):
-        data = self.lines.rest[: self.left]
-        self.lines.rest = self.lines.rest[len(data) :]
+        data = self.lines.unconsumed[: self.left]
+        self.lines.unconsumed = self.lines.unconsumed[len(data) :]
         self.left -= len(data)
         self.take(data)
         if not self.left:
@@ -173,9 +173,9 @@
         return bool(data)
 
     def chunk_end(self):
-        line = self.lines.next()
+        line = self.lines.next_line()
         if line:
-            raise Malformed("a chunk longer than it says")
+            raise ProtocolError("a chunk longer than it says")
         if line is not None:
             self.read = Watch.chunk_size
         return line is not None
@@ -192,14 +192,14 @@
         self.quiet_from_now()
         if not self.answered:
             self.answered = True
-            self.door.watch_answered(self)
+            self.owner.watch_answered(self)
         if not found:
             return
         try:
             told = orjson.loads(found)
         except ValueError as wrong:
-            raise Malformed(f"not a list: {wrong}") from None
-        self.door.listed(told)
+            raise ProtocolError(f"not a list: {wrong}") from None
+        self.owner.listed(told)
 
     def ended(self):
         self.end("ended")
@@ -213,7 +213,7 @@
     def end(self, why):
         if not self.left_for_good:
             self.leave()
-            self.door.watch_over(self, why)
+            self.owner.watch_over(self, why)
 
     def leave(self):
         """Nothing that still comes is told, and `door` opens no other for it."""
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -1,8 +1,9 @@
 """A server's side: the connection of one dial, and the link for probes."""
 
 from wheathill.model import AttemptOutcome
-from wheathill.net.lines import END, Malformed
-from wheathill.net.machine import Machine
+from wheathill.net.errors import ProtocolError
+from wheathill.net.line_buffer import CRLF
+from wheathill.net.protocol_machine import ProtocolMachine
 
 FIRST_WORDS = {
     b"BUSY": AttemptOutcome.AT_CAPACITY,
@@ -13,7 +14,7 @@
 LAST_WORDS = {b"BYE": AttemptOutcome.COMPLETED, b"MOVE": AttemptOutcome.CANCELLED}
 
 
-class Dialled(Machine):
+class Dialled(ProtocolMachine):
     """One dial for a client. Tells `door` once how it came up, and once how it ended."""
 
     def __init__(self, client, server, door, limits, clock):
@@ -43,7 +44,7 @@
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
         return not self.over and (
-            self.door.list_unread or client.open and client.unread
+            self.owner.list_unread or client.open and client.unread
         )
 
     def connected(self):
@@ -53,10 +54,10 @@
             return self.clock.soon(self.connected)
         left = self.until - self.clock.now()
         # With nothing left it would be sent in vain, and might have run.
-        if left < 1.0 or not self.door.may_send(self):
+        if left < 1.0 or not self.owner.may_send(self):
             return self.give_up(AttemptOutcome.CONNECT_FAILED)
         self.set_timer(left, self.overdue)
-        self.wire.send(*self.client.head.parts(left))
+        self.wire.send(*self.client.head.encode(left))
         if self.wire.drained:
             self.line_left()
 
@@ -66,7 +67,7 @@
     def line_left(self):
         if not self.sent:
             self.sent = True
-            self.door.dial_sent(self)
+            self.owner.dial_sent(self)
 
     def overdue(self):
         self.give_up(
@@ -82,7 +83,7 @@
         self.timer.cancel()
         if not self.over:
             self.over = True
-            self.door.dial_over(self, outcome)
+            self.owner.dial_over(self, outcome)
 
     def received(self, data):
         if self.up:
@@ -94,10 +95,10 @@
             return self.give_up(AttemptOutcome.ERROR)
         self.lines.feed(data)
         try:
-            line = self.lines.next()
+            line = self.lines.next_line()
             while line is not None and line.startswith(b"LOAD "):
-                line = self.lines.next()
-        except Malformed:
+                line = self.lines.next_line()
+        except ProtocolError:
             return self.give_up(AttemptOutcome.ERROR)
         if line is None:
             return
@@ -105,17 +106,17 @@
         if word == b"UP" and self.sent:
             self.timer.cancel()
             self.up = True
-            self.door.dial_up(self, line + END)
-            if self.lines.rest:
-                self.pass_on(self.lines.rest)
+            self.owner.dial_up(self, line + CRLF)
+            if self.lines.unconsumed:
+                self.pass_on(self.lines.unconsumed)
             return
-        self.door.reported(self.server, rest)
+        self.owner.reported(self.server, rest)
         if word not in FIRST_WORDS:
-            self.door.odd_answer(self, line)
+            self.owner.odd_answer(self, line)
         outcome = FIRST_WORDS.get(word, AttemptOutcome.ERROR)
         if outcome is not AttemptOutcome.AT_CAPACITY:
             self.give_up(outcome)
-        elif self.lines.rest:
+        elif self.lines.unconsumed:
             self.give_up(AttemptOutcome.ERROR)
         elif not self.sent or self.client.repeats:
             self.give_up(outcome)
@@ -133,25 +134,25 @@
 
     def pass_on(self, data):
         self.client.wire.send(data)
-        self.door.heard(self.server)
-        *lines, self.rest = (self.rest + data).split(END)
+        self.owner.heard(self.server)
+        *lines, self.rest = (self.rest + data).split(CRLF)
         for line in lines:
             self.read(line)
         if len(self.rest) > self.limits.max_line_bytes:
             # No line of the protocol: only whether it has ended still matters.
             self.rest = self.rest[-1:]
         if self.client.moving:
-            self.door.move_client(self.client)
+            self.owner.move_client(self.client)
 
     def read(self, line):
         word, _, rest = line.partition(b" ")
         if word == b"LOAD":
-            self.door.load_told(self.client, rest)
+            self.owner.load_told(self.client, rest)
             return
         self.client.answered()
         if word in LAST_WORDS:
             self.outcome = LAST_WORDS[word]
-            self.door.reported(self.server, rest)
+            self.owner.reported(self.server, rest)
 
     @property
     def between_lines(self):
@@ -203,7 +204,7 @@
         self.tell_over(AttemptOutcome.ERROR)
 
 
-class ProbeLink(Machine):
+class ProbeLink(ProtocolMachine):
     """Asks one server for its load, again and again over one connection."""
 
     def __init__(self, server, door, limits, clock):
@@ -217,27 +218,27 @@
         self.asked, self.until = True, until
         self.set_timer(until - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT)
         if self.wire.open:
-            self.wire.send(b"STATS", END)
+            self.wire.send(b"STATS", CRLF)
 
     def connected(self):
-        self.wire.send(b"STATS", END)
+        self.wire.send(b"STATS", CRLF)
 
     def received(self, data):
         self.lines.feed(data)
         try:
-            line = self.lines.next()
-        except Malformed:
+            line = self.lines.next_line()
+        except ProtocolError:
             return self.end(AttemptOutcome.ERROR)
         if line is None:
             return
         word, _, rest = line.partition(b" ")
-        if not self.asked or self.lines.rest or word != b"PONG":
+        if not self.asked or self.lines.unconsumed or word != b"PONG":
             return self.end(
                 AttemptOutcome.AT_CAPACITY if word == b"BUSY" else AttemptOutcome.ERROR
             )
         self.asked, self.used = False, True
         self.set_timer(0.8 * self.limits.probe_idle_timeout_ms, self.end, None)
-        self.door.probed(self, AttemptOutcome.COMPLETED, rest)
+        self.owner.probed(self, AttemptOutcome.COMPLETED, rest)
 
     def ended(self):
         self.gone(AttemptOutcome.RESET)
@@ -250,10 +251,10 @@
     def gone(self, outcome):
         """Servers close links that lie idle, also in the moment in which one is asked again: without a byte of an
         answer that is held against nobody, and the same is asked over a new link."""
-        if self.asked and self.used and not self.lines.rest:
+        if self.asked and self.used and not self.lines.unconsumed:
             self.asked = False
             self.end(None)
-            self.door.probe_again(self.server, self.until)
+            self.owner.probe_again(self.server, self.until)
         else:
             self.end(outcome)
 
@@ -264,6 +265,6 @@
         asked, self.asked = self.asked, False
         self.timer.cancel()
         self.wire.abort()
-        self.door.link_over(self)
+        self.owner.link_over(self)
         if asked:
-            self.door.probed(self, outcome, b"")
+            self.owner.probed(self, outcome, b"")
--- /dev/null
+++ b/wheathill/net/server_socket.py
@@ -0,0 +1,105 @@
+"""A listening TCP socket."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Callable
+from typing import TYPE_CHECKING, Any
+
+from wheathill.log_events import LogEvent
+from wheathill.net.connection import Connection
+from wheathill.net.socket_options import is_readable
+
+if TYPE_CHECKING:
+    from wheathill.net.interfaces import SocketTransport
+
+
+class ServerSocket:
+    """Accepts a few connections at a time.
+
+    So their lines are read before the next ones hold a descriptor: asyncio's own servers
+    accept the whole backlog at once. What can't be accepted waits in the backlog.
+
+    Attributes:
+        sock: the listening socket.
+    """
+
+    def __init__(
+        self,
+        carrier: SocketTransport,
+        make_machine: Callable[[Connection], Any],
+        sock: socket.socket,
+        has_room: Callable[[], bool],
+    ) -> None:
+        """Begin to accept on a socket that listens, while `has_room` says so."""
+        self.sock = sock
+        self._carrier = carrier
+        self._make_machine = make_machine
+        self._has_room = has_room
+        self._resume_timer: asyncio.TimerHandle | None = None
+        self._is_held = False
+        self._is_resting = False  # held only for `accept_pause_ms`
+        # Accepted, but the machine has not been told yet; ordered.
+        self._starting: dict[Connection, None] = {}
+        self.hold(False)
+
+    def hold(self, on: bool) -> None:
+        """Accept nobody for now, or go on; closed stays closed.
+
+        While it is held the system still completes connections into the backlog.
+        """
+        if self.sock.fileno() < 0:
+            return
+        loop = self._carrier.loop
+        self._is_held, self._is_resting = on, False
+        if self._resume_timer:
+            self._resume_timer.cancel()
+        if on:
+            loop.remove_reader(self.sock)
+        else:
+            loop.add_reader(self.sock, self._accept)
+
+    def close(self) -> None:
+        """Accept nobody any more."""
+        self.hold(True)
+        self.sock.close()
+
+    @property
+    def waiting(self) -> bool:
+        """Whether somebody is on the way in: accepted, or yet to be accepted here."""
+        if self._starting:
+            return True
+        is_accepting = not self._is_held or self._is_resting
+        return self.sock.fileno() >= 0 and is_accepting and is_readable(self.sock)
+
+    def _accept(self) -> None:
+        for _ in range(self._carrier.limits.accepts_per_turn):
+            if not self._has_room():
+                self._rest()
+                return
+            try:
+                accepted, _ = self.sock.accept()
+            except (BlockingIOError, ConnectionAbortedError):
+                return
+            except OSError as error:
+                self._carrier.log(
+                    LogEvent.INTERNAL_ERROR, where="accept", what=repr(error)
+                )
+                self._rest()
+                return
+            self._start(accepted)
+
+    def _start(self, accepted: socket.socket) -> None:
+        connection = Connection(self._carrier, self._make_machine)
+        self._starting[connection] = None
+        connection.start_accepted(accepted).add_done_callback(
+            lambda _: self._starting.pop(connection)
+        )
+
+    def _rest(self) -> None:
+        self.hold(True)
+        self._is_resting = True
+        self._resume_timer = self._carrier.loop.call_later(
+            self._carrier.limits.accept_pause_ms / 1000, self.hold, False
+        )
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -10,7 +10,7 @@
 import orjson
 
 from wheathill.config.limits import ProxyLimits
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.environment import Clock
 
 MAX_REQUEST = 65_536  # bytes
@@ -19,7 +19,7 @@
 OnDone = Callable[[dict[str, Any]], None]
 
 
-class ControlConnection(Machine):
+class ControlConnection(ProtocolMachine):
     """One caller.
 
     `handle_request(request, on_done)` calls `on_done` with the reply, now or later.
--- a/wheathill/peers/fallback_probe.py
+++ b/wheathill/peers/fallback_probe.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 
 from wheathill.config.limits import ProxyLimits
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.connections import Connection
 from wheathill.peers.environment import Clock
 from wheathill.peers.membership import ProbeResult
@@ -29,7 +29,7 @@
         self,
         clock: Clock,
         limits: ProxyLimits,
-        connect: Callable[[Machine], Connection],
+        connect: Callable[[ProtocolMachine], Connection],
         on_result: Callable[[ProbeResult], object],
     ) -> None:
         self._clock, self._limits, self._connect = clock, limits, connect
@@ -59,7 +59,7 @@
         self._connections = []
 
 
-class ProbeConnection(Machine):
+class ProbeConnection(ProtocolMachine):
     """A connection that is only to come up."""
 
     def __init__(
--- a/wheathill/peers/streams.py
+++ b/wheathill/peers/streams.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from wheathill.config.limits import ProxyLimits
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.connections import Connection
 from wheathill.peers.environment import Clock
 from wheathill.peers.frames import Frame, FrameAuthenticator, FrameRejectedError
@@ -34,7 +34,7 @@
     limits: ProxyLimits
 
 
-class PeerStream(Machine):
+class PeerStream(ProtocolMachine):
     """What both ends of a stream have in common.
 
     `on_closed` is called with the stream once it is closed.
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from wheathill.net.machine import Machine
+from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.connections import Connection
 from wheathill.peers.environment import PeerEnvironment
 from wheathill.peers.fallback_probe import FallbackProber
@@ -150,7 +150,7 @@
             remote.stream.wire = self._connect(remote.stream, remote.address)
         remote.stream.send(payload)
 
-    def _connect(self, machine: Machine, address: str) -> Connection:
+    def _connect(self, machine: ProtocolMachine, address: str) -> Connection:
         return self._carrier.connect(machine, split_address(address), self._source_host)
 
     def start_fallback_probe(
