--- a/tests/golden_fleet.py
+++ b/tests/golden_fleet.py
@@ -28,14 +28,16 @@
     )
 
 
-def frame_opener(birth: int) -> Callable[[bytes], Any]:
-    """Returns what opens frames for the process of that birth; it raises for those that it does not take."""
-    return frame_authenticator("opener", birth).decode_frame
+def frame_opener(generation: int) -> Callable[[bytes], Any]:
+    """Returns what opens frames for the process of that generation; it raises for those that it does not take."""
+    return frame_authenticator("opener", generation).decode_frame
 
 
-def frame_maker(version: int, name: str, birth: int) -> Callable[[int, list], bytes]:
-    """Returns what makes frames of that process: called with the receiver's birth and the message."""
-    authenticator = frame_authenticator(name, birth)
+def frame_maker(
+    version: int, name: str, generation: int
+) -> Callable[[int, list], bytes]:
+    """Returns what makes frames of that process: called with the receiver's generation and the message."""
+    authenticator = frame_authenticator(name, generation)
     authenticator.version = version
     return authenticator.encode_frame
 
@@ -180,7 +182,7 @@
 
 
 def body_of(frame: bytes) -> list:
-    """Returns [cluster, name, birth, the receiver's birth, counter, message] of one frame."""
+    """Returns [cluster, name, generation, the receiver's generation, counter, message] of one frame."""
     return msgspec.msgpack.decode(frame[HEADER.size :])
 
 
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -134,7 +134,7 @@
             layout=layout,
         )
         proxy = self.proxies[name] = Member(host.clock)
-        birth = (
+        generation = (
             random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
         )
 
@@ -146,7 +146,7 @@
             PeerEnvironment(
                 proxy, VirtualCarrier(host, LIMITS, raise_fault), host.clock, log
             ),
-            birth,
+            generation,
             len(self.zone_of),
         )
         host.clock.soon(peers.start)
--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -45,8 +45,8 @@
 
 def keeps_its_birth():
     begin = PeerService.__init__
-    PeerService.__init__ = lambda self, settings, environment, birth, expected: begin(
-        self, settings, environment, sum(settings.name.encode()), expected
+    PeerService.__init__ = lambda self, settings, environment, generation, expected: (
+        begin(self, settings, environment, sum(settings.name.encode()), expected)
     )
 
 
--- a/wheathill/lab/scale/fleet.py
+++ b/wheathill/lab/scale/fleet.py
@@ -517,11 +517,11 @@
         self.changes[f"change-{change}"] = number, self.since(when)
 
     async def views(self):
-        births = {
-            self.layout.name(number): self.layout.birth(number, start)
+        generations = {
+            self.layout.name(number): self.layout.generation(number, start)
             for number, start in self.starts.items()
         }
-        parts = await self.every("views", births=births)
+        parts = await self.every("views", generations=generations)
         return {
             "right": sum(part["right"] for part in parts),
             "wrong": [one for part in parts for one in part["wrong"]],
--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -106,7 +106,7 @@
         if address not in self:
             number = self.layout.number_at(address.rpartition(":")[0])
             self[address] = self.remote_address(address)
-            self[address].generation = self.layout.birth(number, 1)
+            self[address].generation = self.layout.generation(number, 1)
         return self[address]
 
 
@@ -131,7 +131,7 @@
                     layout.name(other),
                     layout.address(other),
                     0,
-                    layout.birth(other, 1),
+                    layout.generation(other, 1),
                     layout.name(other),
                 )
             ],
@@ -144,7 +144,7 @@
             transport.remote(layout.address(other))
             transport.rate_limiter.allow(now, layout.address(other))
             peers.authenticator.accept_counter(
-                layout.name(other), layout.birth(other, 1), 0
+                layout.name(other), layout.generation(other, 1), 0
             )
     peers.events.log_event = log
     peers.membership.gossip.clear()
@@ -193,7 +193,7 @@
             PeerEnvironment(
                 StandIn(self, crew.servers), self.carrier, self.clock, self.log
             ),
-            layout.birth(self.number, self.starts),
+            layout.generation(self.number, self.starts),
             layout.members,
         )
         for change in range(layout.changes):
@@ -203,7 +203,7 @@
         self.clock.after(wait, peers.start)
 
     def know(self, numbers, full):
-        """As long after a start: views, births and agreement are there."""
+        """As long after a start: views, generations and agreement are there."""
         acquaint(self.peers, self.crew.layout, self.number, numbers, full)
 
     def kill(self):
@@ -383,8 +383,8 @@
             )
         return found
 
-    def do_views(self, births):
-        """Views against the truth, `births` of all that run by name: how many members are right, and the first few that
+    def do_views(self, generations):
+        """Views against the truth, `generations` of all that run by name: how many members are right, and the first few that
         are not, with how many they lack and how many they wrongly count as there."""
         wrong, right = [], 0
         for hollow in self.running():
@@ -393,14 +393,19 @@
                 for member in hollow.peers.membership.active_members()
             }
             meant = {
-                name: birth
-                for name, birth in births.items()
+                name: generation
+                for name, generation in generations.items()
                 if not self.layout.zoned
                 or self.layout.zone(self.layout.number(name))
                 == self.layout.zone(hollow.number)
             }
-            lacks = sum(there.get(name) != birth for name, birth in meant.items())
-            extra = sum(births.get(name) != birth for name, birth in there.items())
+            lacks = sum(
+                there.get(name) != generation for name, generation in meant.items()
+            )
+            extra = sum(
+                generations.get(name) != generation
+                for name, generation in there.items()
+            )
             right += not (lacks or extra)
             if lacks or extra:
                 wrong.append([hollow.name, lacks, extra])
--- a/wheathill/lab/scale/layout.py
+++ b/wheathill/lab/scale/layout.py
@@ -15,7 +15,7 @@
 
 
 @cache
-def birth(seed, number, start):
+def generation(seed, number, start):
     return random.Random(f"{seed}/{number}/birth {start}").getrandbits(48) | 1
 
 
@@ -69,9 +69,9 @@
         """The host of stand-in servers, which is no member's."""
         return f"127.{self.net}.254.1"
 
-    def birth(self, number, start):
+    def generation(self, number, start):
         """No two processes have one; `start` counts those under this name."""
-        return birth(self.seed, number, start)
+        return generation(self.seed, number, start)
 
     def told(self, number):
         """As the operator's file would tell it. Seeds are the first of all, or of its zone."""
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -58,7 +58,7 @@
             )
         )
 
-    def join(self, create, told, environment, _birth, meant):
+    def join(self, create, told, environment, _generation, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
         takes, on_peer_update = proxy.balancer.on_quota_changed, proxy.on_peer_update
 
@@ -80,7 +80,7 @@
         self.peers = create(
             told,
             environment,
-            layout.birth(self.number, self.starts),
+            layout.generation(self.number, self.starts),
             meant,
         )
         if self.together:
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -59,10 +59,10 @@
         self.proxy.start()
 
     def join(self, node, carrier):
-        """As `daemon._start_peers`, but that the number of its birth comes from the seed."""
+        """As `daemon._start_peers`, but that the number of its generation comes from the seed."""
         from wheathill.peers import PeerEnvironment, create_peer_service
 
-        birth = (
+        generation = (
             random.Random(
                 f"{self.world.seed}/{self.name}/birth {self.starts}"
             ).getrandbits(48)
@@ -71,7 +71,7 @@
         self.proxy.peers = create_peer_service(
             self.told,
             PeerEnvironment(self.proxy, carrier, self.host.clock, self.log),
-            birth,
+            generation,
             node.policy.proxy_count,
         )
         if self.odd and self.odd.version:
