--- a/wheathill/peers/status_view.py
+++ b/wheathill/peers/status_view.py
@@ -1,4 +1,4 @@
-"""The status of a proxy among its peers, as the command gets it over the control socket.
+"""The status of a proxy among its peers, as it replies over the control socket.
 
 Each class is decoded from one object of the reply; keys of the reply are those that
 operators see.
