--- a/wheathill/policy/outlier_detection.py
+++ b/wheathill/policy/outlier_detection.py
@@ -108,15 +108,15 @@
         among the last results doubles the wait for the next trial.
         """
         since_ms = now_ms - RESULT_LIFETIME_MS
-        results = [
-            (at_ms, succeeded)
+        failures_ms = [
+            at_ms
             for at_ms, succeeded in server.recent_results
-            if at_ms > since_ms
+            if at_ms > since_ms and not succeeded
         ]
-        failures_ms = [at_ms for at_ms, succeeded in results if not succeeded]
-        if len(failures_ms) < MIN_FAILURES or MAX_RESULTS_PER_FAILURE * len(
-            failures_ms
-        ) < len(results):
+        if len(failures_ms) < MIN_FAILURES:
+            return False
+        results = [result for result in server.recent_results if result[0] > since_ms]
+        if MAX_RESULTS_PER_FAILURE * len(failures_ms) < len(results):
             return False
         last_failure_ms = failures_ms[-1]
         for at_ms, succeeded in results:
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -245,41 +245,35 @@
         )
 
     def _has_capacity(self, now_ms: float, session: Session, server: Server) -> bool:
-        return (
-            self._has_expected_load(now_ms, session, server)
-            and self._load_estimator.expected_load(now_ms, server)
-            < self._load_estimator.overload_threshold
-            * self._threshold_share(session, server)
-            and not self._load_estimator.is_late(now_ms, server)
-        )
-
-    def _has_expected_load(
-        self,
-        now_ms: float,
-        session: Session,
-        server: Server,
-    ) -> bool:
-        """Whether the load of a server is known, or may be taken for low.
+        """Whether a server can be expected to have capacity for the session.
 
-        Of an unknown server after others had no capacity the same is to be expected:
-        given attempts all the same, such servers took what no other had capacity for,
-        and each new holder of a group added its cost to a full fleet.
+        Of a server whose load is not known, after others had no capacity, the same is
+        to be expected: given attempts all the same, such servers took what no other had
+        capacity for, and each new holder of a group added its cost to a full fleet.
         """
-        return (
-            server is session.preferred_server
-            or not self._probe_scheduler.is_enabled
-            or not self._load_estimator.reports_utilisation
-            or self._load_estimator.load(now_ms, server) is not None
-        )
+        estimator = self._load_estimator
+        if (
+            server is not session.preferred_server
+            and self._probe_scheduler.is_enabled
+            and estimator.reports_utilisation
+            and estimator.load(now_ms, server) is None
+        ):
+            return False
+        threshold = estimator.overload_threshold
+        if session.group is not None:
+            threshold *= self._group_threshold_share(session, server)
+        return estimator.expected_load(
+            now_ms, server
+        ) < threshold and not estimator.is_late(now_ms, server)
 
-    def _threshold_share(self, session: Session, server: Server) -> float:
-        """Return the part of the overload threshold that counts for this session.
+    def _group_threshold_share(self, session: Session, server: Server) -> float:
+        """Return the part of the overload threshold that counts for a group's session.
 
         A server that holds the session's group takes another member for far less than
         one that does not. What is not held through this proxy is likely held through
         others, where its slot leads.
         """
-        if session.group is None or server in self._group_holders(session):
+        if server in self._group_holders(session):
             return 1.0
         return max(
             GROUP_THRESHOLD_MIN_SHARE,
