--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -5,7 +5,6 @@
 
 import pytest
 
-from wheathill.log_events import LogEvent
 from wheathill.log_events import LogEvent
 from wheathill.model import Phase, Server
 from wheathill.peers.cluster_view import ClusterView, ClusterViewConfig, ViewState
@@ -58,7 +57,7 @@
         self.balancer = self
         self.updates, self.verdicts = [], []
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         self.updates.append((server.name, phase, born))
 
     def on_peer_health_reports(self, now_ms, failing, here):
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -40,7 +40,7 @@
         server.started_ms = entry.process_start_ms
         server.listed_phase = entry.phase
 
-    def told_by_peers(self, server, phase, born):
+    def on_peer_update(self, server, phase, born):
         if server.listed_phase is not phase:
             server.listed_phase = phase
             self.told.setdefault((server.name, phase.value), self.clock.now())
@@ -134,7 +134,7 @@
             layout=layout,
         )
         proxy = self.proxies[name] = Member(host.clock)
-        birth = (
+        generation = (
             random.Random(f"{self.seed}/{name}/{self.starts[name]}").getrandbits(48) | 1
         )
 
@@ -146,7 +146,7 @@
             PeerEnvironment(
                 proxy, VirtualCarrier(host, LIMITS, raise_fault), host.clock, log
             ),
-            birth,
+            generation,
             len(self.zone_of),
         )
         host.clock.soon(peers.start)
--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -39,7 +39,9 @@
         wheathill.peers.create_peer_service = partial(
             self.join, wheathill.peers.create_peer_service
         )
-        node = daemon.allow_sockets(operator.read_operator_config(self.crew.path))
+        node = daemon.raise_descriptor_limit(
+            operator.read_operator_config(self.crew.path)
+        )
         self.crew.log_line = Log(
             node.name,
             node.limits.max_queued_log_lines,
@@ -56,9 +58,9 @@
             )
         )
 
-    def join(self, create, told, environment, _birth, meant):
+    def join(self, create, told, environment, _generation, meant):
         layout, crew, proxy = self.crew.layout, self.crew, environment.proxy
-        takes, told_by_peers = proxy.balancer.on_quota_changed, proxy.told_by_peers
+        takes, on_peer_update = proxy.balancer.on_quota_changed, proxy.on_peer_update
 
         def on_quota_changed(now, share):
             self.takes(now, share)
@@ -66,16 +68,19 @@
 
         def told_of(server, phase, born):
             self.told_of(server.name, phase, born)
-            told_by_peers(server, phase, born)
+            on_peer_update(server, phase, born)
 
-        proxy.balancer.on_quota_changed, proxy.told_by_peers = on_quota_changed, told_of
+        proxy.balancer.on_quota_changed, proxy.on_peer_update = (
+            on_quota_changed,
+            told_of,
+        )
         if crew.shape:
             carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
             environment = replace(environment, carrier=carrier)
         self.peers = create(
             told,
             environment,
-            layout.birth(self.number, self.starts),
+            layout.generation(self.number, self.starts),
             meant,
         )
         if self.together:
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -6,7 +6,7 @@
 
 from wheathill.config.platform import build_node_config
 from wheathill.lab.worlds.network import VirtualCarrier, VirtualHost
-from wheathill.net.operators import OperatorsDoor
+from wheathill.net.admin.server import AdminServer
 
 
 class Seat:
@@ -37,8 +37,8 @@
 
     def open_to_operators(self, carrier):
         if self.calls:
-            door = OperatorsDoor(self.proxy)
-            carrier.listen(door.call, self.admin, door.room)
+            server = AdminServer(self.proxy)
+            carrier.listen(server.accept, self.admin, server.make_room)
 
     @property
     def running(self):
@@ -59,10 +59,10 @@
         self.proxy.start()
 
     def join(self, node, carrier):
-        """As `daemon.join`, but that the number of its birth comes from the seed."""
+        """As `daemon._start_peers`, but that the number of its generation comes from the seed."""
         from wheathill.peers import PeerEnvironment, create_peer_service
 
-        birth = (
+        generation = (
             random.Random(
                 f"{self.world.seed}/{self.name}/birth {self.starts}"
             ).getrandbits(48)
@@ -71,7 +71,7 @@
         self.proxy.peers = create_peer_service(
             self.told,
             PeerEnvironment(self.proxy, carrier, self.host.clock, self.log),
-            birth,
+            generation,
             node.policy.proxy_count,
         )
         if self.odd and self.odd.version:
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: lets sessions in, and gives the final answer when no later stage could."""
+"""Admission control: lets sessions in, and gives the final answer at last."""
 
 import math
 from collections.abc import Callable
@@ -98,7 +98,7 @@
         self.limit_reduced_ms = now_ms
         self._space_admissions(now_ms)
         self._effects.log(
-            f"store: at most {self.concurrency_limit:.2g} set-ups at once",
+            f"admission: at most {self.concurrency_limit:.2g} concurrent set-ups",
         )
 
     def on_failed(
