--- a/wheathill/net/__init__.py
+++ b/wheathill/net/__init__.py
@@ -1,1 +1,1 @@
-"""The proxy on sockets: state machines that are fed bytes, a driver, and what joins them to the decisions."""
+"""The proxy on sockets: protocol state machines, what feeds them, and their wiring."""
--- a/wheathill/net/clock.py
+++ b/wheathill/net/clock.py
@@ -8,8 +8,8 @@
 class Clock:
     """A monotonic clock in milliseconds.
 
-    The offset to wall time is determined once, so that a wall time, as a server's start,
-    keeps one monotonic value for good.
+    The offset to wall time is determined once, so that a wall time, as a server's
+    start, keeps one monotonic value for good.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -28,7 +28,8 @@
 
     Attributes:
         carrier: the transport that it belongs to.
-        machine: the protocol state machine that it feeds, `NoMachine` once it has closed.
+        machine: the protocol state machine that it feeds, `NoMachine` once it has
+            closed.
         transport: asyncio's, once the connection is established.
         full: whether bytes wait to be sent.
         refused: whether the host was there, and nothing listened.
@@ -118,8 +119,8 @@
         if self.over:
             transport.abort()
             return
-        # Nothing may lie in the buffer unnoticed: a line counts as sent when its last byte
-        # has left.
+        # Nothing may lie in the buffer unnoticed: a line counts as sent when its last
+        # byte has left.
         transport.set_write_buffer_limits(high=0)
         enable_keep_alive(
             transport.get_extra_info("socket"), self.carrier.limits.keepalive_idle_ms
@@ -148,8 +149,8 @@
     def eof_received(self) -> bool:
         """Tell the machine once; return whether the transport stays open.
 
-        Once both sides have finished the connection closes; until then the other direction
-        goes on.
+        Once both sides have finished the connection closes; until then the other
+        direction goes on.
         """
         # A reader that was paused and resumed is told of the same end again.
         if not self.ended and not self.parted:
@@ -183,7 +184,8 @@
     def _release_machine(self) -> None:
         """Leave no cycle of references; nothing is called any more.
 
-        None of the transport's own is left either: asyncio's keeps a bound method of itself.
+        None of the transport's own is left either: asyncio's keeps a bound method of
+        itself.
         """
         machine, self.machine = self.machine, NoMachine
         machine.let_go()
@@ -217,7 +219,7 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether it is open both ways, with no byte on its way through this process."""
+        """Whether it is open both ways, and no byte is on its way through here."""
         return (
             self.open
             and not self.finished
@@ -293,8 +295,8 @@
     def part(self) -> None:
         """Close gracefully; the machine is told nothing any more.
 
-        If the socket was closed at once, bytes that the peer sent meanwhile would make the
-        kernel reset the connection, and the last line might be lost with it. Where
+        If the socket was closed at once, bytes that the peer sent meanwhile would make
+        the kernel reset the connection, and the last line might be lost with it. Where
         descriptors run out it is closed at once.
         """
         if not self.open:
@@ -323,7 +325,7 @@
             self.transport.abort()
 
     def abort(self, reset: bool = False) -> None:
-        """Close at once, with a TCP reset where `reset` is set; drop what was not sent."""
+        """Close at once, with a TCP reset if so wished; drop what was not sent."""
         if self.over:
             return
         self.over = True
--- a/wheathill/net/descriptor_passing.py
+++ b/wheathill/net/descriptor_passing.py
@@ -1,4 +1,4 @@
-"""Messages with descriptors on Unix sockets (SCM_RIGHTS), which asyncio's transports lack."""
+"""Messages with descriptors on Unix sockets (SCM_RIGHTS), which asyncio lacks."""
 
 import array
 import socket
--- a/wheathill/net/garbage.py
+++ b/wheathill/net/garbage.py
@@ -1,16 +1,16 @@
 """Keeps collections of garbage short, however much is open.
 
-What a proxy has closed is freed by its references alone. The collector is left with what
-faults and libraries leave behind; but a full collection walks over all that is open, and
-the loop stands meanwhile. So each object is walked over by one full collection only: what
-was allocated since the last one is all that the next one meets.
+What a proxy has closed is freed by its references alone. The collector is left with
+what faults and libraries leave behind; but a full collection walks over all that is
+open, and the loop stands meanwhile. So each object is walked over by one full
+collection only: what was allocated since the last one is all that the next one meets.
 """
 
 import gc
 
-# Allocations, and collections of the next younger generation, that start a collection. The
-# interpreter's own thresholds but for the last (10): some 30,000 objects between two full
-# collections.
+# Allocations, and collections of the next younger generation, that start a collection.
+# The interpreter's own thresholds but for the last (10): some 30,000 objects between
+# two full collections.
 YOUNG_THRESHOLD = 700
 MIDDLE_THRESHOLD = 10
 FULL_THRESHOLD = 3
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -1,7 +1,7 @@
 """The interfaces between the proxy and whatever carries its bytes.
 
-`net` implements them on sockets and on the loop's clock, the lab in virtual time and with
-modelled networks.
+`net` implements them on sockets and on the loop's clock, the lab in virtual time and
+with modelled networks.
 """
 
 import asyncio
@@ -112,7 +112,7 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether it is open both ways, with no byte on its way through this process."""
+        """Whether it is open both ways, and no byte is on its way through here."""
 
     @property
     def drained(self) -> bool:
@@ -206,7 +206,8 @@
         log: writes an event.
         sockets: descriptors that the connections hold.
         lent: descriptors that the process which this one takes over from holds still.
-        parting: connections that their machines have closed, until the sockets are closed.
+        parting: connections that their machines have closed, until the sockets are
+            closed.
     """
 
     limits: ProxyLimits
--- a/wheathill/net/open_request.py
+++ b/wheathill/net/open_request.py
@@ -16,8 +16,8 @@
 
     The line stays as it was received, and only the position of the value `d` is noted.
     It is checked whole before anything is taken from it: servers answer what they can't
-    use with ERR, and a session that is tried at every server would make all of them look
-    ill.
+    use with ERR, and a session that is tried at every server would make all of them
+    look ill.
 
     Attributes:
         line: as received, without its end.
@@ -48,8 +48,8 @@
     def encode(self, remaining_ms: float) -> tuple[bytes, ...]:
         """Return the line for a server, in pieces to be written together.
 
-        It is as the client sent it, but for `d`, where the client gave one: that becomes
-        the time that remains.
+        It is as the client sent it, but for `d`, where the client gave one: that
+        becomes the time that remains.
         """
         if self._timeout_start is None:
             return self.line, CRLF
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -1,4 +1,4 @@
-"""The base of all protocol state machines: bytes in, calls to an owner and bytes out."""
+"""The base of all protocol state machines, which are fed bytes."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
 class ProtocolMachine:
     """A state machine of one connection.
 
-    It is fed by the connection, of which it uses only `send`, `finish`, `part`, `abort` and
-    `hold`, and reports what it finds to its owner. It has one timer at a time.
+    It is fed by the connection, of which it uses only `send`, `finish`, `part`, `abort`
+    and `hold`, and reports what it finds to its owner. It has one timer at a time.
 
     Attributes:
         owner: who is told what the machine finds.
@@ -51,7 +51,8 @@
         self.timer = self.clock.after(delay_ms, self._on_timer, call, *args)
 
     def _on_timer(self, call: Callable[..., object], *args: object) -> None:
-        # A timer that has expired still holds its call, and so the machine that holds it.
+        # A timer that has expired still holds its call, and so the machine that holds
+        # it.
         self.timer = NoTimer
         call(*args)
 
@@ -59,8 +60,9 @@
     def held_back(self) -> bool:
         """Whether the connection is not to be attempted yet.
 
-        Asked right before the attempt, and a turn of the loop later again: what lies unread
-        in this process may be against it. A machine that finds so ends its connection.
+        Asked right before the attempt, and a turn of the loop later again: what lies
+        unread in this process may be against it. A machine that finds so ends its
+        connection.
         """
         return False
 
@@ -80,7 +82,7 @@
         """Bytes wait to be sent, or no longer."""
 
     def lost(self, reset: bool) -> None:
-        """The connection is over, or was never established; no other callback follows."""
+        """The connection is over, or was never established; nothing else follows."""
 
     def fault(self) -> None:
         """One of the callbacks above has raised an exception."""
@@ -88,8 +90,9 @@
     def let_go(self) -> None:
         """The connection has closed and calls nothing any more.
 
-        It is called also where `lost` was not. What holds this machine in turn is given up
-        here: the loop would stand for as long as the collector took to find such cycles.
+        It is called also where `lost` was not. What holds this machine in turn is given
+        up here: the loop would stand for as long as the collector took to find such
+        cycles.
         """
 
 
--- a/wheathill/net/server_socket.py
+++ b/wheathill/net/server_socket.py
@@ -18,8 +18,9 @@
 class ServerSocket:
     """Accepts a few connections at a time.
 
-    So their lines are read before the next ones hold a descriptor: asyncio's own servers
-    accept the whole backlog at once. What can't be accepted waits in the backlog.
+    So their lines are read before the next ones hold a descriptor: asyncio's own
+    servers accept the whole backlog at once. What can't be accepted waits in the
+    backlog.
 
     Attributes:
         sock: the listening socket.
--- a/wheathill/net/socket_options.py
+++ b/wheathill/net/socket_options.py
@@ -19,8 +19,8 @@
 ) -> socket.socket:
     """Return a non-blocking socket that listens; raises OSError.
 
-    One that is inherited is shared with other processes: it is taken as it is, and is not
-    handed on.
+    One that is inherited is shared with other processes: it is taken as it is, and is
+    not handed on.
     """
     if inherited_descriptor is not None:
         sock = socket.socket(fileno=inherited_descriptor)
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -1,4 +1,4 @@
-"""The sockets of one proxy process: connections, servers and datagrams on an asyncio loop."""
+"""The sockets of one proxy process: connections, servers and datagrams."""
 
 from __future__ import annotations
 
@@ -30,13 +30,13 @@
         loop: the event loop.
         limits: sizes, counts and times of the proxy.
         log: writes an event.
-        buffer: the receive buffer of all connections. One is enough: a machine has consumed
-            what was received before the next read begins.
+        buffer: the receive buffer of all connections. One is enough: a machine has
+            consumed what was received before the next read begins.
         sockets: descriptors that the connections hold.
-        lent: descriptors that count here though the process that this one takes over from
-            holds them still.
-        parting: connections that their machines have closed, until the sockets are closed;
-            ordered.
+        lent: descriptors that count here though the process that this one takes over
+            from holds them still.
+        parting: connections that their machines have closed, until the sockets are
+            closed; ordered.
     """
 
     def __init__(
@@ -120,5 +120,5 @@
         name: str,
         make_machine: Callable[[UnixConnection], Any],
     ) -> UnixConnection:
-        """Connect to another process's Unix socket; raises OSError where none listens."""
+        """Connect to another process; raises OSError where none listens."""
         return connect_unix(self, directory, name, make_machine)
--- a/wheathill/net/unix_connection.py
+++ b/wheathill/net/unix_connection.py
@@ -24,8 +24,8 @@
 class SocketDirectory:
     """Short paths for the Unix sockets of a directory.
 
-    Their paths are limited to some 100 bytes: within the context, a name stands for a path
-    by way of the directory's descriptor.
+    Their paths are limited to some 100 bytes: within the context, a name stands for a
+    path by way of the directory's descriptor.
     """
 
     def __init__(self, path: str | None) -> None:
--- a/wheathill/peers/environment.py
+++ b/wheathill/peers/environment.py
@@ -5,22 +5,7 @@
 from typing import Any, Protocol
 
 from wheathill.model import Phase, Server
-
-
-class Clock(Protocol):
-    """Monotonic milliseconds, and timers."""
-
-    def now(self) -> float:
-        """Return the present time."""
-
-    def to_wall(self, when: float) -> float:
-        """Return a monotonic time as Unix time."""
-
-    def at(self, when: float, call: Callable[..., object], *args: object) -> object:
-        """Call at a time."""
-
-    def after(self, wait: float, call: Callable[..., object], *args: object) -> object:
-        """Call after so many milliseconds."""
+from wheathill.net.interfaces import Clock
 
 
 class Closeable(Protocol):
