--- a/tests/test_scale_data.py
+++ b/tests/test_scale_data.py
@@ -180,6 +180,11 @@
     )
 
 
+def restore_interrupts():
+    """In a child: a shell's background job has SIGINT ignored, and hands that on."""
+    signal.signal(signal.SIGINT, signal.SIG_DFL)
+
+
 @pytest.mark.processes
 @pytest.mark.parametrize("end", (signal.SIGKILL, signal.SIGINT))
 def test_nothing_is_left_of_a_tool_that_was_ended(end):
@@ -198,6 +203,7 @@
         stdout=subprocess.DEVNULL,
         stderr=subprocess.DEVNULL,
         cwd=ROOT,
+        preexec_fn=restore_interrupts,
     )
     try:
         until(lambda: len(children(process.pid)) >= 3)  # two stand-ins and the proxy
