--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -2,6 +2,7 @@
 order, in one turn of the loop where need be."""
 
 import json
+import select
 import time
 
 import pytest
@@ -353,6 +354,7 @@
         turns.chunk(watch, json.dumps(found) + "\n")
         time.sleep(0.02)
         turns.for_ms(30)
+        turns.until(lambda: select.select([old], [], [], 0)[0])
         there = Peer(turns, "old address", old.accept()[0])
         assert turns.hears(there).startswith("OPEN") == was_sent
         assert turns.sent() == was_sent
