--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 JOBS ?= 4
 READY := $(VENV)/.ready
 
-.PHONY: run test same same-quick
+.PHONY: run test same same-quick same-simulator
 
 run: $(READY)
 	$(VENV)/bin/python -m wheathill lab run experiments/first.toml --world sockets --report found
@@ -21,6 +21,10 @@
 same-quick: $(READY)
 	$(VENV)/bin/python tests/exactness/play.py compare --quick --jobs $(JOBS)
 
+# The same of a site's days: make same-simulator LBSIM=PROGRAM SITE=SITE.toml
+same-simulator: $(READY)
+	LBSIM=$(LBSIM) SITE=$(SITE) $(VENV)/bin/python tests/exactness/simulator.py compare
+
 $(READY): requirements.txt requirements-lab.txt requirements-test.txt
 	$(PYTHON) -m venv $(VENV)
 	$(VENV)/bin/pip -q install -r requirements.txt -r requirements-lab.txt -r requirements-test.txt
