--- a/wheathill/config/limits.py
+++ b/wheathill/config/limits.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from wheathill.model import LIST_POLL_MAX_MS
+from wheathill.model import MAX_LIST_POLL_INTERVAL_MS
 
 # Memory of the program itself, in MB, before any connection or list.
 PROGRAM_MEMORY_MB = 22.0
@@ -122,7 +122,7 @@
     # Where one service answers all proxies: the first wait after a failure, doubled by
     # each further one up to the longest; half of it is drawn by chance. 0 elsewhere.
     watch_backoff_ms: float = 0.0
-    max_watch_backoff_ms: float = LIST_POLL_MAX_MS
+    max_watch_backoff_ms: float = MAX_LIST_POLL_INTERVAL_MS
 
     # Shutdown
 
--- a/wheathill/config/platform.py
+++ b/wheathill/config/platform.py
@@ -23,7 +23,7 @@
 from wheathill.config.node import NodeConfig
 from wheathill.config.policy_settings import read_policy
 from wheathill.config.settings_reader import SettingsReader
-from wheathill.model import LIST_CALL_MS, Listener
+from wheathill.model import ENDPOINT_LIST_CALL_MS, Listener
 from wheathill.policy.settings import PolicySettings
 
 NO_ENVIRONMENT = EnvironmentDefaults()
@@ -166,7 +166,7 @@
         return _WatchTiming(hedge_delay_ms, min_interval_ms)
     # Not an agent beside each proxy: what refuses calls that come too often would never
     # be left alone.
-    half_turn_ms = policy.proxy_count * LIST_CALL_MS / 2
+    half_turn_ms = policy.proxy_count * ENDPOINT_LIST_CALL_MS / 2
     return _WatchTiming(
         hedge_delay_ms=ProxyLimits.max_watch_backoff_ms,
         min_interval_ms=min_interval_ms,
--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -14,10 +14,10 @@
 
 # How long one call may occupy a list service that all proxies poll, in ms. The proxies
 # spread their polls over this time multiplied by their number.
-LIST_CALL_MS = 40.0
+ENDPOINT_LIST_CALL_MS = 40.0
 # The longest pause between two polls of the endpoint list, in ms: two polls have to fit
 # into the 6 s after which a change counts as known.
-LIST_POLL_MAX_MS = 2750.0
+MAX_LIST_POLL_INTERVAL_MS = 2750.0
 
 
 T = TypeVar("T")
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from wheathill.model import (
-    LIST_CALL_MS,
-    LIST_POLL_MAX_MS,
+    ENDPOINT_LIST_CALL_MS,
+    MAX_LIST_POLL_INTERVAL_MS,
     POLL_TIMER,
     EndpointEntry,
     Phase,
@@ -71,8 +71,12 @@
         self._drain_grace_ms = settings.drain_grace_ms
         self._uses_weights = settings.uses_weights
         self._absence_removes = settings.absence_removes
-        self._max_spread_ms = min(settings.poll_interval_ms / 2, LIST_POLL_MAX_MS)
-        self.poll_spread_ms = min(self._max_spread_ms, proxy_count * LIST_CALL_MS)
+        self._max_spread_ms = min(
+            settings.poll_interval_ms / 2, MAX_LIST_POLL_INTERVAL_MS
+        )
+        self.poll_spread_ms = min(
+            self._max_spread_ms, proxy_count * ENDPOINT_LIST_CALL_MS
+        )
         self.servers: dict[Server, None] = {}
         self.maintenance_since_ms: dict[str, float] = {}
         self.maintenance_ended_ms: dict[str, MaintenancePeriod] = {}
@@ -100,7 +104,7 @@
 
     def set_quota(self, quota: float) -> None:
         """Spread the polls by this proxy's part of what all proxies may do together."""
-        spread_ms = LIST_CALL_MS / max(quota, MIN_QUOTA)
+        spread_ms = ENDPOINT_LIST_CALL_MS / max(quota, MIN_QUOTA)
         self.poll_spread_ms = min(self._max_spread_ms, spread_ms)
 
     def _on_poll_failed(self, now_ms: float) -> None:
@@ -112,7 +116,7 @@
         self._end_poll(is_watching=False, failed_polls=self._failed_polls + 1)
         doublings = min(self._failed_polls, MAX_BACKOFF_DOUBLINGS)
         first_ms = max(MIN_BACKOFF_MS, self.poll_spread_ms / 2)
-        wait_ms = min(LIST_POLL_MAX_MS, first_ms * 2.0**doublings)
+        wait_ms = min(MAX_LIST_POLL_INTERVAL_MS, first_ms * 2.0**doublings)
         delay_ms = wait_ms * self._uniform(0.5, 1.0)
         self._effects.set_timer(POLL_TIMER, now_ms + delay_ms)
 
