--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -238,7 +238,12 @@
                         >= balancer.load_estimator.overload_threshold
                     ),
                 ),
-                ("late", lambda server: balancer.load_estimator.is_late(now, server)),
+                (
+                    "late",
+                    lambda server: balancer.load_estimator.has_late_messages(
+                        now, server
+                    ),
+                ),
                 (
                     "failing",
                     lambda server: balancer.outlier_detector.is_failing(now, server),
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -231,7 +231,7 @@
                 MAX_CORRECTION, server.report_correction * factor
             )
 
-    def is_late(self, now_ms: float, server: Server) -> bool:
+    def has_late_messages(self, now_ms: float, server: Server) -> bool:
         """Return whether messages there miss their latency objective.
 
         It is known without any probe, and means that the server is at its capacity; by
@@ -249,7 +249,9 @@
         messages are not noticed nothing speaks against a report.
         """
         for server in servers:
-            if server.report_correction > 1.0 and not self.is_late(now_ms, server):
+            if server.report_correction > 1.0 and not self.has_late_messages(
+                now_ms, server
+            ):
                 decay = (
                     CORRECTION_DECAY_WITH_SESSIONS
                     if server.sessions
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -118,7 +118,9 @@
         threshold = self._load_estimator.overload_threshold
         has_room = sum(threshold - load for load in loads.values()) > 0
         late = [
-            server for server in servers if self._load_estimator.is_late(now_ms, server)
+            server
+            for server in servers
+            if self._load_estimator.has_late_messages(now_ms, server)
         ]
         min_load = MIGRATION_LOAD if has_room else FULL_LOAD
         for server in dict.fromkeys(chain(loads, late)):
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -235,7 +235,7 @@
         age_ms = self._load_estimator.sample_age_ms(now_ms, server)
         return (
             age_ms > RECENT_LOAD_MS
-            and not self._load_estimator.is_late(now_ms, server)
+            and not self._load_estimator.has_late_messages(now_ms, server)
             and (
                 age_ms > FULL_SERVER_LIFETIME_MS
                 or self._has_capacity(now_ms, session, server)
@@ -264,7 +264,7 @@
             threshold *= self._group_threshold_share(session, server)
         return estimator.expected_load(
             now_ms, server
-        ) < threshold and not estimator.is_late(now_ms, server)
+        ) < threshold and not estimator.has_late_messages(now_ms, server)
 
     def _group_threshold_share(self, session: Session, server: Server) -> float:
         """Return the part of the overload threshold that counts for a group's session.
