--- a/wheathill/config/policy_settings.py
+++ b/wheathill/config/policy_settings.py
@@ -63,8 +63,8 @@
     endpoint_list = read_endpoint_list(settings, duties)
     slow_start = read_slow_start(duties)
     max_attempts = limits.count("maxDials", 1)
-    crossing_price = sections.prices.number("crossZone", 0.0)
-    migration_price = sections.prices.number("moves", 0.0)
+    cross_zone_cost = sections.prices.number("crossZone", 0.0)
+    migration_cost = sections.prices.number("moves", 0.0)
     retry_budget = read_retry_budget(duties)
     # Arguments are read in the order in which they stand here.
     return PolicySettings(
@@ -74,7 +74,7 @@
         max_retry_after_ms=read_max_retry_after(limits),
         load_estimator=read_load_estimator(settings, sections.goal, report_fields),
         slot_table=SlotTableSettings(
-            read_slot_count(settings), zone, crossing_price, migration_price
+            read_slot_count(settings), zone, cross_zone_cost, migration_cost
         ),
         is_passthrough=settings.child("familyInfo").text("mode", "proxy") == "pass",
         proxy_count=proxy_count,
--- a/wheathill/policy/settings.py
+++ b/wheathill/policy/settings.py
@@ -33,14 +33,14 @@
     Attributes:
         slot_count: the size of the table, a power of two; the same at all proxies.
         zone: the index of this proxy's zone.
-        crossing_price: what a session at another zone's server costs.
-        migration_price: what the migration of a session costs.
+        cross_zone_cost: what a session at another zone's server costs.
+        migration_cost: what the migration of a session costs.
     """
 
     slot_count: int = 4096
     zone: int = 0
-    crossing_price: float = 0.0
-    migration_price: float = 0.0
+    cross_zone_cost: float = 0.0
+    migration_cost: float = 0.0
 
     @property
     def own_zone_weight(self) -> float:
@@ -49,9 +49,9 @@
         Tables that differ by zone cost resets where a connection's packets come to
         another zone, so it must pay well against migrating clients.
         """
-        if not self.migration_price:
+        if not self.migration_cost:
             return 1.0
-        ratio = self.crossing_price / (2 * self.migration_price)
+        ratio = self.cross_zone_cost / (2 * self.migration_cost)
         return min(MAX_OWN_ZONE_WEIGHT, max(1.0, ratio))
 
 
