--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -560,7 +560,7 @@
 def gone_does_not_bind():
     d = Drive(
         loads=dict.fromkeys(FLEET, 0.3),
-        endpoint_list=replace(USUAL.endpoint_list, absence_removes=False),
+        endpoint_list=replace(USUAL.endpoint_list, removes_unlisted_servers=False),
     )
     d.list(*FLEET, kind=UpdateKind.CACHED)
     d.list(("a", Phase.GONE), ("b", Phase.DRAINING))
--- a/wheathill/config/policy_settings.py
+++ b/wheathill/config/policy_settings.py
@@ -69,7 +69,7 @@
     # Arguments are read in the order in which they stand here.
     return PolicySettings(
         endpoint_list=replace(
-            endpoint_list, absence_removes=not duties.flag("onlyDrainingBinds")
+            endpoint_list, removes_unlisted_servers=not duties.flag("onlyDrainingBinds")
         ),
         max_retry_after_ms=read_max_retry_after(limits),
         load_estimator=read_load_estimator(settings, sections.goal, report_fields),
--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -70,7 +70,7 @@
         self._is_polled = settings.is_polled
         self._drain_grace_ms = settings.drain_grace_ms
         self._uses_weights = settings.uses_weights
-        self._absence_removes = settings.absence_removes
+        self._removes_unlisted_servers = settings.removes_unlisted_servers
         self._max_spread_ms = min(
             settings.poll_interval_ms / 2, MAX_LIST_POLL_INTERVAL_MS
         )
@@ -243,7 +243,7 @@
         One that was seen draining is never ready here, so nothing that is missing from
         a list brings it back.
         """
-        if phase is Phase.GONE and not self._absence_removes:
+        if phase is Phase.GONE and not self._removes_unlisted_servers:
             server.is_removal_unconfirmed = True
         else:
             self._remove(now_ms, server, phase, left)
--- a/wheathill/policy/settings.py
+++ b/wheathill/policy/settings.py
@@ -1,40 +1,42 @@
-"""What a balancer is configured with, grouped by the part that each value is for.
+"""Configuration of a balancer, grouped by the component that uses it.
 
-`wheathill.config` builds these from the settings of a proxy. Numbers that no setting
-changes are constants of the module that uses them, but for those below, which several
-parts share.
+`wheathill.config` builds these objects from the settings of a proxy. Values that are
+not configurable are constants of the module that uses them; the constants below are
+shared by several modules.
 """
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-# The interval of the policy's own timer, in ms. Load is probed, slots are shifted and
-# sessions are migrated once in it.
+# Interval between two ticks, in ms. Each tick schedules probes, shifts slots and
+# migrates sessions.
 TICK_INTERVAL_MS = 1000.0
-# How long a connection usually lasts, in ms: what a shift of slots takes to show.
+# Typical lifetime of a connection, in ms, and so the time until a shift of slots has
+# taken effect.
 CONNECTION_LIFETIME_MS = 10_000.0
-# A session that is reset sooner after its set-up than this, in ms, counts as a set-up
-# that failed; a trial that stands longer than a part of it ends an outlier's ejection.
+# A session that is reset within this time after its set-up, in ms, counts as a failed
+# set-up. A trial session that stays open for a fraction of it ends an outlier's
+# ejection.
 EARLY_RESET_MS = 5000.0
 
-# An own-zone server counts for so many others at the most.
+# Maximum weight of a server in the proxy's own zone, relative to other zones.
 MAX_OWN_ZONE_WEIGHT = 8.0
 
-# The load at which messages begin to miss their latency objective, as a part of full
-# capacity; and how much of it is given up where each lost session counts fully.
+# The load at which messages begin to miss their latency objective, as a fraction of
+# full capacity, and the reduction of it where lost sessions have full weight.
 BASE_OVERLOAD_THRESHOLD = 0.8
 LOSS_MARGIN = 0.3
 
 
 @dataclass(frozen=True)
 class SlotTableSettings:
-    """How sessions are mapped to servers.
+    """Settings of the slot table, which maps sessions to servers.
 
     Attributes:
-        slot_count: the size of the table, a power of two; the same at all proxies.
+        slot_count: the number of slots, a power of two; the same at all proxies.
         zone: the index of this proxy's zone.
-        cross_zone_cost: what a session at another zone's server costs.
-        migration_cost: what the migration of a session costs.
+        cross_zone_cost: the cost of a session at a server of another zone.
+        migration_cost: the cost of migrating a session.
     """
 
     slot_count: int = 4096
@@ -44,10 +46,10 @@
 
     @property
     def own_zone_weight(self) -> float:
-        """How much more an own-zone server weighs than one of another zone.
+        """The weight of a server in the own zone, relative to one in another zone.
 
-        Tables that differ by zone cost resets where a connection's packets come to
-        another zone, so it must pay well against migrating clients.
+        Slot tables that differ by zone cause resets where a connection's packets arrive
+        in another zone, so the preference depends on the cost of a migration.
         """
         if not self.migration_cost:
             return 1.0
@@ -57,14 +59,14 @@
 
 @dataclass(frozen=True)
 class LoadEstimatorSettings:
-    """What is known of the servers' load.
+    """Settings of the load estimator.
 
     Attributes:
-        report_fields: the names of a load report's values, in its order; empty where
-            servers report nothing.
+        report_fields: the names of the values in a load report, in order; empty where
+            servers send no reports.
         reports_late_messages: whether messages that miss their latency objective are
-            noticed, so that their absence speaks against a report of overload.
-        loss_weight: the part of the objective that lost sessions have, from 0 to 1.
+            observed, so that their absence contradicts a report of overload.
+        loss_weight: the weight of lost sessions in the objective, from 0 to 1.
     """
 
     report_fields: Sequence[str] = ()
@@ -79,35 +81,35 @@
 
 @dataclass(frozen=True)
 class EndpointListSettings:
-    """How the list of servers is followed.
+    """Settings of the endpoint list.
 
     Attributes:
-        is_polled: the list is polled at a service that all proxies share, and not
-            pushed to this one.
-        poll_interval_ms: how often it has to be polled, at the least.
-        drain_grace_ms: for how long a draining server carries on what it holds.
-        uses_weights: whether listed weights are registered sizes.
-        absence_removes: whether a server that is not listed any more is removed for
-            that alone. Otherwise it also has to fail to answer.
+        is_polled: whether the list is polled from a service that all proxies share,
+            instead of being pushed to this proxy.
+        poll_interval_ms: the maximum time between two polls.
+        drain_grace_ms: how long a draining server continues its open sessions.
+        uses_weights: whether the listed weights are registered sizes.
+        removes_unlisted_servers: whether a server that is no longer listed is removed
+            at once. Otherwise it is removed once it also fails to answer.
     """
 
     is_polled: bool = False
     poll_interval_ms: float = 10_000.0
     drain_grace_ms: float = 0.0
     uses_weights: bool = False
-    absence_removes: bool = True
+    removes_unlisted_servers: bool = True
 
 
 @dataclass(frozen=True)
 class SlowStartSettings:
-    """What a server that has just started can take.
+    """Settings of slow start, which limits attempts to warming servers.
 
     Attributes:
-        initial_share: its capacity at its start, as a part of the full one.
-        duration_ms: how long it takes to warm up.
-        rate_multiple: how many times the rate of filling up within the warm-up counts
-            as too much.
-        window_ms: the window in which attempts are counted.
+        initial_share: a server's capacity at its start, as a fraction of full capacity.
+        duration_ms: how long a server takes to warm up.
+        rate_multiple: the maximum rate of attempts, as a multiple of the rate that
+            fills a server within its warm-up.
+        window_ms: the length of the window in which attempts are counted.
     """
 
     initial_share: float = 0.1
@@ -118,12 +120,12 @@
 
 @dataclass(frozen=True)
 class RetryBudgetSettings:
-    """How many retries this proxy may make in any window.
+    """Settings of the retry budget.
 
     Attributes:
-        free_retries: retries that no session has to pay for.
-        retries_per_session: what each session that was taken adds.
-        window_ms: the window; 0 means that retries are not limited.
+        free_retries: retries per window that are allowed without any session.
+        retries_per_session: the retries that each new session adds.
+        window_ms: the length of the window; 0 means that retries are not limited.
     """
 
     free_retries: float = 0.0
@@ -133,15 +135,16 @@
 
 @dataclass(frozen=True)
 class PolicySettings:
-    """All that a balancer is configured with.
+    """The whole configuration of a balancer.
 
     Attributes:
-        proxy_count: how many proxies there are, this one included.
-        proxy_index: this one's number among them; None where it is not known.
-        may_probe: whether servers may be probed for their load.
-        is_passthrough: packets pass through, so that connections outlive this proxy.
-        max_attempts: the number of attempts of a session, the first one included.
-        max_retry_after_ms: the longest time after which a rejected client is asked to
+        proxy_count: the number of proxies, including this one.
+        proxy_index: the index of this proxy among them, or None if unknown.
+        may_probe: whether probes may be sent to servers.
+        is_passthrough: whether packets are passed through, so that connections outlive
+            this proxy.
+        max_attempts: the maximum number of attempts for a session, including the first.
+        max_retry_after_ms: the maximum delay after which a rejected client is asked to
             retry.
     """
 
