--- a/wheathill/model.py
+++ b/wheathill/model.py
@@ -1,8 +1,8 @@
-"""The domain's types: servers, sessions, attempts, listeners, and what became of them.
+"""Domain types: servers, sessions, attempts, listeners, their outcomes, and timers.
 
-All times are milliseconds of the monotonic clock with fractions, unless a field says
-otherwise. Objects refer to each other directly; the identifiers of any wire stay with
-the adapter that reads it, except `Server.name`, which the slot table hashes.
+Unless a field says otherwise, times are fractional milliseconds of the monotonic clock.
+Objects refer to each other directly. Identifiers of a wire protocol stay in the adapter
+that reads it, except `Server.name`, which the slot table hashes.
 """
 
 import enum
@@ -12,11 +12,11 @@
 from functools import partial
 from typing import Protocol, TypeVar
 
-# How long one call may occupy a list service that all proxies poll, in ms. The proxies
-# spread their polls over this time multiplied by their number.
+# Time that one poll may occupy an endpoint list service shared by all proxies, in ms.
+# The proxies spread their polls over this time multiplied by their number.
 ENDPOINT_LIST_CALL_MS = 40.0
-# The longest pause between two polls of the endpoint list, in ms: two polls have to fit
-# into the 6 s after which a change counts as known.
+# Maximum interval between two polls of the endpoint list, in ms. Two polls have to fit
+# into the 6 s within which every proxy must know of a change.
 MAX_LIST_POLL_INTERVAL_MS = 2750.0
 
 
@@ -24,9 +24,9 @@
 
 
 class Idempotency(enum.Enum):
-    """What a second execution of one session's request would do.
+    """Whether the request of a session may be executed more than once.
 
-    The values are those of the settings.
+    The values are those used in the settings.
     """
 
     IDEMPOTENT = "repeatable"
@@ -35,7 +35,7 @@
 
 
 class Phase(enum.Enum):
-    """The life cycle phase of a server, as the endpoint list states it."""
+    """The lifecycle phase of a server, with the values of the endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -43,7 +43,7 @@
 
 
 class UpdateKind(enum.Enum):
-    """Where an update of the endpoint list comes from, and whether it is complete."""
+    """The source of an endpoint list update, and whether the update is complete."""
 
     DELTA = "changes"
     SNAPSHOT = "full"
@@ -53,7 +53,7 @@
 
 
 class AttemptOutcome(enum.Enum):
-    """How an attempt to set up a session at a server ended, or a placed session."""
+    """How an attempt to set up a session, or a session that was set up, ended."""
 
     COMPLETED = "completed"
     ERROR = "error"
@@ -66,7 +66,7 @@
 
     @property
     def never_executed(self) -> bool:
-        """Whether the server is known not to have executed the request."""
+        """Whether the request is known not to have been executed."""
         return self in (
             AttemptOutcome.AT_CAPACITY,
             AttemptOutcome.CONNECT_FAILED,
@@ -76,18 +76,18 @@
 
 @dataclass(eq=False)
 class Listener:
-    """A class of sessions with its objectives, as the settings define it.
+    """A class of sessions and its objectives, as defined in the settings.
 
     Attributes:
         name: the name in the settings and on the wire.
-        idempotency: what a repeated execution of its requests would do.
-        dedup_scope: of a keyed listener, where duplicates are recognised: at "all"
+        idempotency: whether its requests may be executed more than once.
+        dedup_scope: for a keyed listener, where duplicates are recognised: at "all"
             servers, or within one "zone" or "cell".
-        dedup_window_ms: of a keyed listener, for how long duplicates are recognised.
-        handshake_target_ms: the latency objective of a set-up.
+        dedup_window_ms: for a keyed listener, how long duplicates are recognised.
+        handshake_target_ms: the latency objective of a session's set-up.
         dial_timeout_ms: the time within which a session gets its final answer.
         message_target_ms: the latency objective of a message.
-        priority_weight: what one served session is worth, relative to others.
+        priority_weight: the value of one served session, relative to other listeners.
     """
 
     name: str
@@ -101,11 +101,10 @@
 
 
 class BoundedHistory(list[T]):
-    """A list that keeps the most recent `capacity` items that were appended.
+    """A list that keeps only the `capacity` items appended last.
 
-    There are four of them for each server, and most are empty. An empty deque takes
-    0.6 KB, which would be most of a proxy's memory where thousands of servers are
-    listed.
+    Each server has four of them, most of them empty. An empty deque takes 0.6 KB, which
+    would account for most of a proxy's memory with thousands of servers.
     """
 
     __slots__ = ("capacity",)
@@ -115,50 +114,53 @@
         self.capacity = capacity
 
     def append(self, item: T) -> None:
-        """Add an item, and drop the oldest one where the history is full."""
+        """Append an item, and drop the oldest one if the history is full."""
         super().append(item)
         del self[: -self.capacity]
 
     def extend(self, items: Iterable[T]) -> None:
-        """Add items in order, and drop the oldest ones past the capacity."""
+        """Append items in order, and drop the oldest ones beyond the capacity."""
         super().extend(items)
         del self[: -self.capacity]
 
 
 @dataclass(eq=False, slots=True)
 class Server:
-    """A server on the endpoint list, with what this proxy knows of it.
+    """A server of the endpoint list, and the state that this proxy keeps for it.
 
     Attributes:
-        name: the name on the list.
+        name: the name on the endpoint list.
         zone: the index of its zone.
         cell: the index of its cell within the zone.
         weight: its registered size, relative to other servers.
         started_ms: when its process started; None means long ago.
-        phase: the phase that is in force here: the listed one, or DRAINING while the
+        phase: the phase used by this proxy: the listed one, or DRAINING while the
             server is in maintenance.
-        listed_phase: the phase that the endpoint list states.
-        is_removal_unconfirmed: the list calls it gone, which does not bind by itself;
-            one more sign of failure, and it is removed.
-        leaving_since_ms: when this proxy was notified that it drains or is gone.
-        hash_draws: pseudo-random numbers from its name, see `slot_table.hash_draws`.
-        effective_weight: what a draw of it counts for in the slot table.
-        load_samples: the last (time, load) pairs that were reported.
-        probe_sent_ms: when the probe that is in flight was sent, else None.
-        probe_latencies: the last (time, ms until a probe was answered) pairs.
+        listed_phase: the phase stated by the endpoint list.
+        is_removal_unconfirmed: whether the list no longer has it where that alone does
+            not remove it; it is removed once it also fails to answer.
+        leaving_since_ms: when this proxy learned that it is draining or gone.
+        hash_draws: pseudo-random numbers derived from its name, see
+            `slot_claims.hash_draws`.
+        effective_weight: the weight of its claims in the slot table.
+        load_samples: the last reported (time, load) pairs.
+        probe_sent_ms: when the probe in flight was sent, or None.
+        probe_latencies: the last (time, probe latency in ms) pairs.
         last_probe_ms: when the last probe was sent.
         unanswered_probes: probes without an answer since the last answered one.
-        recent_results: the last (time, succeeded) pairs of attempts and probes.
+        recent_results: the last (time, succeeded) pairs, from attempts, resets and
+            peers.
         attempt_times_ms: when the last attempts were made.
-        warmup_attempt_times_ms: when attempts of the last window were made while it
-            was warming up.
-        last_late_message_ms: when a message there last missed its latency objective.
-        report_correction: the factor by which its load reports are corrected.
-        last_received_ms: when anything was last received from it.
-        unanswered_session: a session with a line that waits for its answer.
+        warmup_attempt_times_ms: when the attempts of the last slow start window were
+            made.
+        last_late_message_ms: when a message to it last missed its latency objective.
+        report_correction: the factor that its load reports are multiplied by.
+        last_received_ms: when data was last received from it.
+        unanswered_session: the session whose message was last found unanswered, or
+            None once data was received.
         next_shift_ms: no slots are shifted off it before this time.
         next_migration_ms: no sessions are migrated off it before this time.
-        sessions: the sessions that are open there, in order of arrival.
+        sessions: its open sessions, in order of arrival.
     """
 
     name: str
@@ -199,12 +201,12 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """What an update of the endpoint list states of one server.
+    """The state of one server in an endpoint list update.
 
     Attributes:
         server: the server.
-        phase: the phase that is stated.
-        weight: the stated weight, None where there is none.
+        phase: its listed phase.
+        weight: its listed weight, or None.
         started_ms: when its process started; None means long ago.
     """
 
@@ -219,8 +221,8 @@
     """One attempt to set up a session at a server.
 
     Attributes:
-        server: where it goes.
-        sent_ms: when it was decided.
+        server: the server.
+        sent_ms: when the attempt was made.
         may_have_executed: False once the request is known not to have been executed.
     """
 
@@ -234,29 +236,30 @@
     """A client's session, from its request to its end.
 
     Attributes:
-        listener: its class.
+        listener: its listener.
         key: the key that is hashed to a slot.
-        deadline_ms: by when it must have its final answer.
+        deadline_ms: when its final answer is due.
         tenant: the index of its tenant.
         group: the name of a group of sessions that share work at a server, or None.
-        load: the load that its client declared, or None.
-        mid_flow: it is set up already, and its packets came to this proxy from
-            another one.
-        returning: its client comes back after a break or a migration.
-        is_client_retry: its client tried before.
+        load: the load declared by its client, or None.
+        mid_flow: whether it is already set up, and its packets were routed through
+            another proxy before.
+        returning: whether its client reconnects after an interruption or a migration.
+        is_client_retry: whether its client has tried before.
         slot: the slot of its key.
-        server: the server of the attempt that is in flight or was accepted.
+        server: the server of its last attempt, or the one that accepted it.
         attempts: all attempts so far, oldest first.
         candidates: the servers that may be selected next.
-        unhealthy_candidate: a candidate that is an outlier, to be used where no
-            healthy one was found.
-        distant_candidate: a candidate with capacity on a slow network path.
-        preferred_server: the first healthy one of its candidates.
-        candidates_passed: how many healthy candidates were considered.
-        met_full_server: a healthy candidate had no capacity for it.
-        probes_requested: how many servers were probed for it.
+        unhealthy_candidate: a candidate that is an outlier, used if no healthy one is
+            found.
+        slow_path_candidate: a candidate with capacity on a slow network path.
+        preferred_server: the first of its candidates that is healthy and not on a slow
+            network path.
+        candidates_considered: how many such candidates were considered.
+        found_full_server: whether a healthy candidate had no capacity for it.
+        probes_requested: how many probes were requested for it.
         accepted_ms: when a server accepted it, or None.
-        has_ended: its final answer was given, or its client has left.
+        has_ended: whether its final answer was given or its client has left.
     """
 
     listener: Listener
@@ -273,17 +276,17 @@
     attempts: list[Attempt] = field(default_factory=list)
     candidates: Iterator[Server] | None = None
     unhealthy_candidate: Server | None = None
-    distant_candidate: Server | None = None
+    slow_path_candidate: Server | None = None
     preferred_server: Server | None = None
-    candidates_passed: int = 0
-    met_full_server: bool = False
+    candidates_considered: int = 0
+    found_full_server: bool = False
     probes_requested: int = 0
     accepted_ms: float | None = None
     has_ended: bool = False
 
 
 class TimerKind(enum.Enum):
-    """What the decisions set a timer for."""
+    """The purpose of a timer."""
 
     POLL_ENDPOINT_LIST = enum.auto()
     TICK = enum.auto()
@@ -293,11 +296,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Timer:
-    """A timer that the decisions set, and get back when it fires.
+    """A timer set by the balancer, and passed back to it when it fires.
 
     Attributes:
-        kind: what it is for.
-        selection_number: of a PROBE_WAIT, which selection has waited for long enough.
+        kind: its purpose.
+        selection_number: for a PROBE_WAIT, the number of the selection that waits.
     """
 
     kind: TimerKind
@@ -310,30 +313,30 @@
 
 
 class SessionEffects(Protocol):
-    """What the decisions call for, carried out by a proxy or the simulator adapter."""
+    """The effects of decisions, carried out by a proxy or the simulator adapter."""
 
     def start_attempt(
         self, session: Session, server: Server, timeout_ms: float
     ) -> None:
-        """Make an attempt at a server, which has so long to accept the session."""
+        """Make an attempt at a server, which must accept the session in time."""
 
     def reject(self, session: Session, retry_after_ms: float) -> None:
-        """Reject the session: nothing of it was executed; the client may retry."""
+        """Reject the session, with a promise of no effect; its client may retry."""
 
     def fail(self, session: Session) -> None:
-        """Answer the session as failed: it may have been executed."""
+        """Fail the session, whose request may have been executed."""
 
     def migrate(self, session: Session) -> None:
-        """Ask the client to reconnect, so that its session migrates."""
+        """Ask the client to reconnect, so that another server takes the session."""
 
     def send_probe(self, server: Server) -> None:
-        """Send a health check to a server."""
+        """Send a probe to a server."""
 
     def poll_endpoint_list(self, enabled: bool) -> None:
-        """Poll the endpoint list, and watch it from then on."""
+        """Poll the endpoint list and then watch it, where `enabled`."""
 
     def set_timer(self, timer: Timer, at_ms: float) -> None:
-        """Call `Balancer.on_timer` with this timer at that time."""
+        """Call `Balancer.on_timer` with the timer at the given time."""
 
     def log(self, text: str) -> None:
         """Log a decision for operators."""
--- a/wheathill/policy/__init__.py
+++ b/wheathill/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions of the balancer, free of I/O: `balancer` takes what happens."""
+"""The balancing policy, free of I/O; `balancer` is its entry point for events."""
--- a/wheathill/policy/admission.py
+++ b/wheathill/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission control: lets sessions in, and gives the final answer at last."""
+"""Admission control: admits sessions, and rejects or fails those not placed."""
 
 import math
 from collections.abc import Callable
@@ -9,31 +9,31 @@
 from wheathill.policy.settings import EARLY_RESET_MS
 from wheathill.policy.stage import Stage
 
-# Limits of the sessions that may be in set-up at once. Below one, set-ups are spaced
-# instead: among hundreds of proxies one each is still too many.
+# Bounds of the concurrency limit, in sessions being set up. Below 1, set-ups are spaced
+# in time instead, as one set-up at each of hundreds of proxies is still too many.
 MAX_CONCURRENCY = 256
 MIN_CONCURRENCY = 1 / 32
-# The mean pause between two set-ups where the limit is one, in ms; it grows as the
-# limit falls below that.
-SPACING_MS = 250.0
-# The limit is halved once in this time at most, in ms: failures of set-ups that started
-# before it was halved say nothing of the new limit.
+# Mean interval between two set-ups at a concurrency limit of 1, in ms. It is inversely
+# proportional to the limit below that.
+ADMISSION_INTERVAL_MS = 250.0
+# Minimum time between two reductions of the limit, in ms. Failures of set-ups that
+# started before a reduction say nothing about the new limit.
 REDUCTION_INTERVAL_MS = 500.0
-# For so long after it was halved the limit does not grow, in ms.
+# Time after a reduction during which the limit is not raised, in ms.
 REDUCTION_HOLD_MS = EARLY_RESET_MS
 
 
 class AdmissionControl(Stage):
-    """Takes a session in, and gives its final answer when no later stage could.
+    """The first stage: admits sessions, and rejects or fails those not placed.
 
-    Exception: while set-ups fail at many servers, the number of sessions in set-up is
-    limited. The limit is halved as set-ups fail and grows as they succeed, additively
-    from one on and doubling below. Clients that return together would otherwise keep
-    overloaded what all set-ups depend on.
+    While set-ups fail at many servers, the number of sessions being set up is limited.
+    The limit is halved when set-ups fail. It grows when they succeed: additively from 1
+    on, and by doubling below 1. Without it, clients that reconnect at the same time
+    would keep a dependency that all set-ups share overloaded.
 
     Attributes:
-        in_progress: the sessions that have not got their result yet, oldest first.
-        concurrency_limit: how many there may be.
+        in_progress: the sessions that are being set up, oldest first.
+        concurrency_limit: the maximum number of sessions being set up.
         limit_reduced_ms: when the limit was last halved.
         next_admission_ms: no session is admitted before this time.
     """
@@ -55,10 +55,9 @@
         self.next_admission_ms = -math.inf
 
     def enter(self, now_ms: float, session: Session) -> None:
-        """Admit a session, or reject it where it came too late or the limit is reached.
+        """Admit a session, unless its deadline has passed or the limit is reached.
 
-        A session whose packets came from another proxy is set up already, and does not
-        fall under the limit.
+        The limit does not apply to a mid-flow session, as it is already set up.
         """
         is_limited = (
             len(self.in_progress) >= max(1.0, self.concurrency_limit)
@@ -73,11 +72,13 @@
 
     def _space_admissions(self, now_ms: float) -> None:
         if self.concurrency_limit < 1.0:
-            pause_ms = SPACING_MS / self.concurrency_limit * self._uniform(0.5, 1.5)
+            pause_ms = (
+                ADMISSION_INTERVAL_MS / self.concurrency_limit * self._uniform(0.5, 1.5)
+            )
             self.next_admission_ms = now_ms + pause_ms
 
     def on_accepted(self, now_ms: float, session: Session) -> None:
-        """Raise the limit, unless it was halved a short while ago."""
+        """Raise the limit, unless it was reduced recently."""
         self.in_progress.pop(session, None)
         if now_ms >= self.limit_reduced_ms + REDUCTION_HOLD_MS:
             limit = self.concurrency_limit
@@ -87,7 +88,7 @@
             )
 
     def on_setup_failure(self, now_ms: float) -> None:
-        """Halve the limit where the failure has a cause that all servers share."""
+        """Halve the limit if set-up failures have a cause common to all servers."""
         if (
             not self._outlier_detector.has_common_cause(now_ms)
             or now_ms < self.limit_reduced_ms + REDUCTION_INTERVAL_MS
@@ -107,7 +108,7 @@
         session: Session,
         outcome: AttemptOutcome | None,
     ) -> None:
-        """Give the session its final answer."""
+        """Reject or fail the session."""
         self.in_progress.pop(session, None)
         if outcome in (AttemptOutcome.ERROR, AttemptOutcome.TIMED_OUT):
             self.on_setup_failure(now_ms)
--- a/wheathill/policy/attempts.py
+++ b/wheathill/policy/attempts.py
@@ -1,4 +1,4 @@
-"""Makes the attempts of a session, one at a time, and records how each ended."""
+"""Makes the attempts of a session, one at a time, and records their outcomes."""
 
 from wheathill.model import Attempt, AttemptOutcome, Server, Session, SessionEffects
 from wheathill.policy.load_estimator import LoadEstimator
@@ -9,14 +9,14 @@
 from wheathill.policy.slow_start import SlowStartLimiter
 from wheathill.policy.stage import Stage
 
-# The first attempt gets this part of the time that is left. A server that does not
-# answer must not hold a session until its client gives up, and a slow store that all
-# servers share must not be asked twice: most of the time, but not all of it.
-FIRST_ATTEMPT_SHARE = 0.6
-# A server that answered a probe within this time does answer, and gets all of the time
-# that is left, in ms.
-RESPONSIVE_MS = TICK_INTERVAL_MS
-# Outcomes that count against the server.
+# Timeout of the first attempt, as a fraction of the time left. It leaves time for a
+# retry if the server does not answer, but is long enough that a slow store shared by
+# all servers does not get the same request twice.
+FIRST_ATTEMPT_TIME_SHARE = 0.6
+# A server with a load sample younger than this, in ms, is known to be responsive, and
+# its attempt may use all of the time left.
+RECENT_SAMPLE_MS = TICK_INTERVAL_MS
+# Outcomes that count as failures of the server.
 FAILURES = frozenset(
     {
         AttemptOutcome.ERROR,
@@ -27,7 +27,7 @@
 
 
 class AttemptRunner(Stage):
-    """Makes one attempt at a time, and records how it ended."""
+    """The last stage: makes one attempt at a time, and records its outcome."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self._retry_budget = retry_budget
 
     def enter(self, now_ms: float, session: Session) -> None:
-        """Make an attempt at the session's server, where the retry budget allows it."""
+        """Make an attempt at the selected server if the retry budget allows it."""
         if not self._retry_budget.allows(now_ms, session):
             self.previous_stage.on_failed(now_ms, session, None)
             return
@@ -57,14 +57,14 @@
         self._slow_start.record_attempt(now_ms, server)
         timeout_ms = session.deadline_ms - now_ms
         is_responsive = (
-            self._load_estimator.sample_age_ms(now_ms, server) < RESPONSIVE_MS
+            self._load_estimator.sample_age_ms(now_ms, server) < RECENT_SAMPLE_MS
         )
         if not is_responsive and len(session.attempts) == 1:
-            timeout_ms *= FIRST_ATTEMPT_SHARE
+            timeout_ms *= FIRST_ATTEMPT_TIME_SHARE
         self._effects.start_attempt(session, server, timeout_ms)
 
     def on_accepted(self, now_ms: float, session: Session) -> None:
-        """Place the session at the server that accepted it."""
+        """Record that the selected server accepted the session."""
         self.previous_stage.on_accepted(now_ms, session)
         server = _selected_server(session)
         session.accepted_ms = now_ms
@@ -78,7 +78,7 @@
         session: Session,
         outcome: AttemptOutcome | None,
     ) -> None:
-        """Record how the session's last attempt ended, and hand it back."""
+        """Record the outcome of the last attempt, and pass the session back."""
         attempt = session.attempts[-1]
         attempt.may_have_executed = outcome is None or not outcome.never_executed
         if outcome is AttemptOutcome.NEVER_SENT:
@@ -93,7 +93,7 @@
 
 
 def _selected_server(session: Session) -> Server:
-    """Return the server that an earlier stage has selected."""
+    """Return the server that an earlier stage selected."""
     server = session.server
     assert server is not None
     return server
--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -1,11 +1,11 @@
-"""All decisions of wheathill, joined: which part decides when what happens.
-
-One `Balancer` decides for one proxy. Whoever carries the sessions calls its methods,
-one for each thing that happens, with the time in milliseconds first; it answers by
-calling the `SessionEffects` of `wheathill.model`, where the types of its interface are
-defined. Nothing here reads a clock, a file or a socket, and no name is ever looked at:
-a server's name is only hashed. The mechanism is that of docs/design.md: a slot table
-after INCAB.
+"""The balancer: dispatches events to the components of the policy.
+
+One `Balancer` decides for one proxy. The proxy calls one method for each event, with
+the time in milliseconds as the first argument, and the balancer calls the
+`SessionEffects` that it was given. The types of this interface are defined in
+`wheathill.model`. The policy reads no clock, file or socket. It does not interpret
+names: the name of a server is only hashed. docs/design.md describes the method, a slot
+table based on INCAB.
 """
 
 import random
@@ -26,7 +26,7 @@
     TimerKind,
     UpdateKind,
 )
-from wheathill.policy.parts import PolicyParts
+from wheathill.policy.parts import PolicyComponents
 from wheathill.policy.settings import (
     CONNECTION_LIFETIME_MS,
     EARLY_RESET_MS,
@@ -35,22 +35,22 @@
 )
 
 
-class Balancer(PolicyParts):
-    """One proxy's decisions: passes on to the parts what happens.
+class Balancer(PolicyComponents):
+    """Makes the decisions of one proxy.
 
     Attributes:
-        due_probes: the servers that are probed until the next tick.
+        due_probes: the servers still to be probed before the next tick.
     """
 
     def __init__(
         self, effects: SessionEffects, rng: random.Random, settings: PolicySettings
     ) -> None:
-        """Make the parts; nothing is called before `on_start`.
+        """Create the components; no effect is called before `on_start`.
 
         Args:
-            effects: carries out what is decided.
-            rng: the one source of chance, from which all parts draw.
-            settings: what this proxy is configured with.
+            effects: carries out the decisions.
+            rng: the random number generator shared by all components.
+            settings: the configuration.
         """
         super().__init__(effects, rng, settings)
         self._is_passthrough = settings.is_passthrough
@@ -59,26 +59,25 @@
     # Start, stop and timers
 
     def on_start(self, now_ms: float) -> None:
-        """Begin to decide."""
+        """Schedule the first poll of the endpoint list and the first tick."""
         self.endpoint_list.start(now_ms)
         self.slow_start.process_started_ms = now_ms
-        # Proxies that start together would otherwise probe every server in the same
-        # instant.
+        # A random delay keeps proxies that start together from probing every server at
+        # the same time.
         delay_ms = self.uniform(0.1, 1.0) * TICK_INTERVAL_MS
         self.effects.set_timer(TICK_TIMER, now_ms + delay_ms)
 
     def on_stop(self, now_ms: float, is_last: bool) -> None:
-        """Send clients away, as this proxy stops.
+        """Migrate sessions, as this proxy is shutting down.
 
-        It is called again and again until the end, so that sessions which are accepted
-        meanwhile migrate as well. Where packets pass through, connections go on without
-        this proxy.
+        It is called repeatedly during a shutdown, so that sessions accepted meanwhile
+        migrate as well. In passthrough mode connections continue without this proxy.
         """
         if not self._is_passthrough:
             self.session_migrator.migrate_all(is_last=is_last)
 
     def on_timer(self, now_ms: float, timer: Timer) -> None:
-        """Do what a timer was set for."""
+        """Handle a timer that has fired."""
         if timer.kind is TimerKind.POLL_ENDPOINT_LIST:
             self.endpoint_list.poll(now_ms)
         elif timer.kind is TimerKind.TICK:
@@ -92,7 +91,7 @@
                 self.probe_scheduler.send(now_ms, server)
 
     def tick(self, now_ms: float) -> None:
-        """Do what is done once in each `TICK_INTERVAL_MS`."""
+        """Do the periodic work, once per `TICK_INTERVAL_MS`."""
         ready, table = self.endpoint_list.servers, self.slot_table
         table.finish_transitions(now_ms)
         self.load_estimator.update_report_corrections(now_ms, ready)
@@ -121,12 +120,12 @@
         )
         if shift:
             self.effects.log(
-                f"slot table: {shift.slot_count} slots shifted off a server on level"
-                f" {levels[shift.server]}"
+                f"slot table: {shift.slot_count} slots shifted off a server at load"
+                f" level {levels[shift.server]}"
             )
 
     def _schedule_probes(self, now_ms: float) -> None:
-        """Spread the probes that are due evenly over the time until the next tick."""
+        """Schedule the probes that are due, evenly spread until the next tick."""
         ready = self.endpoint_list.servers
         loads = self.load_estimator.loads(now_ms, ready)
         due = self.probe_scheduler.select_due(now_ms, ready, loads)
@@ -135,17 +134,18 @@
             delay_ms = TICK_INTERVAL_MS * (index + 0.5) / len(due)
             self.effects.set_timer(PROBE_TIMER, now_ms + delay_ms)
 
-    # The list of servers and the fleet
+    # Endpoint list and other proxies
 
     def on_endpoint_update(
         self, now_ms: float, kind: UpdateKind, entries: Sequence[EndpointEntry]
     ) -> None:
-        """Apply an update of the endpoint list, or note that a poll has failed."""
+        """Apply an endpoint list update, or handle a failed poll."""
         change = self.endpoint_list.update(now_ms, kind, entries)
         ready = self.endpoint_list.servers
         self.slot_table.update(now_ms, change.joined, dict.fromkeys(change.left), ready)
         for server in change.joined:
-            # In another order at each proxy, or all would probe the same servers first.
+            # A random age gives each proxy its own probe order; otherwise all proxies
+            # would probe the same servers first.
             age_ms = self.uniform(1.0, 2.0) * CONNECTION_LIFETIME_MS
             server.last_probe_ms = now_ms - age_ms
         for verb, servers in (("joined", change.joined), ("left", change.left)):
@@ -155,31 +155,29 @@
                 )
 
     def set_maintenance(
-        self, now_ms: float, name: str, is_out: bool, server: Server | None
+        self, now_ms: float, name: str, in_maintenance: bool, server: Server | None
     ) -> None:
-        """Put a server into maintenance mode, or back.
+        """Put a server into maintenance, or end its maintenance.
 
-        It drains as by the list, and comes back as one that has just started: it may
-        have, before any list says so.
+        A server in maintenance drains as if the endpoint list said so. Afterwards it is
+        treated as newly started, as it may have been restarted before the list shows
+        it.
 
         Args:
-            now_ms: the time.
-            name: the server's name.
-            is_out: whether it is in maintenance from now on.
-            server: the server, None where it is not listed now.
+            now_ms: the monotonic time.
+            name: the name of the server.
+            in_maintenance: whether maintenance begins or ends.
+            server: the server, or None if it is not listed.
         """
-        self.endpoint_list.set_maintenance(now_ms, name, is_out)
-        if server is not None and (server.phase is Phase.READY) is is_out:
+        self.endpoint_list.set_maintenance(now_ms, name, in_maintenance)
+        if server is not None and (server.phase is Phase.READY) is in_maintenance:
             entry = EndpointEntry(
                 server, server.listed_phase, server.weight, server.started_ms
             )
             self.on_endpoint_update(now_ms, UpdateKind.MAINTENANCE, [entry])
 
     def on_quota_changed(self, now_ms: float, quota: float) -> None:
-        """Take this proxy's part of what all proxies may do together.
-
-        It is as far as this proxy knows which others there are.
-        """
+        """Set this proxy's share of what all known proxies may do together."""
         self.load_estimator.set_quota(quota)
         self.endpoint_list.set_quota(quota)
 
@@ -187,27 +185,27 @@
         self,
         now_ms: float,
         failing: Collection[Server],
-        failing_here: Collection[Server],
+        failing_only_here: Collection[Server],
     ) -> None:
-        """Take what other proxies see of the servers.
+        """Apply what other proxies report on the health of servers.
 
         Args:
-            now_ms: the time.
-            failing: servers that fail for all proxies: they are tried by one session at
-                a time, like those that failed here.
-            failing_here: servers that fail for this proxy alone: the path to them is to
-                blame, and nothing that set-ups share.
+            now_ms: the monotonic time.
+            failing: servers that fail for all proxies. They get one trial session at a
+                time, like those that failed for this proxy.
+            failing_only_here: servers that fail for this proxy only. The cause is the
+                network path to them, not a dependency that all set-ups share.
         """
         self.outlier_detector.record_peer_failures(now_ms, failing)
-        self.outlier_detector.forget_attempts(failing_here)
+        self.outlier_detector.forget_attempts(failing_only_here)
 
     # Sessions
 
     def on_session(self, now_ms: float, session: Session) -> None:
-        """Place a session, or give its final answer."""
-        # Clients that come again pay for nothing: in trouble each comes many times.
-        # Packets of open connections pay: a proxy that takes over from another knows
-        # little of what it is given.
+        """Admit a new session and place it, or give its final answer."""
+        # Client retries and returning clients add no probe credit, as during an outage
+        # each client retries many times. Mid-flow sessions add credit: a proxy that
+        # takes over from another one knows little about the servers' load.
         self.retry_budget.record_session(now_ms)
         if session.mid_flow or not (session.is_client_retry or session.returning):
             self.probe_scheduler.add_session_credit(self.endpoint_list.servers)
@@ -216,21 +214,21 @@
     def on_session_taken_over(
         self, now_ms: float, session: Session, server: Server
     ) -> None:
-        """Take in an open session that another proxy has set up."""
+        """Add an open session that another proxy has set up."""
         self._place(session, server, now_ms)
         self.attempt_runner.on_accepted(now_ms, session)
 
     def on_session_handed_over(
         self, now_ms: float, session: Session, server: Server
     ) -> None:
-        """Take in an open session that another process of this proxy has set up."""
+        """Add an open session that another process of this proxy has set up."""
         accepted_ms = session.accepted_ms
         self._place(session, server, now_ms if accepted_ms is None else accepted_ms)
         server.sessions[session] = None
         self.slot_table.add_session(now_ms, session)
 
     def on_session_accepted(self, now_ms: float, session: Session) -> None:
-        """Note that the server of an attempt has accepted the session."""
+        """Record that the server of the current attempt accepted the session."""
         self.attempt_runner.on_accepted(now_ms, session)
 
     def on_outcome(
@@ -240,14 +238,14 @@
         outcome: AttemptOutcome,
         is_closed: bool,
     ) -> None:
-        """Take the end of an attempt or of an open session.
+        """Handle the end of an attempt or of an open session.
 
         Args:
-            now_ms: the time.
+            now_ms: the monotonic time.
             session: the session.
             outcome: how it ended.
-            is_closed: whether the session has ended with it, so that nothing more is to
-                be done for it.
+            is_closed: whether the session itself has ended, so that there is no retry
+                and no further answer.
         """
         self._remove_from_server(session)
         server, accepted_ms = session.server, session.accepted_ms
@@ -264,31 +262,31 @@
         self.attempt_runner.on_failed(now_ms, session, outcome)
 
     def on_client_left(self, now_ms: float, session: Session) -> None:
-        """Forget a session that has ended, or whose client has left."""
+        """Remove a session that has ended or whose client has left."""
         session.has_ended = True
         self.admission.in_progress.pop(session, None)
         self._remove_from_server(session)
 
     def on_load_declared(self, now_ms: float, session: Session, load: float) -> None:
-        """Take the load that a client declares for its session."""
+        """Record the load that a client declared for its session."""
         session.load = load
 
     def on_message_latency(
         self, now_ms: float, session: Session, latency_ms: float
     ) -> None:
-        """Take how long a message of a session took."""
+        """Handle the measured latency of a message."""
         target_ms, server = session.listener.message_target_ms, session.server
         if latency_ms <= target_ms or server is None:
             return
-        # Where the path alone takes so long the server is not to blame.
+        # If the network path alone exceeds the objective, the server is not the cause.
         is_path_slow = self.path_latency.is_slow(now_ms, server, target_ms)
-        lateness = 0.0 if is_path_slow else latency_ms / target_ms
-        self.load_estimator.record_late_message(now_ms, server, lateness)
+        latency_ratio = 0.0 if is_path_slow else latency_ms / target_ms
+        self.load_estimator.record_late_message(now_ms, server, latency_ratio)
 
     def on_message_unanswered(
         self, now_ms: float, session: Session, waited_ms: float
     ) -> None:
-        """Take that a message of a session has had no answer for so long."""
+        """Handle a message that has been unanswered for `waited_ms`."""
         self.session_migrator.on_message_unanswered(now_ms, session, waited_ms)
 
     def _place(self, session: Session, server: Server, accepted_ms: float) -> None:
@@ -310,7 +308,7 @@
         outcome: AttemptOutcome,
         report: Sequence[float | None] | None,
     ) -> None:
-        """Take the answer to a probe, or that there was none."""
+        """Handle the result of a probe."""
         sent_ms, server.probe_sent_ms = server.probe_sent_ms, None
         if outcome is AttemptOutcome.COMPLETED:
             if sent_ms is not None:
@@ -318,7 +316,7 @@
             server.unanswered_probes = 0
             self.load_estimator.record_sample(now_ms, server, report)
         elif outcome is not AttemptOutcome.AT_CAPACITY:
-            # One that has too many probes to answer is not unresponsive.
+            # A server that rejects a probe for lack of capacity is still responsive.
             server.unanswered_probes += 1
             self._on_server_failed(now_ms, server)
         is_answered = outcome in (AttemptOutcome.COMPLETED, AttemptOutcome.AT_CAPACITY)
@@ -327,16 +325,16 @@
     def on_load_report(
         self, now_ms: float, server: Server, report: Sequence[float | None]
     ) -> None:
-        """Take a load report that came without a probe."""
+        """Record a load report that was not sent in answer to a probe."""
         self.load_estimator.record_sample(now_ms, server, report)
 
     def on_server_activity(self, now_ms: float, server: Server) -> None:
-        """Note that something was received from a server."""
+        """Record that data was received from a server."""
         server.last_received_ms, server.unanswered_session = now_ms, None
 
     def _on_server_failed(self, now_ms: float, server: Server) -> None:
-        """Remove a server that is not listed any more and gives no answer either."""
+        """Remove an unresponsive server whose removal was unconfirmed."""
         if server.is_removal_unconfirmed:
             left = self.endpoint_list.confirm_removal(now_ms, server)
             self.slot_table.update(now_ms, [], left, self.endpoint_list.servers)
-            self.effects.log("endpoint list: 1 left, unresponsive as well")
+            self.effects.log("endpoint list: 1 left, unlisted and unresponsive")
--- a/wheathill/policy/parts.py
+++ b/wheathill/policy/parts.py
@@ -19,7 +19,7 @@
 from wheathill.policy.stage import connect_stages
 
 
-class PolicyParts:
+class PolicyComponents:
     """What a `Balancer` consists of.
 
     Attributes:
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -196,23 +196,23 @@
         if not is_slow:
             session.preferred_server = session.preferred_server or server
             if not is_probed:
-                session.candidates_passed += 1
+                session.candidates_considered += 1
                 if self._needs_probe(now_ms, session, server):
                     return Choice.PROBE
         if not self._has_capacity(now_ms, session, server):
-            session.met_full_server = True
+            session.found_full_server = True
         elif not is_slow:
             return Choice.ATTEMPT
-        elif session.distant_candidate is None:
-            session.distant_candidate = server
+        elif session.slow_path_candidate is None:
+            session.slow_path_candidate = server
         return Choice.SKIP
 
     def _use_fallback(self, now_ms: float, session: Session) -> None:
         """Attempt a server on a slow path or an outlier, else hand the session back."""
-        unhealthy = None if session.met_full_server else session.unhealthy_candidate
-        for server in (session.distant_candidate, unhealthy):
+        unhealthy = None if session.found_full_server else session.unhealthy_candidate
+        for server in (session.slow_path_candidate, unhealthy):
             if server is not None and self.is_eligible(now_ms, session, server):
-                session.distant_candidate = session.unhealthy_candidate = None
+                session.slow_path_candidate = session.unhealthy_candidate = None
                 self._start_attempt(now_ms, session, server)
                 return
         self.previous_stage.on_failed(now_ms, session, None)
@@ -278,7 +278,7 @@
         return max(
             GROUP_THRESHOLD_MIN_SHARE,
             GROUP_THRESHOLD_SHARE
-            - GROUP_THRESHOLD_STEP * (session.candidates_passed - 1),
+            - GROUP_THRESHOLD_STEP * (session.candidates_considered - 1),
         )
 
     def _group_holders(self, session: Session) -> Collection[Server]:
