--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -782,8 +782,8 @@
 @pytest.mark.parametrize(
     "events, said",
     [
-        ("{", "line 2: not JSON"),
-        ("[]", "line 2: not a batch with a clock and events"),
+        ("{", "line 2: not valid JSON"),
+        ("[]", 'line 2: a batch needs a number "tS" and an array "happened"'),
         ([["surprise", "p/0"]], "line 2: unknown event 'surprise'"),
         (
             [["hangup", "p/0"]],
--- a/wheathill/drill/__init__.py
+++ b/wheathill/drill/__init__.py
@@ -1,1 +1,1 @@
-"""An entry for the simulator, see `wheathill.simulator`."""
+"""Entry point for the simulator, see `wheathill.simulator`."""
--- a/wheathill/drill/__main__.py
+++ b/wheathill/drill/__main__.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter under the name by which the deploy file starts it."""
+"""Runs the simulator adapter, under the module name used by the deploy file."""
 
 from wheathill.simulator.adapter import main
 
--- a/wheathill/simulator/__init__.py
+++ b/wheathill/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's adapter: plays proxies in the simulator's world, without sockets."""
+"""The simulator adapter: runs proxies within the simulator, without sockets."""
--- a/wheathill/simulator/adapter.py
+++ b/wheathill/simulator/adapter.py
@@ -1,4 +1,4 @@
-"""The adapter's loop: batches of events from standard input, orders to its output."""
+"""Main loop of the adapter: reads batches of events, and writes orders."""
 
 import sys
 from collections.abc import Callable, Iterable
@@ -8,12 +8,12 @@
 from wheathill.simulator.simulated_proxy import SimulatedProxy
 from wheathill.simulator.wire import MalformedBatchError, decode_batch, encode_orders
 
-# The exit status after a line that could not be read.
+# Exit status after an input line that could not be decoded.
 MALFORMED_INPUT = 2
 
 
 class EventType(NamedTuple):
-    """What takes an event, and how many values follow the instance."""
+    """The handler of an event, and the number of values after the instance."""
 
     handler: Callable[..., None]
     value_count: int
@@ -38,18 +38,18 @@
 
 
 class Adapter:
-    """All instances of one simulation, by name."""
+    """The simulated proxies of one simulation, by instance name."""
 
     def __init__(self) -> None:
-        """Begin with no instance."""
+        """Create an adapter without instances."""
         self._proxies: dict[str, SimulatedProxy] = {}
 
     def answer(self, line: bytes) -> str:
-        """Return the line that answers a batch.
+        """Process one batch, and return the line with its orders.
 
         Raises:
-            MalformedBatchError: the batch or an event in it can't be read.
-            ConfigurationError: an instance is started with wrong settings.
+            MalformedBatchError: the batch or one of its events is malformed.
+            ConfigurationError: an instance is started with invalid settings.
         """
         now_ms, events = decode_batch(line)
         orders: Orders = []
@@ -93,7 +93,7 @@
         self, now_ms: float, instance: str, values: list[Any], orders: Orders
     ) -> None:
         if len(values) != 2 or not isinstance(values[1], dict):
-            raise MalformedBatchError("start takes a seed and settings")
+            raise MalformedBatchError("start takes a seed and a settings object")
         seed, settings = values
         proxy = SimulatedProxy(instance, orders, seed, settings)
         self._proxies[instance] = proxy
@@ -103,7 +103,7 @@
 def main(
     source: Iterable[bytes] = sys.stdin.buffer, output: TextIO = sys.stdout
 ) -> int:
-    """Answer each line until the input ends; return the exit status."""
+    """Process each input line until the input ends, and return the exit status."""
     adapter = Adapter()
     for number, line in enumerate(source, 1):
         try:
--- a/wheathill/simulator/simulated_proxy.py
+++ b/wheathill/simulator/simulated_proxy.py
@@ -1,7 +1,7 @@
-"""One simulated proxy: a `Balancer`, and the wire's identifiers of what it decides on.
+"""A simulated proxy: translates between the wire protocol and a `Balancer`.
 
-Identifiers become objects where an event enters, and objects become identifiers where
-an order leaves; nothing is decided here.
+Identifiers in events are mapped to objects, and objects to identifiers in orders. All
+decisions are made by the balancer.
 """
 
 import random
@@ -42,10 +42,10 @@
 
 
 class SimulatedProxy:
-    """An instance: takes its events, and carries out what its balancer decides.
+    """One instance: handles its events, and emits its balancer's decisions as orders.
 
     Attributes:
-        orders: where orders go, set for each batch.
+        orders: the list that orders are appended to, set for each batch.
     """
 
     def __init__(
@@ -55,10 +55,10 @@
         seed: Any,  # noqa: ANN401 - whatever JSON value the simulator draws
         settings: Mapping[str, Any],
     ) -> None:
-        """Read the settings; nothing is decided before `start`.
+        """Read the settings; no order is emitted before `start`.
 
         Raises:
-            ConfigurationError: the settings are wrong.
+            ConfigurationError: the settings are invalid.
         """
         self.orders = orders
         self._name = name
@@ -70,7 +70,7 @@
         self._balancer = Balancer(self, random.Random(seed), read_policy(reader))
 
     def start(self, now_ms: float) -> None:
-        """Begin to decide."""
+        """Start the balancer."""
         self._balancer.on_start(now_ms)
 
     # Events
@@ -78,10 +78,10 @@
     def on_endpoint_update(
         self, now_ms: float, scope: int, _version: int, entries: list[Any] | None
     ) -> None:
-        """Take an update of the endpoint list.
+        """Handle an endpoint list update.
 
         Raises:
-            MalformedBatchError: the scope is unknown, or an entry has other values.
+            MalformedBatchError: the scope is unknown, or an entry is malformed.
         """
         entries = entries or []
         if scope not in UPDATE_KINDS or any(
@@ -95,7 +95,7 @@
         self._balancer.on_endpoint_update(now_ms, UPDATE_KINDS[scope], decoded)
 
     def on_session(self, now_ms: float, *fields: Any) -> None:  # noqa: ANN401 - see `_add_session`
-        """Take a session that is to be placed."""
+        """Handle a new session."""
         self._balancer.on_session(now_ms, self._add_session(now_ms, *fields))
 
     def on_session_taken_over(
@@ -103,7 +103,7 @@
         now_ms: float,
         *fields: Any,  # noqa: ANN401 - see `_add_session`
     ) -> None:
-        """Take an open session that another instance has set up."""
+        """Handle an open session that another instance has set up."""
         *session_fields, server_name = fields
         server = self._servers.get(server_name)
         if not server:
@@ -114,7 +114,7 @@
     def on_accepted(
         self, now_ms: float, handle: str, _server: str, _attempt: int, _spent_s: float
     ) -> None:
-        """Note that a server has accepted a session."""
+        """Handle the acceptance of a session by a server."""
         if handle in self._sessions:
             self._balancer.on_session_accepted(now_ms, self._sessions[handle])
 
@@ -129,7 +129,7 @@
         is_closed: bool,
         report: Report | None,
     ) -> None:
-        """Take the end of an attempt or of an open session."""
+        """Handle the end of an attempt or of an open session."""
         if report and server_name in self._servers:
             self._balancer.on_load_report(now_ms, self._servers[server_name], report)
         session = self._sessions.get(handle)
@@ -137,11 +137,11 @@
             return
         if is_closed:
             self._forget(session)
-        known = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
-        self._balancer.on_outcome(now_ms, session, known, bool(is_closed))
+        attempt_outcome = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
+        self._balancer.on_outcome(now_ms, session, attempt_outcome, bool(is_closed))
 
     def on_client_left(self, now_ms: float, handle: str) -> None:
-        """Forget a session whose client has left."""
+        """Handle a client that has left."""
         session = self._sessions.get(handle)
         if session is not None:
             self._forget(session)
@@ -156,7 +156,7 @@
         topic: int,
         value: float,
     ) -> None:
-        """Take a declared load or the latency in ms of a message."""
+        """Handle a declared load, or the latency of a message in ms."""
         session = self._sessions.get(handle)
         if session is None:
             return
@@ -173,17 +173,17 @@
         _spent_s: float,
         report: Report | None,
     ) -> None:
-        """Take the answer to a probe."""
+        """Handle the result of a probe."""
         server = self._servers.get(server_name)
         if server is not None:
-            known = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
-            self._balancer.on_probe_result(now_ms, server, known, report)
+            probe_outcome = OUTCOMES.get(outcome, AttemptOutcome.ERROR)
+            self._balancer.on_probe_result(now_ms, server, probe_outcome, report)
 
     def on_datagram(self, now_ms: float, _sender: str, _message: str) -> None:
-        """Ignore what another instance sends: here instances send nothing."""
+        """Ignore a datagram, as simulated instances do not communicate."""
 
     def on_timer(self, now_ms: float, name: str) -> None:
-        """Pass on that a timer is due."""
+        """Handle a timer that has fired."""
         timer = decode_timer(name)
         if timer is not None:
             self._balancer.on_timer(now_ms, timer)
@@ -193,38 +193,38 @@
     def start_attempt(
         self, session: Session, server: Server, timeout_ms: float
     ) -> None:
-        """Order an attempt."""
+        """Emit an order for an attempt."""
         handle = self._handles[session]
         self._order("forward", handle, timeout_ms / MS_PER_S, server.name)
 
     def reject(self, session: Session, retry_after_ms: float) -> None:
-        """Order that the session is rejected."""
+        """Emit an order to reject the session."""
         self._order("notNow", self._handles[session], retry_after_ms / MS_PER_S)
         self._forget(session)
 
     def fail(self, session: Session) -> None:
-        """Order that the session is answered as failed."""
+        """Emit an order to fail the session."""
         self._order("error", self._handles[session])
         self._forget(session)
 
     def migrate(self, session: Session) -> None:
-        """Order that the client is asked to reconnect."""
+        """Emit an order to ask the client to reconnect."""
         self._order("relocate", self._handles[session])
 
     def send_probe(self, server: Server) -> None:
-        """Order a probe."""
+        """Emit an order for a probe."""
         self._order("sample", server.name)
 
     def poll_endpoint_list(self, enabled: bool) -> None:
-        """Order a poll of the endpoint list."""
+        """Emit an order for a poll of the endpoint list."""
         self._order("follow", enabled)
 
     def set_timer(self, timer: Timer, at_ms: float) -> None:
-        """Order a timer."""
+        """Emit an order for a timer."""
         self._order("timer", encode_timer(timer), at_ms / MS_PER_S)
 
     def log(self, text: str) -> None:
-        """Order a line of the log."""
+        """Emit an order for a log line."""
         self._order("trace", text)
 
     # Identifiers
@@ -253,7 +253,7 @@
         listener: int | None,
         tenant: int | None,
         key: str | None,
-        left_s: float | None,
+        time_left_s: float | None,
         load: float | None,
         group: str | None,
         flags: int | None,
@@ -262,7 +262,7 @@
         session = Session(
             listener=self._listener(listener),
             key=key or handle,
-            deadline_ms=now_ms + (left_s or 0.0) * MS_PER_S,
+            deadline_ms=now_ms + (time_left_s or 0.0) * MS_PER_S,
             tenant=tenant or 0,
             group=group,
             load=load if flags & LOAD_DECLARED else None,
--- a/wheathill/simulator/timer_names.py
+++ b/wheathill/simulator/timer_names.py
@@ -1,4 +1,4 @@
-"""The names of timers on the simulator's wire."""
+"""Encodes timers as names in the simulator's wire protocol."""
 
 from wheathill.model import Timer, TimerKind
 
@@ -8,7 +8,7 @@
     TimerKind.PROBE: "probe",
 }
 KINDS = {name: kind for kind, name in NAMES.items()}
-# A selection that waits for a probe is named by this and its number.
+# Prefix of the name of a `PROBE_WAIT` timer, followed by its selection number.
 PROBE_WAIT_PREFIX = "wait "
 
 
@@ -20,10 +20,10 @@
 
 
 def decode_timer(name: str) -> Timer | None:
-    """Return the timer of a name, or None for a name that none has.
+    """Return the timer with a name, or None for an unknown name.
 
     Raises:
-        ValueError: the name is that of a waiting selection without its number.
+        ValueError: the name of a `PROBE_WAIT` timer has no valid number.
     """
     if name.startswith(PROBE_WAIT_PREFIX):
         number = int(name.removeprefix(PROBE_WAIT_PREFIX))
--- a/wheathill/simulator/wire.py
+++ b/wheathill/simulator/wire.py
@@ -1,9 +1,9 @@
-"""The simulator's wire: one JSON object a line, batches of events in, orders out.
+"""The wire protocol of the simulator: batches of events in, orders out.
 
-A batch is `{"tS": seconds, "happened": [event, ...]}`; an event is an array of a name,
-an instance (one simulated proxy) and values. The answer is `{"orders": [order, ...]}`,
-and an order is an array of a name, the instance and values. The names and codes below
-are the wire's own.
+Each line is one JSON object. A batch is `{"tS": seconds, "happened": [event, ...]}`,
+where an event is an array of a name, an instance (one simulated proxy) and values. The
+answer is `{"orders": [order, ...]}`, where an order is an array of a name, the instance
+and values. The names and codes below are defined by the protocol.
 """
 
 import json
@@ -28,36 +28,36 @@
     "recalled": AttemptOutcome.CANCELLED,
     "superseded": AttemptOutcome.NEVER_SENT,
 }
-# Flags of a session. Plain numbers: they are looked at for each one.
+# Flags of a session. They are plain integers, as they are tested for every session.
 LOAD_DECLARED, CLIENT_RETRY, MID_FLOW, RETURNING = 1, 2, 8, 16
-# What a notice about a session is about: its load, or the latency of a message.
+# Topics of a notice about a session: its load, or the latency of a message.
 LOAD_NOTICE, LATENCY_NOTICE = 1, 2
-# Values of an entry of the endpoint list.
+# Number of values of an endpoint list entry.
 ENTRY_VALUES = 7
 MS_PER_S = 1000
 
 
 class MalformedBatchError(Exception):
-    """A line can't be read as a batch, or an event in it can't be."""
+    """An input line or one of its events violates the wire protocol."""
 
 
 def decode_batch(line: bytes) -> tuple[float, list[Any]]:
     """Return the time in milliseconds and the events of a line.
 
     Raises:
-        MalformedBatchError: the line is not JSON, or no batch.
+        MalformedBatchError: the line is not JSON, or not a batch.
     """
     try:
         batch = json.loads(line)
     except ValueError:
-        raise MalformedBatchError("not JSON") from None
+        raise MalformedBatchError("not valid JSON") from None
     if (
         not isinstance(batch, dict)
         or not isinstance(batch.get("happened"), list)
         or isinstance(batch.get("tS"), bool)
         or not isinstance(batch.get("tS"), (int, float))
     ):
-        raise MalformedBatchError("not a batch with a clock and events")
+        raise MalformedBatchError('a batch needs a number "tS" and an array "happened"')
     return batch["tS"] * MS_PER_S, batch["happened"]
 
 
