--- a/wheathill/policy/endpoint_list.py
+++ b/wheathill/policy/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The endpoint list: which servers there are, and which may get attempts."""
+"""The endpoint list: the known servers, and which of them may get attempts."""
 
 from collections.abc import Callable, Sequence
 from typing import NamedTuple
@@ -15,20 +15,20 @@
 )
 from wheathill.policy.settings import EndpointListSettings
 
-# The shortest wait after a failed poll, in ms, which doubles with each further failure
-# up to `MAX_BACKOFF_DOUBLINGS` times.
+# Minimum base of the delay after a failed poll, in ms. The delay doubles with each
+# failure, up to `MAX_BACKOFF_DOUBLINGS` times.
 MIN_BACKOFF_MS = 500.0
 MAX_BACKOFF_DOUBLINGS = 5
-# A quota that is as good as none must not make the spread infinite.
+# Lower bound of the quota, which prevents a division by zero.
 MIN_QUOTA = 1e-6
 
 
 class MaintenancePeriod(NamedTuple):
-    """When a server was in maintenance, in ms.
+    """The period in which a server was in maintenance.
 
     Attributes:
-        started_ms: when it was taken out.
-        ended_ms: when it was put back.
+        started_ms: when maintenance began.
+        ended_ms: when maintenance ended.
     """
 
     started_ms: float
@@ -36,11 +36,11 @@
 
 
 class EndpointChange(NamedTuple):
-    """What an update of the list has changed.
+    """The servers that an update of the list has added and removed.
 
     Attributes:
-        joined: servers that are ready now, and were not or have restarted.
-        left: servers that are not ready any more.
+        joined: servers that have become ready or have restarted.
+        left: servers that are no longer ready.
     """
 
     joined: list[Server]
@@ -48,12 +48,14 @@
 
 
 class EndpointList:
-    """Follows the list of servers, and says who joined and who left.
+    """Polls the endpoint list, applies its updates, and tracks maintenance.
 
     Attributes:
-        servers: the ready ones, in order of name: the same at every proxy.
-        maintenance_since_ms: names of servers in maintenance, and since when.
-        maintenance_ended_ms: of servers that were put back, the last period.
+        servers: the ready servers, ordered by name, so that the order is the same at
+            every proxy.
+        maintenance_since_ms: for each server in maintenance, by name, when it began.
+        maintenance_ended_ms: for servers no longer in maintenance, by name, the last
+            period of it.
         poll_spread_ms: the time over which the proxies spread their polls.
     """
 
@@ -64,7 +66,7 @@
         settings: EndpointListSettings,
         proxy_count: int,
     ) -> None:
-        """Begin with no server, and follow the list from `start` on."""
+        """Create an empty list; polling begins with `start`."""
         self._effects = effects
         self._uniform = uniform
         self._is_polled = settings.is_polled
@@ -89,29 +91,30 @@
     def start(self, now_ms: float) -> None:
         """Schedule the first poll.
 
-        The list service is one for all proxies and does not grow with them: a call by
-        every proxy at its start would be rejected for most, and their next ones too.
+        It is delayed at random, as the capacity of the list service does not grow with
+        the number of proxies. If all of them polled at their start, the service would
+        reject most polls, and the following ones as well.
         """
         if self._is_polled:
             delay_ms = self._uniform(0.0, self.poll_spread_ms)
             self._effects.set_timer(POLL_TIMER, now_ms + delay_ms)
 
     def poll(self, now_ms: float) -> None:
-        """Poll the list, unless it is watched already or a poll is under way."""
+        """Poll the list, unless it is watched already or a poll is in flight."""
         if self._is_polled and not self._is_watching and self._polled_at_ms is None:
             self._polled_at_ms = now_ms
             self._effects.poll_endpoint_list(True)
 
     def set_quota(self, quota: float) -> None:
-        """Spread the polls by this proxy's part of what all proxies may do together."""
+        """Set the spread of polls from this proxy's share among all proxies."""
         spread_ms = ENDPOINT_LIST_CALL_MS / max(quota, MIN_QUOTA)
         self.poll_spread_ms = min(self._max_spread_ms, spread_ms)
 
     def _on_poll_failed(self, now_ms: float) -> None:
-        """Schedule the next poll.
+        """Schedule the next poll, with exponential backoff and jitter.
 
-        Every proxy meets the failure at once; polling again together would keep the
-        list service down, so the wait doubles and is spread.
+        Polls of all proxies fail at the same time; simultaneous retries would keep the
+        list service overloaded.
         """
         self._end_poll(is_watching=False, failed_polls=self._failed_polls + 1)
         doublings = min(self._failed_polls, MAX_BACKOFF_DOUBLINGS)
@@ -130,7 +133,7 @@
     def update(
         self, now_ms: float, kind: UpdateKind, entries: Sequence[EndpointEntry]
     ) -> EndpointChange:
-        """Apply an update of the list."""
+        """Apply an update of the list, and return which servers joined and left."""
         if kind is UpdateKind.FAILED:
             self._on_poll_failed(now_ms)
             return EndpointChange([], [])
@@ -151,24 +154,25 @@
         return EndpointChange(ready_joined, list(left))
 
     def confirm_removal(self, now_ms: float, server: Server) -> dict[Server, None]:
-        """Remove a server whose removal was unconfirmed; return what left by that."""
+        """Remove a server whose removal was unconfirmed, and return it as a mapping."""
         left: dict[Server, None] = {}
         self._remove(now_ms, server, Phase.GONE, left)
         self._keep_ready_servers()
         return left
 
-    def set_maintenance(self, now_ms: float, name: str, is_out: bool) -> None:
-        """Record that a server is in maintenance, or not any more."""
-        if is_out:
+    def set_maintenance(self, now_ms: float, name: str, in_maintenance: bool) -> None:
+        """Record that the maintenance of a server begins or ends."""
+        if in_maintenance:
             self.maintenance_since_ms.setdefault(name, now_ms)
         elif name in self.maintenance_since_ms:
             since_ms = self.maintenance_since_ms.pop(name)
             self.maintenance_ended_ms[name] = MaintenancePeriod(since_ms, now_ms)
 
     def may_attempt(self, now_ms: float, server: Server, mid_flow: bool) -> bool:
-        """Rule 3: return whether an attempt may be made at a server.
+        """Return whether the phase of a server allows an attempt.
 
-        A draining server still carries on what it holds, but only within the grace.
+        A draining server continues its open sessions, but only within the drain grace:
+        mid-flow sessions may go to it for half of that time.
         """
         if server.phase is Phase.READY:
             return True
@@ -191,8 +195,8 @@
             phase = Phase.DRAINING
         started_ms = self._effective_start_ms(server.name, entry.started_ms)
         has_restarted = self._has_restarted(server, started_ms)
-        # Only a registered size is the same at every proxy; with a live weight their
-        # slot tables would differ.
+        # Only registered sizes are the same at every proxy; with weights that change at
+        # runtime their slot tables would differ.
         weight = entry.weight if self._uses_weights else None
         server.weight = weight if weight and weight > 0 else 1.0
         server.started_ms = started_ms
@@ -207,9 +211,10 @@
             server.phase = phase
 
     def _effective_start_ms(self, name: str, started_ms: float | None) -> float | None:
-        """Return when a server started, at the earliest when its maintenance ended.
+        """Return the start time of a server, considering its last maintenance.
 
-        It may have been restarted meanwhile without the list saying so yet.
+        A server may have been restarted during maintenance although the list does not
+        show it yet, so it counts as started when maintenance ended.
         """
         period = self.maintenance_ended_ms.get(name)
         if period and (started_ms is None or started_ms < period.started_ms):
@@ -225,7 +230,7 @@
 
     @staticmethod
     def _forget_process(server: Server) -> None:
-        """Forget what the server's last process was judged by: a new one is another."""
+        """Reset the state that belongs to the previous process of a server."""
         server.load_samples.clear()
         server.probe_latencies.clear()
         server.recent_results.clear()
@@ -237,11 +242,11 @@
     def _handle_removal(
         self, now_ms: float, server: Server, phase: Phase, left: dict[Server, None]
     ) -> None:
-        """Remove a server that the list calls draining or gone, or no longer names.
+        """Remove a server that is draining, gone or no longer listed.
 
-        Where absence alone does not remove it, it leaves when it also gives no answer.
-        One that was seen draining is never ready here, so nothing that is missing from
-        a list brings it back.
+        If the settings do not remove unlisted servers, a server that is gone leaves
+        once it also fails to answer. A draining server leaves the ready servers at
+        once, so its absence from a later list does not bring it back.
         """
         if phase is Phase.GONE and not self._removes_unlisted_servers:
             server.is_removal_unconfirmed = True
--- a/wheathill/policy/load_estimator.py
+++ b/wheathill/policy/load_estimator.py
@@ -1,4 +1,4 @@
-"""Load levels of servers, estimated from probes and from late messages."""
+"""Estimates the load of servers from load reports and late messages."""
 
 import math
 from collections import deque
@@ -8,74 +8,75 @@
 from wheathill.model import Server
 from wheathill.policy.settings import TICK_INTERVAL_MS, LoadEstimatorSettings
 
-# A load sample is used for so long, in ms.
+# Time for which a load sample is used, in ms.
 SAMPLE_LIFETIME_MS = 5 * TICK_INTERVAL_MS
-# Samples that lie closer together than this, in ms, are averaged. An older one says how
-# the load was before the rush.
+# Two samples less than this apart, in ms, are averaged. An older sample does not show
+# the current load when sessions arrive fast.
 SMOOTHING_WINDOW_MS = TICK_INTERVAL_MS
-# What a server reports is about so old, in ms: later attempts are not in it yet.
+# Approximate age of the load in a report, in ms. Later attempts are not included in it.
 REPORT_DELAY_MS = 0.5 * TICK_INTERVAL_MS
-# After a late message a server counts as late for so long, in ms, and a second one
-# within twice as long is a repetition.
+# Time after a late message for which a server counts as late, in ms. A second late
+# message within twice this time counts as repeated.
 LATE_PERIOD_MS = 1.5 * TICK_INTERVAL_MS
 
-# Load over capacity says most; a queue or a count of connections only orders the
-# servers.
+# Fields of a load report, by preference. A load over capacity is the most useful one;
+# a queue length or a number of connections only ranks the servers.
 LOAD_FIELDS = ("x0", "util", "queue")
 UTILISATION_FIELDS = ("x0", "util")
-# The first level begins here, and each further one at twice the load: requests where
-# the load is a queue, else a part of capacity.
+# The load at which level 1 begins, in requests if the load is a queue length, else as a
+# fraction of capacity. Each further level begins at twice the load.
 BASE_QUEUE = 1.0
 BASE_LOAD = 0.25
 
-# Until some connections are held: this proxy's part of a few dozen in all.
+# Initial capacity estimate of a server, in sessions of all proxies.
 INITIAL_CAPACITY = 40.0
-# A proxy that has just started holds nothing on servers that others have loaded:
-# without a floor, in connections, it took each of its connections for a whole server
-# and refused nearly all.
+# Lower bound of the capacity used for the expected load, in sessions. A proxy that has
+# just started holds no sessions on servers loaded by other proxies. Without the bound
+# it took each of its sessions for the load of a whole server and rejected nearly all.
 MIN_CAPACITY = 5.0
-# Smaller mean loads count as this one when a capacity is worked out.
+# Lower bound of the mean load that a capacity is calculated from.
 MIN_MEAN_LOAD = 0.05
-# Capacities that are kept: not the last one alone, as one odd report would count for
-# all.
+# Number of capacity samples whose median is used, so that a single wrong report does
+# not determine the estimate.
 CAPACITY_SAMPLES = 5
-# Sessions come slowly while their mean number grows by no more than this in a tick.
+# Sessions arrive slowly while their mean number per server grows by at most this factor
+# per tick.
 SETTLED_GROWTH = 1.5
 
-# Bounds of the factor by which a server's reports are corrected.
+# Bounds of the report correction.
 MIN_CORRECTION = 0.5
 MAX_CORRECTION = 8.0
-# The load that a server has at least where messages are late.
+# Minimum load of a server whose messages are late.
 LATE_LOAD = 0.95
-# What is left of a correction upwards after a tick without a late message: less where
-# sessions of this proxy would have noticed one.
+# Decay per tick of a report correction above 1 while no message is late. It is faster
+# if this proxy has sessions there that would observe a late message.
 CORRECTION_DECAY_WITH_SESSIONS = 0.85
 CORRECTION_DECAY_WITHOUT_SESSIONS = 0.93
-# The change of a correction downwards in a tick: while the server reports more than its
-# capacity though no message is late, and while it does not.
+# Change per tick of a report correction of at most 1: the decay while the server
+# reports more than its capacity though no message is late, and the recovery otherwise.
 OVER_REPORT_DECAY = 0.9
 OVER_REPORT_RECOVERY = 1.01
 
 
 class LoadEstimator:
-    """Turns the last few load reports of each server into doubling levels.
+    """Estimates load, load level and capacity from the last reports of each server.
 
     Attributes:
         overload_threshold: the load from which a server takes no new sessions.
-        reports_utilisation: whether reports are a load over capacity.
-        quota: this proxy's part of what all proxies may do together.
-        capacity_estimate: how many of this proxy's sessions a warm server can take.
-        capacity_samples: the last findings that this is the median of.
-        settled_capacity_samples: those of them since sessions came slowly for the first
-            time.
-        previous_mean_sessions: of this proxy on a warm server, a tick ago.
+        reports_utilisation: whether reports state a load over capacity.
+        quota: this proxy's share of what all proxies may do together.
+        capacity_estimate: how many sessions of this proxy a warm server can take.
+        capacity_samples: the last samples, whose median is `capacity_estimate`.
+        settled_capacity_samples: those taken since sessions first arrived slowly.
+        previous_mean_sessions: the mean number of sessions of this proxy on a warm
+            server at the previous tick.
     """
 
     def __init__(self, settings: LoadEstimatorSettings, proxy_count: int) -> None:
-        """Know nothing yet, with an even part of the load for each proxy."""
-        self._fields = settings.report_fields
+        """Create an estimator without samples, with an equal quota for each proxy."""
+        self._report_fields = settings.report_fields
         self._load_field = next(
-            (name for name in LOAD_FIELDS if name in self._fields), None
+            (name for name in LOAD_FIELDS if name in self._report_fields), None
         )
         self._base_load = BASE_QUEUE if self._load_field == "queue" else BASE_LOAD
         self._reports_late_messages = settings.reports_late_messages
@@ -92,20 +93,24 @@
     def record_sample(
         self, now_ms: float, server: Server, report: Sequence[float | None] | None
     ) -> None:
-        """Take a load report of a server; one that can't be read counts as none."""
-        if not self._load_field or not report or len(report) != len(self._fields):
+        """Record a load report of a server; an invalid one is ignored."""
+        if (
+            not self._load_field
+            or not report
+            or len(report) != len(self._report_fields)
+        ):
             return
-        load = report[self._fields.index(self._load_field)]
+        load = report[self._report_fields.index(self._load_field)]
         if load is not None and 0 <= load < math.inf:
             server.load_samples.append((now_ms, load))
 
     def sample_age_ms(self, now_ms: float, server: Server) -> float:
-        """Return how old the last sample is, infinite where there is none."""
+        """Return the age of the last sample, or infinity without one."""
         return now_ms - server.load_samples[-1][0] if server.load_samples else math.inf
 
     def load(self, now_ms: float, server: Server) -> float | None:
-        """Return the corrected load by the last samples, None where it is unknown."""
-        # Two samples at most: this is called for dozens of servers a session.
+        """Return the corrected load from the last samples, or None if unknown."""
+        # Limited to two samples, as this is called for dozens of servers per session.
         samples = server.load_samples
         if not samples or samples[-1][0] <= now_ms - SAMPLE_LIFETIME_MS:
             return None
@@ -117,7 +122,7 @@
     def loads(self, now_ms: float, servers: Iterable[Server]) -> dict[Server, float]:
         """Return the known loads.
 
-        With hundreds of proxies each one sees few servers at a time.
+        Among hundreds of proxies, each one knows the load of few servers at a time.
         """
         return {
             server: load
@@ -126,10 +131,10 @@
         }
 
     def expected_load(self, now_ms: float, server: Server) -> float:
-        """Return the load with the attempts since its report; 0 where it is unknown.
+        """Return the load including attempts since the report, or 0 if unknown.
 
-        Without these all sessions between two probes would crowd onto the server that
-        looked best.
+        Without these attempts, all sessions between two probes would go to the server
+        with the lowest reported load.
         """
         load = self.load(now_ms, server) if self.reports_utilisation else None
         if load is None:
@@ -143,10 +148,10 @@
     def update_capacity_estimate(
         self, now_ms: float, warm_servers: Sequence[Server]
     ) -> None:
-        """Estimate what a warm server can take, in this proxy's own sessions.
+        """Estimate how many sessions of this proxy a warm server can take.
 
-        A proxy among hundreds holds less than one session a server: only the sessions
-        on all servers together, over the servers' mean load, say it.
+        One proxy among hundreds has less than one session per server, so the estimate
+        is the mean number of its sessions on all servers over the servers' mean load.
         """
         reported = [
             server
@@ -168,9 +173,9 @@
     def _add_capacity_sample(self, capacity: float, mean_sessions: float) -> None:
         self.capacity_samples.append(capacity)
         self.capacity_estimate = median(self.capacity_samples)
-        # Loads are reported later than sessions come: after a start, while they come
-        # fast, more of them are open than was reported. A first finding of six times
-        # the truth pushed all warming servers over.
+        # Load reports lag behind arriving sessions: after a start, while they arrive
+        # fast, more are open than the reports show. A first estimate of six times the
+        # real capacity overloaded all warming servers.
         if (
             self.settled_capacity_samples
             or mean_sessions <= SETTLED_GROWTH * self.previous_mean_sessions
@@ -179,15 +184,19 @@
 
     @property
     def warm_up_capacity_estimate(self) -> float:
-        """The capacity estimate as far as warming servers may be filled by it."""
+        """The capacity estimate for slow start.
+
+        Until sessions arrive slowly, it is bounded by the initial estimate.
+        """
         if self.settled_capacity_samples:
             return median(self.settled_capacity_samples)
         return min(self.capacity_estimate, INITIAL_CAPACITY * self.quota)
 
     def set_quota(self, quota: float) -> None:
-        """Set this proxy's part of what all proxies may do together.
+        """Set this proxy's share of what all proxies may do together.
 
-        What is found follows a larger part by itself, but a smaller one too late.
+        The estimates follow a larger quota by themselves, but would follow a smaller
+        one too late, so they are scaled down.
         """
         reduction = min(1.0, quota / self.quota) if self.quota else 1.0
         self.capacity_samples = self._scaled(self.capacity_samples, reduction)
@@ -207,46 +216,46 @@
     # Late messages
 
     def record_late_message(
-        self, now_ms: float, server: Server, lateness: float
+        self, now_ms: float, server: Server, latency_ratio: float
     ) -> None:
-        """Correct a server's reports by a message that missed its latency objective.
+        """Raise the report correction of a server after a late message.
 
-        Evidence before reports: where messages miss their objective a server is near
-        its capacity at least, whatever it reports. The correction needs a second late
-        message within twice `LATE_PERIOD_MS`. Each tick without one takes a part of it
-        back, see `update_report_corrections`.
+        A server whose messages miss their latency objective is at least near its
+        capacity, whatever it reports. The correction is raised from the second late
+        message within twice `LATE_PERIOD_MS` on. It decays with each tick without a
+        late message, see `update_report_corrections`.
 
         Args:
-            now_ms: the time.
-            server: where the message went.
-            lateness: its latency over the objective; 0 where the network path is to
-                blame.
+            now_ms: the monotonic time.
+            server: the server that the message went to.
+            latency_ratio: its latency over the objective; 0 if the network path is the
+                cause.
         """
         is_repeated = now_ms - server.last_late_message_ms < 2 * LATE_PERIOD_MS
         server.last_late_message_ms = now_ms
         load = self.load(now_ms, server) if self.reports_utilisation else None
-        if load and lateness and is_repeated:
-            factor = max(1.0, LATE_LOAD * min(1.0, lateness) / load)
+        if load and latency_ratio and is_repeated:
+            factor = max(1.0, LATE_LOAD * min(1.0, latency_ratio) / load)
             server.report_correction = min(
                 MAX_CORRECTION, server.report_correction * factor
             )
 
     def has_late_messages(self, now_ms: float, server: Server) -> bool:
-        """Return whether messages there miss their latency objective.
+        """Return whether a message to a server recently missed its latency objective.
 
-        It is known without any probe, and means that the server is at its capacity; by
-        how much it is over is unknown.
+        This is known without a probe. It shows that the server is at its capacity, but
+        not how far beyond.
         """
         return now_ms - server.last_late_message_ms < LATE_PERIOD_MS
 
     def update_report_corrections(
         self, now_ms: float, servers: Iterable[Server]
     ) -> None:
-        """Take corrections back where no message is late.
+        """Decay the report corrections of servers without late messages.
 
-        Also the other way: a server that reports to be over its capacity, while no
-        message of this proxy's sessions there is late, reports too much. Where late
-        messages are not noticed nothing speaks against a report.
+        Conversely, a server reports too much if it reports more than its capacity while
+        no message of this proxy's sessions there is late; its correction is lowered. If
+        late messages are not observed, no report is contradicted.
         """
         for server in servers:
             if server.report_correction > 1.0 and not self.has_late_messages(
@@ -281,7 +290,7 @@
     # Levels
 
     def level(self, load: float) -> int:
-        """Return the level of a load: each one stands for twice that of the last."""
+        """Return the level of a load; each one begins at twice the load of the last."""
         if load < self._base_load:
             return 0
         return 1 + int(math.log2(load / self._base_load))
@@ -289,11 +298,11 @@
     def levels(
         self, now_ms: float, servers: Sequence[Server] | dict[Server, None]
     ) -> dict[Server, int]:
-        """Return the level of each server, or the median where it is unknown.
+        """Return the level of each server, or the median level if it is unknown.
 
-        Exception: with most unknown, a level says nothing against the others'. Tables
-        of hundreds of proxies, each shifted by the few loads that it happened to see,
-        drift apart, and groups with them.
+        If most loads are unknown, all servers get the same level. Otherwise the slot
+        tables of hundreds of proxies, each shifted by the few loads that it knows,
+        would diverge, and groups would be spread over several servers.
         """
         if self._load_field:
             loads = self.loads(now_ms, servers)
@@ -304,5 +313,5 @@
         levels = {server: self.level(load) for server, load in loads.items()}
         if 2 * len(levels) < len(servers):
             levels = {}
-        middle = int(median(levels.values())) if levels else 0
-        return {server: levels.get(server, middle) for server in servers}
+        median_level = int(median(levels.values())) if levels else 0
+        return {server: levels.get(server, median_level) for server in servers}
--- a/wheathill/policy/migration.py
+++ b/wheathill/policy/migration.py
@@ -1,7 +1,7 @@
-"""Session migration: clients are asked to reconnect, so that another server takes them.
+"""Session migration: asks clients to reconnect, so that another server takes them.
 
-That is done where their server leaves, is overloaded or is unresponsive, and where this
-proxy stops.
+Sessions migrate when their server is draining, overloaded or unresponsive, and when
+this proxy shuts down.
 """
 
 import math
@@ -14,32 +14,32 @@
 from wheathill.policy.settings import TICK_INTERVAL_MS
 from wheathill.policy.slot_table import SlotTable
 
-# Sessions migrate off a server from this load on while others have room, and from full
-# capacity in any case.
+# The load from which sessions migrate off a server if other servers have room, and the
+# load from which they migrate in any case.
 MIGRATION_LOAD = 0.9
 FULL_LOAD = 1.0
-# With room elsewhere, a server is relieved down to this part of the load from which it
-# takes no new sessions.
+# If other servers have room, the target load of a migration, as a fraction of the
+# overload threshold.
 RELIEF_TARGET = 0.75
-# Reports lag behind the migrations: a server is left alone for so long after some, in
-# ms.
+# Minimum time between two migrations off an overloaded server, in ms, as load reports
+# lag behind.
 MIGRATION_PAUSE_MS = 2 * TICK_INTERVAL_MS
 
-# A draining server's sessions migrate in so many ticks: servers were seen to end 3.2 s
-# after this proxy was notified.
+# Number of ticks within which the sessions of a draining server migrate. Servers were
+# seen to terminate 3.2 s after this proxy was notified.
 DRAIN_TICKS = 3
-# A proxy that stops asks this part of its clients at a time, until the last moment.
-STOP_PARTS = 4
+# Each call of `migrate_all` but the last migrates one of this many batches.
+SHUTDOWN_BATCHES = 4
 
-# A session whose message has no answer for so long, in ms, migrates.
-UNANSWERED_MS = 1500.0
-# Nothing at all for so long from a server with two unanswered messages, in ms, means
-# that it is unresponsive.
-UNRESPONSIVE_MS = 500.0
+# A session whose message has been unanswered for this time, in ms, migrates.
+MESSAGE_TIMEOUT_MS = 1500.0
+# A server with unanswered messages of two sessions, from which no data was received for
+# this time, in ms, is unresponsive.
+SILENCE_TIMEOUT_MS = 500.0
 
 
 class SessionMigrator:
-    """Decides which sessions migrate, and when."""
+    """Selects the sessions that migrate, and decides when they do."""
 
     def __init__(
         self,
@@ -51,7 +51,7 @@
         *,
         may_probe: bool,
     ) -> None:
-        """Take the parts whose state says who migrates."""
+        """Use the state of the given components to select sessions."""
         self._effects = effects
         self._uniform = uniform
         self._slot_table = slot_table
@@ -59,22 +59,22 @@
         self._outlier_detector = outlier_detector
         self._may_probe = may_probe
 
-    def migrate(self, sessions: Sequence[Session], parts: int) -> None:
-        """Ask the clients of one part of these sessions to reconnect.
+    def migrate(self, sessions: Sequence[Session], batches: int) -> None:
+        """Migrate one batch of the given sessions, the first of `batches`.
 
-        They are asked before their server leaves, or this proxy. A part at a time: all
-        of them are set up anew, and at once they would overload what set-ups depend on.
+        Every migrated session is set up again. Migrating all of them at the same time
+        would overload the dependencies that set-ups share.
         """
-        for session in sessions[: math.ceil(len(sessions) / parts)]:
+        for session in sessions[: math.ceil(len(sessions) / batches)]:
             self._effects.migrate(session)
 
     def migrate_all(self, *, is_last: bool) -> None:
-        """Migrate a part of all sessions, as this proxy stops; all the last time."""
+        """Migrate a batch of all sessions, or all of them in the last call."""
         sessions = [session for held in self._slot_table.sessions for session in held]
-        self.migrate(sessions, 1 if is_last else STOP_PARTS)
+        self.migrate(sessions, 1 if is_last else SHUTDOWN_BATCHES)
 
     def migrate_off_draining(self, now_ms: float, servers: Iterable[Server]) -> None:
-        """Migrate a part of the sessions of those servers that are draining."""
+        """Migrate a batch of the sessions of each draining server."""
         for server in [server for server in servers if server.phase is Phase.DRAINING]:
             ticks = int((now_ms - server.leaving_since_ms) / TICK_INTERVAL_MS)
             self.migrate(list(server.sessions), max(1, DRAIN_TICKS - ticks))
@@ -82,18 +82,18 @@
     def on_message_unanswered(
         self, now_ms: float, session: Session, waited_ms: float
     ) -> None:
-        """Migrate a session whose message got no answer for long.
+        """Migrate a session whose message has been unanswered for too long.
 
-        Its server or the path there is gone without notice. Where two sessions wait,
-        and nothing at all came from there meanwhile, the others need not find out one
-        by one.
+        The server or the network path to it has failed without notice. If two sessions
+        wait and no data was received from the server meanwhile, all of its sessions
+        migrate without waiting for their own timeouts.
         """
         server = session.server
         assert server is not None, "a session that waits for an answer has a server"
         is_second = server.unanswered_session not in (None, session)
-        if waited_ms >= UNANSWERED_MS:
+        if waited_ms >= MESSAGE_TIMEOUT_MS:
             self._effects.migrate(session)
-        elif is_second and now_ms - server.last_received_ms >= UNRESPONSIVE_MS:
+        elif is_second and now_ms - server.last_received_ms >= SILENCE_TIMEOUT_MS:
             server.unanswered_probes = MAX_UNANSWERED_PROBES if self._may_probe else 0
             self._effects.log(
                 f"migration: {len(server.sessions)} sessions off an unresponsive server"
@@ -104,10 +104,11 @@
     def shed_overloaded_servers(self, now_ms: float, servers: Iterable[Server]) -> None:
         """Migrate sessions off overloaded servers.
 
-        Exception: shifted slots only help sessions to come, and connections outlive the
-        overload. Sessions migrate from the load on at which messages miss their
-        objective while other servers have room, and from full capacity in any case:
-        past it nobody there is served, and those who must wait outside cost less.
+        Shifting slots affects new sessions only, and open connections outlive the
+        overload. If other servers have room, sessions migrate from the load at which
+        messages miss their latency objective. From full capacity on they migrate in any
+        case: beyond it no session there is served well, and sessions that have to
+        wait for a server cost less.
         """
         loads = {
             server: load
@@ -129,16 +130,16 @@
                 self._shed(now_ms, server, load, has_room)
 
     def _shed(self, now_ms: float, server: Server, load: float, has_room: bool) -> None:
-        """Migrate the excess of one server.
+        """Migrate excess sessions off one server.
 
-        Half of the excess at a time, since reports lag behind the migrations, but all
-        of it past full capacity.
+        Half of the excess migrates at a time, since reports lag behind migrations, but
+        all of it from full capacity on.
         """
         threshold = self._load_estimator.overload_threshold
         excess = 1 - (RELIEF_TARGET if has_room else 1.0) * threshold / load
         share = excess if load >= FULL_LOAD else excess / 2
-        # By chance in proportion: rounded up by hundreds of proxies that hold one
-        # session each, all sessions would go.
+        # Rounded at random in proportion to the fraction: if hundreds of proxies with
+        # one session each rounded up, all sessions would migrate.
         count = int(len(server.sessions) * share + self._uniform(0.0, 1.0))
         for session in self._in_order_of_migration(server)[:count]:
             self._effects.migrate(session)
@@ -150,7 +151,7 @@
             )
 
     def _in_order_of_migration(self, server: Server) -> list[Session]:
-        """Return a server's sessions by slot, so that a group is not spread."""
+        """Return a server's sessions ordered by slot, which keeps groups together."""
         table = self._slot_table
         return sorted(
             server.sessions,
--- a/wheathill/policy/outlier_detection.py
+++ b/wheathill/policy/outlier_detection.py
@@ -1,4 +1,4 @@
-"""Passive health checking: servers whose attempts and probes fail."""
+"""Outlier detection: finds servers whose attempts fail or that are unresponsive."""
 
 from collections import deque
 from collections.abc import Collection, Iterable
@@ -7,34 +7,35 @@
 from wheathill.model import Server
 from wheathill.policy.settings import CONNECTION_LIFETIME_MS, EARLY_RESET_MS
 
-# After so many probes in a row without an answer a server counts as unresponsive.
+# Number of consecutive unanswered probes from which a server counts as unresponsive.
 MAX_UNANSWERED_PROBES = 2
-# A server is failing from so many failures among its last results, and where these are
-# at least a third of the results.
+# A server is failing if its last results contain at least this many failures, and if
+# these are at least a third of the results.
 MIN_FAILURES = 2
 MAX_RESULTS_PER_FAILURE = 3
-# How long a failure counts against a server, in ms.
+# Time for which a result is taken into account, in ms.
 RESULT_LIFETIME_MS = CONNECTION_LIFETIME_MS
-# Failures within this time of each other are one failure: what breaks together failed
-# once. Also the unit of the wait for the next trial, in ms.
+# Consecutive failures no further apart than this, in ms, count as one, as they have one
+# cause. Also the base of the delay until the next trial.
 FAILURE_INTERVAL_MS = 250.0
-# How long a trial session must stand until the server gets others again, in ms.
-TRIAL_MS = 0.4 * EARLY_RESET_MS
-# How many attempts are kept for the search for a common cause, and for how long, in ms.
+# Time that a trial session must stay open before the server gets other sessions, in ms.
+MIN_TRIAL_DURATION_MS = 0.4 * EARLY_RESET_MS
+# Number of attempts kept for the detection of a common cause, and the time in ms for
+# which they are taken into account.
 ATTEMPTS_KEPT = 16
 ATTEMPT_LIFETIME_MS = 5000.0
-# From so many failing servers on a common cause is assumed. Two are enough: one proxy
-# among hundreds sees hardly more before its clients give up.
+# Number of failing servers from which a common cause is assumed. One proxy among
+# hundreds hardly sees more than two before its clients give up.
 MIN_FAILING_SERVERS = 2
 
 
 @dataclass(slots=True, eq=False)
 class RecordedAttempt:
-    """One of the last attempts at any server.
+    """An attempt kept for the detection of a common cause.
 
     Attributes:
         at_ms: when it ended.
-        server: where it was made.
+        server: the server.
         succeeded: whether the session was set up, and was not reset soon afterwards.
     """
 
@@ -44,7 +45,7 @@
 
 
 class OutlierDetector:
-    """Which servers fail, judged by the attempts and probes of this proxy alone.
+    """Detects outliers: servers that fail or do not answer probes.
 
     Attributes:
         recent_attempts: the last attempts at all servers, oldest first.
@@ -54,16 +55,16 @@
         self.recent_attempts: deque[RecordedAttempt] = deque(maxlen=ATTEMPTS_KEPT)
 
     def record_attempt(self, now_ms: float, server: Server, succeeded: bool) -> None:
-        """Record how an attempt at a server ended."""
+        """Record the result of an attempt at a server."""
         self.recent_attempts.append(RecordedAttempt(now_ms, server, succeeded))
         server.recent_results.append((now_ms, succeeded))
 
     def record_reset(self, now_ms: float, server: Server, accepted_ms: float) -> None:
-        """Record that a session was reset that the server had accepted.
+        """Record that a session was reset after the server had accepted it.
 
-        If its attempt is among the last ones, that one failed, and no other: all
-        sessions of a server that crashes are reset at once, which is the trouble of one
-        server and not a common cause.
+        If the attempt of the session is still recorded, it is changed to a failure, and
+        no further failure is added. A crashing server resets all of its sessions at the
+        same time, which is a failure of one server and not a common cause.
         """
         server.recent_results.append((now_ms, False))
         for attempt in self.recent_attempts:
@@ -76,13 +77,13 @@
                 return
 
     def record_peer_failures(self, now_ms: float, servers: Iterable[Server]) -> None:
-        """Take servers for failing that fail for all other proxies."""
+        """Mark servers as failing that fail for all proxies."""
         for server in servers:
             if not self.is_outlier(now_ms, server):
                 server.recent_results.extend([(now_ms, False)] * MIN_FAILURES)
 
     def forget_attempts(self, servers: Collection[Server]) -> None:
-        """Leave attempts at these servers out of the search for a common cause."""
+        """Exclude recorded attempts at these servers from a common cause."""
         self.recent_attempts = deque(
             (
                 attempt
@@ -93,19 +94,20 @@
         )
 
     def is_outlier(self, now_ms: float, server: Server) -> bool:
-        """Whether sessions should rather go to other servers."""
+        """Whether sessions should go to other servers if possible."""
         return self.is_unresponsive(server) or self.is_failing(now_ms, server)
 
     def is_unresponsive(self, server: Server) -> bool:
-        """Whether the last probes of a server remained without an answer."""
+        """Whether a server has left the last probes unanswered."""
         return server.unanswered_probes >= MAX_UNANSWERED_PROBES
 
     def is_failing(self, now_ms: float, server: Server) -> bool:
-        """Whether sessions fail at a server, apart from the next trial.
+        """Whether attempts at a server fail, and no trial session is due.
 
-        There is no fixed time after which it returns. One session at a time tries it,
-        and until that one has stood for a while nothing else goes there. Each failure
-        among the last results doubles the wait for the next trial.
+        The ejection of a failing server has no fixed duration. The server gets one
+        trial session at a time, and no other until a trial has stayed open for
+        `MIN_TRIAL_DURATION_MS`. Each separate failure among the last results doubles
+        the delay until the next trial.
         """
         since_ms = now_ms - RESULT_LIFETIME_MS
         failures_ms = [
@@ -121,7 +123,7 @@
         last_failure_ms = failures_ms[-1]
         for at_ms, succeeded in results:
             if succeeded and at_ms > last_failure_ms:
-                return now_ms - at_ms < TRIAL_MS
+                return now_ms - at_ms < MIN_TRIAL_DURATION_MS
         return self._is_trial_in_flight(
             now_ms,
             server,
@@ -140,11 +142,11 @@
         )
 
     def has_common_cause(self, now_ms: float) -> bool:
-        """Whether attempts fail at many servers at once.
+        """Whether attempts fail at many servers at the same time.
 
-        What all servers depend on is then overloaded, and further attempts would
-        overload it more. Servers are counted as well as attempts: a few servers that
-        fail in turn take many attempts, without any common cause.
+        A dependency that all servers share is then overloaded, and further attempts
+        would increase the overload. Both servers and attempts are counted, as a few
+        servers that fail in turn cause many failed attempts without a common cause.
         """
         since_ms = now_ms - ATTEMPT_LIFETIME_MS
         results: dict[Server, list[bool]] = {}
@@ -162,7 +164,7 @@
 
 
 def _trial_wait_ms(failures_ms: list[float]) -> float:
-    """Return how long after the last failure the next trial has to wait."""
+    """Return the delay between the last failure and the next trial."""
     separate = 1 + sum(
         later_ms - earlier_ms > FAILURE_INTERVAL_MS
         for earlier_ms, later_ms in zip(failures_ms, failures_ms[1:], strict=False)
--- a/wheathill/policy/parts.py
+++ b/wheathill/policy/parts.py
@@ -1,4 +1,4 @@
-"""The parts of the decisions, made from the settings and joined."""
+"""Creates the components of a balancer from its settings, and connects them."""
 
 import random
 
@@ -20,29 +20,29 @@
 
 
 class PolicyComponents:
-    """What a `Balancer` consists of.
+    """The components of a `Balancer`.
 
     Attributes:
-        effects: carries out what is decided.
-        uniform: draws a number between two bounds.
-        slot_table: which server the key of a session is mapped to.
-        load_estimator: what is known of the servers' load.
-        endpoint_list: which servers there are.
-        outlier_detector: which of them fail.
-        path_latency: which of them are on a slow network path.
-        slow_start: what warming servers can take.
-        retry_budget: how many retries are allowed.
-        probe_scheduler: when servers are probed.
-        admission: the first of the stages that a session passes.
-        server_selector: the second one.
-        attempt_runner: the last one.
-        session_migrator: which sessions migrate.
+        effects: carries out the decisions.
+        uniform: draws a random number between two bounds.
+        slot_table: maps the keys of sessions to servers.
+        load_estimator: estimates the load and the capacity of servers.
+        endpoint_list: the known servers and their phases.
+        outlier_detector: detects failing and unresponsive servers.
+        path_latency: detects servers on a slow network path.
+        slow_start: limits attempts to warming servers.
+        retry_budget: limits retries.
+        probe_scheduler: decides when servers are probed.
+        admission: the first stage of a session's pipeline.
+        server_selector: the second stage.
+        attempt_runner: the last stage.
+        session_migrator: selects the sessions that migrate.
     """
 
     def __init__(
         self, effects: SessionEffects, rng: random.Random, settings: PolicySettings
     ) -> None:
-        """Make the parts; `Balancer` describes the arguments."""
+        """Create the components; see `Balancer` for the arguments."""
         self.effects, self.uniform = effects, rng.uniform
         self._make_estimators(rng, settings)
         self._make_stages(settings)
@@ -56,7 +56,10 @@
         )
 
     def _make_estimators(self, rng: random.Random, settings: PolicySettings) -> None:
-        """Make the parts that hold what is known, in the order in which they draw."""
+        """Create the components that hold state.
+
+        Their order determines which random numbers they draw.
+        """
         proxy_count = settings.proxy_count
         self.slot_table = SlotTable(rng.choice, settings.slot_table)
         self.load_estimator = LoadEstimator(settings.load_estimator, proxy_count)
@@ -65,7 +68,7 @@
         )
         self.outlier_detector = OutlierDetector()
         self.path_latency = PathLatency()
-        # Without a number of its own, a proxy takes one at random.
+        # A proxy without a configured index uses a random one.
         proxy_index = settings.proxy_index
         self.slow_start = SlowStartLimiter(
             settings.slow_start,
@@ -76,7 +79,7 @@
         self.retry_budget = RetryBudget(settings.retry_budget)
 
     def _make_stages(self, settings: PolicySettings) -> None:
-        """Make the stages that a session passes, and join them."""
+        """Create the stages of the session pipeline, and connect them."""
         self.probe_scheduler = ProbeScheduler(
             self.effects,
             is_enabled=settings.may_probe,
--- a/wheathill/policy/path_latency.py
+++ b/wheathill/policy/path_latency.py
@@ -1,4 +1,4 @@
-"""Latency of the network path between this proxy and each server."""
+"""Estimates the latency of the network path to each server."""
 
 from collections import deque
 from statistics import median
@@ -6,31 +6,31 @@
 from wheathill.model import Server
 from wheathill.policy.settings import TICK_INTERVAL_MS
 
-# For how long a measurement stands for the path, in ms: five rounds of probes.
+# Time for which a sample is used, in ms: five rounds of probes.
 SAMPLE_LIFETIME_MS = 5 * TICK_INTERVAL_MS
-# How many measurements are kept for a zone, as a whole.
+# Number of samples kept per zone.
 SAMPLES_PER_ZONE = 8
-# With fewer measurements than these, a zone says nothing of a server in it.
+# Minimum number of recent samples of a zone for an estimate of its other servers.
 MIN_ZONE_SAMPLES = 3
 
 
 class PathLatency:
-    """How long an answer takes from a server to this proxy, by the last few probes.
+    """Estimates the latency between this proxy and each server from the last probes.
 
-    Messages take as long as probes. Where the path alone misses their latency
-    objective, either the path is slow or the server is overloaded, and the difference
-    is nothing to whoever waits. For a server that was not probed recently, the others
-    of its zone are measured instead.
+    Messages are assumed to take as long as probes. If a probe exceeds the latency
+    objective of messages, either the path is slow or the server is overloaded; for
+    clients this makes no difference. For a server without a recent probe, samples of
+    other servers in its zone are used.
 
-    The estimate is wrong where probes wait and messages do not. For that reason it only
-    ranks a server behind those that answer in time, and never excludes one.
+    The estimate is too high if probes are queued and messages are not. For that reason
+    it only ranks servers on a slow path behind others, and never excludes one.
     """
 
     def __init__(self) -> None:
         self._zone_samples: dict[int, deque[tuple[float, float]]] = {}
 
     def record(self, now_ms: float, server: Server, latency_ms: float) -> None:
-        """Record that a probe of a server took so long."""
+        """Record the latency of a probe."""
         server.probe_latencies.append((now_ms, latency_ms))
         samples = self._zone_samples.setdefault(
             server.zone,
@@ -39,10 +39,10 @@
         samples.append((now_ms, latency_ms))
 
     def is_slow(self, now_ms: float, server: Server, target_ms: float) -> bool:
-        """Whether the path to a server takes longer than the objective of a message.
+        """Whether the path latency of a server exceeds the latency objective.
 
-        One slow probe is not enough where an earlier one of the same server is known
-        that was in time and still counts.
+        A single slow probe is not sufficient if the previous recent probe of the same
+        server was within the objective.
         """
         samples, since_ms = server.probe_latencies, now_ms - SAMPLE_LIFETIME_MS
         if samples and samples[-1][0] > since_ms:
--- a/wheathill/policy/probing.py
+++ b/wheathill/policy/probing.py
@@ -1,25 +1,25 @@
-"""When servers are probed for their load, and how many probes sessions pay for."""
+"""Schedules probes of servers, limited by a credit that sessions add to."""
 
 from collections.abc import Collection, Mapping
 
 from wheathill.model import Server, SessionEffects
 from wheathill.policy.settings import TICK_INTERVAL_MS
 
-# How many probes one session pays for. By the clock instead, all proxies probing all
-# servers would grow with the product of both.
+# Number of probes credited per session. With probes at a fixed rate instead, their
+# number would grow with the product of the numbers of proxies and servers.
 CREDIT_PER_SESSION = 3.0
-# A server is probed in a round only when its last probe is so old, in ms: a little less
-# than the second between two rounds, which would otherwise leave out every other one.
+# Minimum age of a server's last probe in a round of probes, in ms. With the whole
+# interval between rounds, every other round would leave the server out.
 MIN_PROBE_INTERVAL_MS = 0.9 * TICK_INTERVAL_MS
 
 
 class ProbeScheduler:
-    """Sends probes: those that a session asks for, and rounds over the fleet.
+    """Sends probes that sessions request, and selects servers for periodic rounds.
 
     Attributes:
         is_enabled: whether servers may be probed at all.
-        credit: how many probes are paid for. Probes that a session asks for are always
-            sent, so that it may be negative.
+        credit: the number of probes that periodic rounds may send. Probes requested by
+            sessions are always sent and reduce it, so it may be negative.
     """
 
     def __init__(
@@ -29,10 +29,10 @@
         is_enabled: bool,
         priority_load: float,
     ) -> None:
-        """Begin without credit.
+        """Create a scheduler without credit.
 
         Args:
-            effects: carries the probes out.
+            effects: sends the probes.
             is_enabled: whether servers may be probed at all.
             priority_load: servers above this load are probed before all others.
         """
@@ -42,14 +42,14 @@
         self.credit = 0.0
 
     def add_session_credit(self, servers: Collection[Server]) -> None:
-        """Credit a session's probes, up to one round over the servers.
+        """Add the credit of a session, up to one probe of every server.
 
-        A probe has its price by the session and its work at the server.
+        The cost of probes and their load on servers so depend on the session rate.
         """
         self.credit = min(self.credit + CREDIT_PER_SESSION, float(len(servers)))
 
     def send(self, now_ms: float, server: Server) -> None:
-        """Probe a server, unless a probe of it is in flight."""
+        """Probe a server, unless a probe to it is in flight."""
         if server.probe_sent_ms is None:
             server.probe_sent_ms = server.last_probe_ms = now_ms
             self.credit -= 1.0
@@ -61,10 +61,10 @@
         servers: Collection[Server],
         loads: Mapping[Server, float],
     ) -> list[Server]:
-        """Return the servers to probe in this round, as far as the credit goes.
+        """Return the servers to probe in this round, as many as the credit allows.
 
-        Those with a high load come first, as they are the next to be full, then those
-        that have not been probed for longest.
+        Highly loaded servers come first, as they are the next ones to be full. Within
+        each class the servers are ordered by their last probe, oldest first.
         """
         if not self.is_enabled or self.credit < 1.0:
             return []
--- a/wheathill/policy/retry_budget.py
+++ b/wheathill/policy/retry_budget.py
@@ -1,4 +1,4 @@
-"""The retry budget: how many retries a proxy may make in a window."""
+"""The retry budget: limits the retries of a proxy within a sliding window."""
 
 from collections import deque
 from typing import NamedTuple
@@ -6,8 +6,9 @@
 from wheathill.model import Session
 from wheathill.policy.settings import RetryBudgetSettings
 
-# Whoever counts retries does so in units of its own, so that events at either end of
-# the window may be in it or not: the stricter reading counts, by this many ms.
+# Tolerance at both ends of the window, in ms, always applied on the strict side. An
+# external observer of the budget may use another clock resolution, and so count events
+# at the ends of the window differently.
 WINDOW_TOLERANCE_MS = 1.0
 
 
@@ -15,8 +16,8 @@
     """A retry that was made or requested.
 
     Attributes:
-        at_ms: when.
-        priority_weight: that of its session.
+        at_ms: when it was made or requested.
+        priority_weight: the priority weight of its session's listener.
     """
 
     at_ms: float
@@ -24,30 +25,30 @@
 
 
 class RetryBudget:
-    """Rule 5, where it is stated.
+    """Limits retries relative to new sessions, with preference for high priority.
 
-    Within any window, this proxy's retries number at most `free_retries` plus
-    `retries_per_session` for each session that it took. Sessions of more priority go
-    first: one of less is retried only with what the others leave, at the rate at which
-    they requested retries of late. No form of trouble is looked at; where sessions of
-    priority request many retries and then stop, the others find too little for one
-    window.
+    Within any window, this proxy makes at most `free_retries` retries, plus
+    `retries_per_session` for each new session. It is unlimited if no window is
+    configured. Budget is reserved for sessions of higher priority weight: a session may
+    only use what remains after the retries that those requested in the last window. The
+    cause of failures is not considered. If sessions of high priority request many
+    retries and then stop, the others get too small a budget for one window.
 
     Attributes:
-        free_retries: retries that no session has to pay for.
-        retries_per_session: what each session adds.
-        session_times_ms: when the sessions of the last window came.
-        retries: those that were made in it.
-        requests: those that were requested in it.
-        denied: how many retries were denied since the start.
+        free_retries: retries that are allowed without any session.
+        retries_per_session: the retries that each session adds.
+        session_times_ms: when the sessions of the last window arrived.
+        retries: the retries made in the last window.
+        requests: the retries requested in the last window.
+        denied: the number of denials since the start.
     """
 
     def __init__(self, settings: RetryBudgetSettings) -> None:
-        """Begin with an empty window."""
+        """Create a budget with an empty window."""
         self.free_retries = settings.free_retries
         self.retries_per_session = settings.retries_per_session
         self._window_ms = settings.window_ms
-        # Without a window nothing is limited, so that nothing need be kept.
+        # Without a window retries are not limited, so no history is kept.
         capacity = None if self._window_ms else 0
         self.session_times_ms: deque[float] = deque(maxlen=capacity)
         self.retries: deque[Retry] = deque(maxlen=capacity)
@@ -55,17 +56,17 @@
         self.denied = 0
 
     def record_session(self, now_ms: float) -> None:
-        """Count a session that was taken."""
+        """Count a new session."""
         self.session_times_ms.append(now_ms)
         self._expire(now_ms)
 
     def request(self, now_ms: float, session: Session) -> bool:
-        """Count a retry that a session needs, and return whether it is allowed."""
+        """Count a retry requested for a session, and return whether it is allowed."""
         self.requests.append(Retry(now_ms, session.listener.priority_weight))
         return self.allows(now_ms, session)
 
     def allows(self, now_ms: float, session: Session) -> bool:
-        """Return whether a session may have its next attempt; the first one is free."""
+        """Return whether a session may make its next attempt; the first always may."""
         if not self._window_ms or not session.attempts:
             return True
         self._expire(now_ms)
@@ -83,12 +84,12 @@
         return not is_denied
 
     def record_attempt(self, now_ms: float, session: Session) -> None:
-        """Count an attempt that is about to be made, where it is a retry."""
+        """Count an attempt that is about to be made, if it is a retry."""
         if session.attempts:
             self.retries.append(Retry(now_ms, session.listener.priority_weight))
 
     def refund_unsent(self, session: Session) -> None:
-        """Take back the last retry of a session, as it was never sent."""
+        """Stop counting the last retry of a session, as it was never sent."""
         if len(session.attempts) <= 1:
             return
         retry = Retry(session.attempts[-1].sent_ms, session.listener.priority_weight)
--- a/wheathill/policy/retry_rules.py
+++ b/wheathill/policy/retry_rules.py
@@ -1,4 +1,4 @@
-"""When a session may be retried or rejected without any effect happening twice."""
+"""Rules on retries and rejections that prevent executing a request twice."""
 
 from wheathill.model import Attempt, Idempotency, Server, Session
 
@@ -9,11 +9,11 @@
 
 
 def may_retry(now_ms: float, session: Session, server: Server) -> bool:
-    """Whether a further attempt at a server keeps rule 2.
+    """Whether a further attempt at a server is safe from repeated effects.
 
-    Valid for a session none of whose attempts is in flight. The request of a keyed
-    listener may be repeated where the server recognises duplicates of all attempts
-    that may have been executed: within their scope and their time window.
+    No attempt of the session may be in flight. The request of a keyed listener may be
+    repeated if the server recognises it as a duplicate of all attempts that may have
+    been executed: within their deduplication scope and their deduplication window.
     """
     listener = session.listener
     if listener.idempotency is Idempotency.IDEMPOTENT:
@@ -30,7 +30,7 @@
 
 
 def may_reject(session: Session) -> bool:
-    """Whether the session may be rejected, after which its client retries anywhere."""
+    """Whether a session may be rejected, so that its client may retry anywhere."""
     listener = session.listener
     return (
         listener.idempotency is Idempotency.IDEMPOTENT
--- a/wheathill/policy/server_selection.py
+++ b/wheathill/policy/server_selection.py
@@ -25,27 +25,28 @@
 from wheathill.policy.slow_start import SlowStartLimiter
 from wheathill.policy.stage import Stage
 
-# How many servers are probed for one session at most. With none left, servers whose
-# load is not known get the attempt.
+# Maximum number of probes per session. After that, a server of unknown load gets the
+# attempt without a probe.
 MAX_PROBES_PER_SESSION = 4
-# A load that was reported within this time counts as known, in ms.
+# Maximum age of a load report that makes a probe unnecessary, in ms.
 RECENT_LOAD_MS = 0.4 * TICK_INTERVAL_MS
-# A server that had no capacity is not probed again for this time, in ms: it hardly has
-# any now, and sessions that were retried met the same servers without capacity.
+# Time for which a server without capacity is not probed again, in ms. It is unlikely to
+# have capacity already, and retried sessions used to probe the same full servers.
 FULL_SERVER_LIFETIME_MS = 4 * RECENT_LOAD_MS
-# A session waits for this part of its time for the answer to a probe.
+# Time that a session waits for the answer to a probe, as a fraction of the handshake
+# target or of its time left, whichever is shorter.
 PROBE_WAIT_SHARE = 1 / 4
-# With less than this part of the listener's dial timeout left, no probe is sent.
+# No probe is sent if less than this fraction of the listener's dial timeout is left.
 MIN_TIME_SHARE_FOR_PROBE = 1 / 2
-# A server that does not hold the session's group is taken as full at this part of the
-# usual threshold where it is the first candidate; less by the second for each candidate
-# passed before it, down to the third.
+# Overload threshold of a server that has no session of the session's group, as a
+# fraction of the usual threshold: the value for the first candidate, the reduction per
+# further candidate considered, and the minimum.
 GROUP_THRESHOLD_SHARE = 0.85
 GROUP_THRESHOLD_STEP = 0.07
 GROUP_THRESHOLD_MIN_SHARE = 0.45
 
 
-class Choice(enum.Enum):
+class CandidateAction(enum.Enum):
     """What to do with a candidate."""
 
     SKIP = enum.auto()
@@ -55,14 +56,14 @@
 
 @dataclass(slots=True, eq=False)
 class PendingSelection:
-    """A session that waits until a server has answered a probe."""
+    """A session that waits for the answer to a probe of a server."""
 
     session: Session
     server: Server
 
 
 class ServerSelector(Stage):
-    """Selects the slot table's server for the first attempt, and others for retries."""
+    """The second stage: selects a server for the first attempt and for each retry."""
 
     def __init__(
         self,
@@ -89,17 +90,17 @@
         self._probe_scheduler = probe_scheduler
         self._max_attempts = max_attempts
         self._waiting_sessions: dict[Server, dict[Session, None]] = {}
-        # Each stays until its timer fires, by the number that the timer carries.
+        # Keyed by the selection number of the timer; removed when the timer fires.
         self._pending: dict[int, PendingSelection] = {}
         self._last_pending_number = 0
 
     def enter(self, now_ms: float, session: Session) -> None:
         """Select a server for the first attempt of a session.
 
-        A server keeps a connection whose packets arrive mid-flow for a short time only:
-        it gets the attempt at once, whether it is an outlier or not. Only a server that
-        is warming up keeps its limit: where the guess is wrong, the connection is set
-        up anew there.
+        A server keeps a mid-flow connection for a short time only, so the server that
+        should have it gets the attempt at once, even if it is an outlier. The limit of
+        slow start still applies: if that server does not have the connection, the
+        session is set up there anew.
         """
         session.slot = self._slot_table.slot_of(session)
         if session.mid_flow:
@@ -115,12 +116,12 @@
         self._select(now_ms, session, session.candidates)
 
     def _candidates(self, now_ms: float, session: Session) -> Iterator[Server]:
-        """Yield the servers that the session may go to, the preferred one first.
+        """Yield the servers that the session may go to, the slot table's server first.
 
-        Exception: where the slot table's server is not suitable, those that hold the
-        session's group here, then those of the slots after its own. They act only for
-        outliers, for servers that were tried or are leaving, for warming ones past
-        their limit, and for overloaded ones: shifting slots comes too late for those.
+        It is followed by the servers that have sessions of the same group, and by those
+        of the following slots. They are used if the slot table's server is an outlier,
+        was tried before, is leaving, is warming up and at its limit, or is overloaded,
+        since shifting slots would take effect too late.
         """
         first = self._slot_table.assign(now_ms, session.key, session.slot)
         seen = {attempt.server for attempt in session.attempts}
@@ -138,48 +139,50 @@
         candidates: Iterable[Server],
         probed: Server | None = None,
     ) -> None:
-        """Attempt the first suitable candidate, or probe it first.
+        """Start an attempt at the first suitable candidate, or a probe of it.
 
-        With no server left the session is rejected: past that load messages are late,
-        so that one more session costs those that are placed more than it gains.
+        Without a suitable server or a fallback the session is passed back: beyond that
+        load messages are late, and one more session costs the open ones more than it
+        gains.
 
         Args:
             now_ms: the monotonic time.
             session: the session.
             candidates: the servers to consider.
-            probed: one of the candidates that has just answered the session's probe.
+            probed: the candidate that has just answered the session's probe, if any.
         """
         for server in candidates:
             if not self.is_eligible(now_ms, session, server):
                 continue
-            choice = self._choose(now_ms, session, server, server is probed)
-            if choice is Choice.ATTEMPT:
+            action = self._evaluate_candidate(now_ms, session, server, server is probed)
+            if action is CandidateAction.ATTEMPT:
                 self._start_attempt(now_ms, session, server)
                 return
-            if choice is Choice.PROBE:
+            if action is CandidateAction.PROBE:
                 self._send_probe(now_ms, session, server)
                 return
         self._use_fallback(now_ms, session)
 
     def is_eligible(self, now_ms: float, session: Session, server: Server) -> bool:
-        """Whether the rules allow an attempt of the session at a server."""
+        """Whether phase, retry rules and slow start allow an attempt at a server."""
         return (
             self._endpoint_list.may_attempt(now_ms, server, False)
             and may_retry(now_ms, session, server)
             and self._slow_start.allows(now_ms, server)
         )
 
-    def _choose(
+    def _evaluate_candidate(
         self,
         now_ms: float,
         session: Session,
         server: Server,
         is_probed: bool,
-    ) -> Choice:
-        """Return what to do with a candidate, and note those that serve as fallback.
+    ) -> CandidateAction:
+        """Return what to do with a candidate, and record it as a fallback if suitable.
 
-        When most servers look like outliers the cause is shared, and crowding the rest
-        would not cure it: an outlier that answers probes is the last fallback.
+        If most servers look like outliers the cause is a shared one, and moving their
+        load to the others would not help. The last fallback is therefore an outlier
+        that answers probes.
         """
         is_slow = self._path_latency.is_slow(
             now_ms,
@@ -192,23 +195,23 @@
                 and not self._outlier_detector.is_unresponsive(server)
             ):
                 session.unhealthy_candidate = server
-            return Choice.SKIP
+            return CandidateAction.SKIP
         if not is_slow:
             session.preferred_server = session.preferred_server or server
             if not is_probed:
                 session.candidates_considered += 1
                 if self._needs_probe(now_ms, session, server):
-                    return Choice.PROBE
+                    return CandidateAction.PROBE
         if not self._has_capacity(now_ms, session, server):
             session.found_full_server = True
         elif not is_slow:
-            return Choice.ATTEMPT
+            return CandidateAction.ATTEMPT
         elif session.slow_path_candidate is None:
             session.slow_path_candidate = server
-        return Choice.SKIP
+        return CandidateAction.SKIP
 
     def _use_fallback(self, now_ms: float, session: Session) -> None:
-        """Attempt a server on a slow path or an outlier, else hand the session back."""
+        """Try a server on a slow path, then an outlier, else pass the session back."""
         unhealthy = None if session.found_full_server else session.unhealthy_candidate
         for server in (session.slow_path_candidate, unhealthy):
             if server is not None and self.is_eligible(now_ms, session, server):
@@ -218,13 +221,13 @@
         self.previous_stage.on_failed(now_ms, session, None)
 
     def _needs_probe(self, now_ms: float, session: Session, server: Server) -> bool:
-        """Whether a server's load must be known before the session goes there.
+        """Whether a server has to be probed before an attempt there.
 
-        Exception: a server whose load is not known from a moment ago is probed first.
-        Among hundreds of proxies each sees too few sessions to pay for following every
-        server's load, so that what the others sent meanwhile would not be noticed; an
-        unresponsive server shows as well. Not with little time left, and only a few
-        times for each session.
+        A server without a recent load report is probed first. Among hundreds of
+        proxies, each one has too few sessions for the probe credit to cover every
+        server, and would not observe the load that the other proxies add. The probe
+        also detects an unresponsive server. No probe is sent with little time left, and
+        the number of probes per session is limited.
         """
         if (
             session.probes_requested >= MAX_PROBES_PER_SESSION
@@ -245,11 +248,12 @@
         )
 
     def _has_capacity(self, now_ms: float, session: Session, server: Server) -> bool:
-        """Whether a server can be expected to have capacity for the session.
+        """Whether a server is expected to have capacity for the session.
 
-        Of a server whose load is not known, after others had no capacity, the same is
-        to be expected: given attempts all the same, such servers took what no other had
-        capacity for, and each new holder of a group added its cost to a full fleet.
+        If the preferred server has no capacity, the same is assumed of servers whose
+        load is unknown. Otherwise such servers would take all sessions that no other
+        server has capacity for, and each further server that takes sessions of a group
+        would add the cost of the group although all servers are full.
         """
         estimator = self._load_estimator
         if (
@@ -267,11 +271,11 @@
         ) < threshold and not estimator.has_late_messages(now_ms, server)
 
     def _group_threshold_share(self, session: Session, server: Server) -> float:
-        """Return the part of the overload threshold that counts for a group's session.
+        """Return the fraction of the overload threshold that applies to a session.
 
-        A server that holds the session's group takes another member for far less than
-        one that does not. What is not held through this proxy is likely held through
-        others, where its slot leads.
+        A further session of a group costs far less at a server that has sessions of
+        that group. A group without sessions through this proxy probably has some
+        through other proxies, at the server of its slot.
         """
         if server in self._group_holders(session):
             return 1.0
@@ -282,13 +286,13 @@
         )
 
     def _group_holders(self, session: Session) -> Collection[Server]:
-        """Return the servers that hold the session's group through this proxy."""
+        """Return the servers that have sessions of the group through this proxy."""
         if session.group is None:
             return ()
         return self._slot_table.group_holders.get(session.group, ())
 
     def _send_probe(self, now_ms: float, session: Session, server: Server) -> None:
-        """Probe a server, and let the session wait for its answer."""
+        """Probe a server, and suspend the selection until it answers."""
         session.probes_requested += 1
         self._waiting_sessions.setdefault(server, {})[session] = None
         self._last_pending_number += 1
@@ -302,12 +306,12 @@
         self._probe_scheduler.send(now_ms, server)
 
     def on_probe_result(self, now_ms: float, server: Server, is_alive: bool) -> None:
-        """Go on with the sessions that wait for a server's answer."""
+        """Resume the selections that wait for a probe of this server."""
         for session in self._waiting_sessions.pop(server, ()):
             self._resume(now_ms, session, server, is_alive)
 
     def on_probe_timeout(self, now_ms: float, number: int) -> None:
-        """Go on with a session that has waited for long enough."""
+        """Resume a selection whose probe was not answered in time."""
         pending = self._pending.pop(number)
         waiting = self._waiting_sessions.get(pending.server, {})
         if pending.session in waiting:
@@ -341,7 +345,7 @@
         session: Session,
         outcome: AttemptOutcome | None,
     ) -> None:
-        """Retry at another server where that is allowed and has a chance."""
+        """Retry at another server, if that is allowed and may succeed."""
         if not self._should_retry(now_ms, session, outcome):
             self.previous_stage.on_failed(now_ms, session, outcome)
             return
@@ -354,9 +358,9 @@
         session: Session,
         outcome: AttemptOutcome | None,
     ) -> bool:
-        """Whether to retry; every retry that is wanted is noted by the retry budget.
+        """Whether to retry; the retry budget counts the request if one is useful.
 
-        A failed connection is no sign of a common cause: the server alone is gone.
+        A failed connection does not indicate a common cause: only that server is gone.
         """
         if outcome is None or outcome is AttemptOutcome.CANCELLED:
             return False
--- a/wheathill/policy/slot_claims.py
+++ b/wheathill/policy/slot_claims.py
@@ -1,10 +1,10 @@
-"""How servers claim slots: a weighted hash that all proxies compute alike.
+"""Assigns slots to servers by a weighted hash, with the same result at every proxy.
 
-Each server has an endless sequence of draws, pseudo-random numbers from its name. A
-draw names a slot and is a claim to it; a slot belongs to the earliest claim. The k-th
-draw comes at k and a fraction, divided by the server's weight, so that slots fall to
-servers in proportion to their weights, and a server that joins or leaves changes only
-the slots that it takes or frees.
+Each server has an unlimited sequence of draws, pseudo-random numbers derived from its
+name. A draw is a claim to one slot, with a score; a slot belongs to the claim with the
+lowest score. The score of the k-th draw is the sum of k and a random fraction, divided
+by the weight of the server. So the number of slots of a server is proportional to its
+weight, and a server that joins or leaves changes only the slots that it takes or frees.
 """
 
 import hashlib
@@ -20,7 +20,8 @@
 HIGH_HALF = 2**16
 LOW_HALF = 2**32
 
-# Draws made in one step: so many, and so many for each slot, shared by the servers.
+# Draws per server and step: the minimum, and the number per slot that is divided by the
+# number of servers.
 MIN_DRAWS_PER_STEP = 16
 DRAWS_PER_SLOT = 4
 
@@ -32,7 +33,7 @@
 
 
 def hash_draws(name: str, count: int) -> array:
-    """Return the first `count` draws of a server, the same on every machine."""
+    """Return the first `count` draws of a server, identical on all platforms."""
     draws = array("H", hashlib.shake_128(name.encode()).digest(BYTES_PER_DRAW * count))
     if sys.byteorder == "big":
         draws.byteswap()
@@ -45,16 +46,17 @@
     owners: MutableSequence[Server | None],
     weights: dict[Server, float],
 ) -> None:
-    """Give each slot to the server whose claim to it is the earliest.
+    """Assign each slot to the server with the lowest claim score for it.
 
-    Only draws that can still come first are made: some 14 for each slot in all.
+    Only draws that can still have the lowest score are made, about 14 per slot in
+    total.
 
     Args:
-        slots: the slots that are to be claimed.
-        claim_scores: by slot, the earliest claim so far; updated. A slot that is not
-            to change holds -inf, or a claim that none of these servers can precede.
-        owners: by slot, whose claim that is; updated.
-        weights: what each server counts for.
+        slots: the slots to assign.
+        claim_scores: by slot, the lowest score so far; updated. A slot that must not
+            change has the score -inf, or one that is lower than any of these servers'.
+        owners: by slot, the server with that score; updated.
+        weights: the weight of each server.
     """
     slot_count = len(claim_scores)
     start = 0
@@ -81,7 +83,7 @@
     claim_scores: MutableSequence[float],
     owners: MutableSequence[Server | None],
 ) -> None:
-    """Let one server claim slots by some of its draws."""
+    """Apply the claims of one server from a range of its draws."""
     start, stop = draw_range.start, draw_range.stop
     if len(server.hash_draws) < NUMBERS_PER_DRAW * stop:
         server.hash_draws = hash_draws(server.name, stop)
--- a/wheathill/policy/slot_table.py
+++ b/wheathill/policy/slot_table.py
@@ -1,9 +1,10 @@
-"""Slot tables after INCAB: which server the key of a session is mapped to.
+"""The slot table, which maps the keys of sessions to servers, based on INCAB.
 
 INCAB ("In-network Congestion-aware Load Balancing at Transport Layer", arXiv) hashes
 keys to slots, and keeps a current and a new table of slots. A slot that is shifted to
-another server has an entry in both until its old connections have ended: until then,
-new keys follow the new table and old ones the current table.
+another server is in transition, with an entry in both tables, until its old connections
+have ended. During that time new keys follow the new table, and old keys the current
+table.
 """
 
 import math
@@ -15,28 +16,28 @@
 from wheathill.policy.settings import SlotTableSettings
 from wheathill.policy.slot_claims import claim_slots, hash_draws, slot_of_key
 
-# A server keeps so many slots at the least when its slots are shifted.
+# Minimum number of slots that a server keeps when its slots are shifted.
 MIN_SLOTS_PER_SERVER = 4
-# The part of all slots that may be in transition at once.
+# Maximum fraction of the slots that may be in transition at the same time.
 MAX_TRANSITION_SHARE = 0.2
-# A transition ends after so many ms whatever is still open; what is open then becomes
-# an exception by its key.
+# Time after which a transition ends, in ms. Sessions that are still open at the old
+# server then become exceptions.
 TRANSITION_TIMEOUT_MS = 10_000.0
-# Keys that were moved, and exceptions, are kept up to this number and age in ms.
+# Maximum number and age, in ms, of moved keys and of exceptions.
 MAX_TRACKED_KEYS = 4096
 TRACKED_KEY_LIFETIME_MS = 60_000.0
-# Where a slot's own server won't do, those of so many slots from it on are considered.
+# Number of slots, beginning with the session's own, whose servers are candidates.
 MAX_FOLLOWING_SLOTS = 32
-# Draws that are made of a server when it joins.
+# Number of draws that are made for a server when it joins.
 INITIAL_DRAWS = 16
 
 
 class KeyRoute(NamedTuple):
-    """Where a key leads, past the slot table.
+    """The server of a key that does not follow the current table.
 
     Attributes:
-        server: the server that holds it.
-        since_ms: since when.
+        server: the server that has the session.
+        since_ms: when the route was recorded.
     """
 
     server: Server
@@ -47,8 +48,8 @@
     """Slots that were shifted off an overloaded server.
 
     Attributes:
-        server: that server.
-        slot_count: how many slots.
+        server: the overloaded server.
+        slot_count: the number of slots.
     """
 
     server: Server
@@ -56,24 +57,24 @@
 
 
 class SlotTable:
-    """The current and the new table, and the sessions of each slot.
+    """The current and the new table, and the open sessions of each slot.
 
     Attributes:
         size: the number of slots.
         min_slots: see `MIN_SLOTS_PER_SERVER`.
-        preferred_servers: by slot, whose claim is the earliest of all listed servers,
-            whatever was shifted.
-        claim_scores: by slot, that claim.
-        current: by slot, the server of the current table.
-        new: by slot, the server of the new table where the slot is in transition.
-        transition_started_ms: when each slot in transition got its new entry.
-        sessions: by slot, the sessions that are open.
-        group_holders: by group, how many of its sessions are open at which server
-            through this proxy.
-        active_servers: servers that hold sessions, as of the last tick: far fewer to
-            walk over than slots.
+        preferred_servers: by slot, the ready server with the lowest claim score,
+            regardless of shifts.
+        claim_scores: by slot, the score of that claim.
+        current: by slot, the server in the current table.
+        new: by slot, the server in the new table if the slot is in transition.
+        transition_started_ms: by slot in transition, when the transition began.
+        sessions: by slot, the open sessions.
+        group_holders: by group, the number of its sessions through this proxy at each
+            server.
+        active_servers: servers with sessions, pruned at each tick; there are far fewer
+            of them than slots.
         moved_keys: new keys of slots in transition, oldest first.
-        exception_keys: keys that neither table leads to their server, oldest first.
+        exception_keys: keys whose server is in neither table, oldest first.
     """
 
     def __init__(
@@ -82,8 +83,8 @@
         """Make an empty table.
 
         Args:
-            choose: draws one server of a list at random.
-            settings: its size, and how zones are weighed.
+            choose: selects a random server from a list.
+            settings: the size of the table, and the costs that weigh zones.
         """
         self._choose = choose
         self._zone = settings.zone
@@ -104,17 +105,17 @@
     # Sessions
 
     def slot_of(self, session: Session) -> int:
-        """Return the slot that a session's key is hashed to.
+        """Return the slot of a session, from the hash of its key or its group.
 
-        Exception: where sessions of a group share work, a server pays for the group as
-        soon as it holds one of it. The group's name is then hashed in place of the key,
-        so that the group meets at one server.
+        Sessions of a group share work, and a server bears the cost of the group with
+        the first of its sessions. The name of the group is therefore hashed instead of
+        the key, which maps the whole group to one server.
         """
         key = session.key if session.group is None else session.group
         return slot_of_key(key, self.size)
 
     def assign(self, now_ms: float, key: str, slot: int) -> Server | None:
-        """Return the server for a new session, None where there is none."""
+        """Return the server for a new session, or None if the table is empty."""
         server = self.new[slot]
         if server is None:
             return self.current[slot]
@@ -125,7 +126,7 @@
         return server
 
     def find_mid_flow(self, key: str, slot: int) -> Server | None:
-        """Return the server that should hold a connection whose packets arrive."""
+        """Return the server that should have a mid-flow connection, or None."""
         route = self.exception_keys.get(key) or self.moved_keys.get(key)
         return route.server if route else self.current[slot]
 
@@ -140,21 +141,21 @@
             self._add_exception(now_ms, session)
 
     def remove_session(self, session: Session) -> None:
-        """Forget a session that has ended."""
+        """Remove a session that has ended."""
         self.sessions[session.slot].pop(session, None)
         self.exception_keys.pop(session.key, None)
         if session.group is not None:
             assert session.server is not None, "an accepted session has a server"
-            # Subtracting a counter keeps only what is above zero.
+            # Counter subtraction keeps positive counts only.
             self.group_holders[session.group] -= Counter((session.server,))
             if not self.group_holders[session.group]:
                 del self.group_holders[session.group]
 
     def following_servers(self, slot: int) -> Iterator[Server | None]:
-        """Yield the servers of the slots after this one.
+        """Yield the servers of the slots that follow this one.
 
-        They take what the slot's own server can't. Every proxy finds the same ones, and
-        none goes over the whole fleet for a session.
+        They are the fallback for the slot's own server. They are the same at every
+        proxy, and no session requires a search of all servers.
         """
         for index in range(slot + 1, slot + MAX_FOLLOWING_SLOTS):
             yield self.new[index % self.size] or self.current[index % self.size]
@@ -165,7 +166,7 @@
             self.exception_keys.pop(session.key, None)
             self.exception_keys[session.key] = KeyRoute(session.server, now_ms)
 
-    # The list of servers
+    # Changes of the endpoint list
 
     def restore(
         self,
@@ -174,14 +175,14 @@
         new: Sequence[Server | None] | None,
         transition_started_ms: dict[int, float],
     ) -> None:
-        """Take the table over as another process of this proxy left it.
+        """Restore the table from a handover by another process of this proxy.
 
         Args:
-            servers: the ready ones.
-            current: the current table; None where that process had another number of
-                slots, so that this table is filled anew.
-            new: the new table, or None as well.
-            transition_started_ms: of the slots in transition.
+            servers: the ready servers.
+            current: the current table; None if the other process had a different number
+                of slots, so that the table is filled by claims.
+            new: the new table, or None in the same case.
+            transition_started_ms: by slot in transition, when the transition began.
         """
         for server in servers:
             self.set_effective_weight(server)
@@ -197,10 +198,10 @@
         left: Mapping[Server, None],
         ready: Iterable[Server],
     ) -> None:
-        """Apply a change of the list of servers.
+        """Apply a change of the endpoint list.
 
-        One update may bring joins and leaves at once, and a server that joins may
-        inherit from one that leaves.
+        One update may contain both joins and removals, and a joining server may take
+        over slots of a removed one.
         """
         for server in joined:
             self.set_effective_weight(server)
@@ -208,10 +209,10 @@
         self._add_servers(now_ms, joined)
 
     def set_effective_weight(self, server: Server) -> None:
-        """Set what a server's draws count for: its registered size.
+        """Set the weight of a server's claims: its registered size.
 
-        Exception: where crossing to another zone has a price, servers of the own zone
-        weigh more; all proxies of a zone still fill their tables alike.
+        If sessions across zones have a cost, servers in the proxy's own zone get a
+        higher weight. All proxies of one zone still have the same table.
         """
         server.hash_draws = server.hash_draws or hash_draws(server.name, INITIAL_DRAWS)
         is_own_zone = server.zone == self._zone
@@ -223,10 +224,10 @@
         claim_slots(slots, self.claim_scores, self.preferred_servers, weights)
 
     def _add_servers(self, now_ms: float, joined: Sequence[Server]) -> None:
-        """Give servers that join the slots to which their claims are the earliest.
+        """Assign joining servers the slots for which they have the lowest claim score.
 
-        That is about the mean number of slots, whatever was shifted: every proxy with
-        the same list then arrives at the same slots.
+        Their number is about the mean number of slots per server, regardless of shifts:
+        every proxy with the same list assigns the same slots.
         """
         if not joined:
             return
@@ -251,13 +252,13 @@
             if self.new[slot] in left:
                 self._end_transition(slot)
             if self.current[slot] in left:
-                # A server that is leaving gets nothing new, so the slot can't wait for
-                # its connections to end.
+                # A leaving server gets no new sessions, so the slot changes at once,
+                # without a transition.
                 self.current[slot] = self.new[slot] or self.preferred_servers[slot]
                 self._end_transition(slot)
 
     def redirect_slot(self, now_ms: float, slot: int, server: Server | None) -> None:
-        """Lead a slot to another server, by a transition where sessions are open."""
+        """Redirect a slot to a server, with a transition if it has open sessions."""
         if self.current[slot] is not None and self.sessions[slot]:
             self.new[slot], self.transition_started_ms[slot] = server, now_ms
         else:
@@ -277,16 +278,18 @@
         pause_ms: float,
         is_usable: Callable[[Server], bool],
     ) -> SlotShift | None:
-        """Shift half of one top-level server's free slots to lower levels.
+        """Shift slots off one server of the highest load level to lower levels.
+
+        At most half of its slots that are not in transition are shifted.
 
         Args:
-            now_ms: the time.
+            now_ms: the monotonic time.
             levels: the load level of each ready server.
-            pause_ms: until the same server's slots may be shifted again.
-            is_usable: whether a server may be given slots.
+            pause_ms: the time until slots of the same server may be shifted again.
+            is_usable: whether a server may get slots.
 
         Returns:
-            What was shifted, None where nothing was.
+            The server and the number of slots, or None if no slot was shifted.
         """
         top = max(levels.values(), default=0)
         overloaded = [
@@ -311,17 +314,17 @@
         return SlotShift(server, len(slots))
 
     def _transition_room(self) -> int:
-        """Return how many slots more may be in transition; 0 without room for keys."""
+        """Return how many more slots may enter transition; 0 if exceptions are full."""
         if len(self.exception_keys) >= MAX_TRACKED_KEYS:
             return 0
         return int(self.size * MAX_TRANSITION_SHARE) - len(self.transition_started_ms)
 
     def _slots_to_shift(self, server: Server, room: int) -> list[int]:
-        """Return the slots of a server that go first, at most `room`.
+        """Return the slots of a server to shift, at most `room`.
 
-        Which slots go, and where to, is settled by hash, so that proxies which see the
-        same levels shift alike, and a connection that arrives mid-flow at another proxy
-        still finds its server.
+        The slots and their new servers are determined by hashes, so that proxies with
+        the same load levels make the same shifts, and a mid-flow connection that
+        arrives at another proxy still finds its server.
         """
         free = [
             slot
@@ -351,7 +354,7 @@
             self.redirect_slot(now_ms, slot, owners[slot])
 
     def finish_transitions(self, now_ms: float) -> None:
-        """End the transition of slots whose old sessions are over or had their time."""
+        """End transitions whose old sessions have ended or whose timeout has passed."""
         self._expire_keys(now_ms)
         for slot, started_ms in list(self.transition_started_ms.items()):
             old = [
--- a/wheathill/policy/slow_start.py
+++ b/wheathill/policy/slow_start.py
@@ -1,4 +1,4 @@
-"""Slow start: limits attempts to servers that are still warming up."""
+"""Slow start: limits attempts at servers that are warming up."""
 
 import math
 from collections.abc import Callable
@@ -7,29 +7,33 @@
 from wheathill.policy.load_estimator import LoadEstimator
 from wheathill.policy.settings import SlowStartSettings
 
-# Multiples of the golden ratio fill the circle evenly (Steinhaus's three gap theorem).
+# Multiples of the golden ratio modulo 1 are evenly distributed (three-gap theorem).
 GOLDEN_RATIO = (math.sqrt(5) - 1) / 2
-# A quarter of what a server can take is left for retries, probes and handshakes.
-PERMITTED_PART = 0.75
+# Fraction of a warming server's capacity that permits may use. The rest is reserved for
+# retries, probes and handshakes.
+PERMITTED_SHARE = 0.75
 # A hash draw is a 16-bit number.
 HASH_DRAW_RANGE = 2**16
 
 
 class SlowStartLimiter:
-    """Rule 4: this proxy's part of what a server that has just started can take.
+    """Limits attempts at a warming server to this proxy's share of its capacity.
 
-    A part of less than one attempt is neither rounded up nor kept for later: in a herd
-    all proxies would use theirs at once. The windows in which it makes a whole attempt
-    go by the proxy's index, so that the sum over all is right though the proxies can't
-    communicate (docs/design/cold-servers.md).
+    A share of less than one attempt is neither rounded up nor accumulated, as all
+    proxies might use their attempts at the same time (thundering herd). Instead, the
+    index of the proxy determines the windows in which it may make a whole attempt, so
+    that the sum over all proxies is right although they do not communicate
+    (docs/design/cold-servers.md).
 
     Attributes:
-        proxy_count: how many proxies there are.
-        proxy_index: this one's number among them.
-        process_started_ms: when this process began; the one before it may have made
-            attempts. Infinite before the start, and once another process took over.
-        external_permits: where proxies know each other, what gives this one's attempts
-            for a server's name and the attempts per session that the server can take.
+        proxy_count: the number of proxies.
+        proxy_index: the index of this proxy among them.
+        process_started_ms: when this process started. No attempt is allowed within the
+            following window, as the previous process may have made some. Infinite
+            before the start, and after another process took over.
+        external_permits: if proxies know each other, returns the attempts permitted to
+            this proxy, given the name of a server and the permitted attempts per window
+            and session of its capacity.
     """
 
     def __init__(
@@ -39,7 +43,7 @@
         proxy_index: float,
         proxy_count: int,
     ) -> None:
-        """Allow nothing to warming servers until `process_started_ms` is set."""
+        """Create a limiter that permits nothing until `process_started_ms` is set."""
         self._load_estimator = load_estimator
         self._initial_share = settings.initial_share
         self._duration_ms = settings.duration_ms
@@ -50,16 +54,17 @@
         self.external_permits: Callable[[str, float], float] | None = None
 
     def is_warming(self, now_ms: float, server: Server) -> bool:
-        """Return whether a server has started so recently that it is still slow."""
+        """Return whether a server is still warming up after its start."""
         if server.started_ms is None:
             return False
         return now_ms < server.started_ms + self._duration_ms
 
     def rotation_position(self, now_ms: float, server: Server) -> float:
-        """Return a number from 0 to 1, another one in each window.
+        """Return this proxy's position in the rotation, a number from 0 to 1.
 
-        No two proxies begin a window together. Below a part lies about that part of all
-        proxies, see `GOLDEN_RATIO`.
+        It changes with each window, and each proxy begins its windows at another time.
+        The positions are evenly distributed over the proxies, see `GOLDEN_RATIO`: the
+        fraction of proxies below a threshold is about the threshold itself.
         """
         age_ms = max(0.0, now_ms - (server.started_ms or 0.0))
         window = age_ms / self._window_ms + self.proxy_index / self.proxy_count
@@ -67,7 +72,7 @@
         return (turn + server.hash_draws[0] / HASH_DRAW_RANGE) % 1.0
 
     def allows(self, now_ms: float, server: Server) -> bool:
-        """Return whether an attempt may be made at a server."""
+        """Return whether slow start permits an attempt at a server."""
         if not self.is_warming(now_ms, server):
             return True
         permitted = self._permitted_attempts(now_ms, server)
@@ -85,22 +90,23 @@
         )
 
     def record_attempt(self, now_ms: float, server: Server) -> None:
-        """Count an attempt that is made at a server."""
+        """Record an attempt at a server."""
         server.attempt_times_ms.append(now_ms)
         if self.is_warming(now_ms, server):
             server.warmup_attempt_times_ms.append(now_ms)
 
     def _permitted_attempts(self, now_ms: float, server: Server) -> float:
-        """Return this proxy's part of the attempts in a window, with a fraction.
+        """Return the attempts permitted to this proxy per window, not rounded.
 
-        A server fills over its warm-up at the fastest.
+        At the permitted rate a server fills up no faster than within its warm-up, times
+        the configured multiple.
         """
         age_ms = max(0.0, now_ms - (server.started_ms or 0.0))
         share = (
             self._initial_share + (1 - self._initial_share) * age_ms / self._duration_ms
         )
         attempts_per_session = (
-            PERMITTED_PART
+            PERMITTED_SHARE
             * share
             * self._rate_multiple
             * self._window_ms
@@ -111,14 +117,14 @@
         return self.external_permits(server.name, attempts_per_session)
 
     def _rotation_threshold(self, permitted: float, fraction: float) -> float:
-        """Return below which rotation position a proxy has one attempt more.
+        """Return the rotation position below which one more attempt is permitted.
 
-        Two turns that follow one another fall into one window of the server's: each has
-        half of the fraction. But for so few proxies that one attempt more of each is
-        within what chance has beyond what is allowed.
+        One window of the server overlaps two windows of a proxy, so each of these gets
+        half of the fraction. The whole fraction is used with so few proxies that one
+        more attempt of each stays within the random variation beyond the allowed rate.
         """
-        allowed = permitted * self.proxy_count / PERMITTED_PART
+        allowed = permitted * self.proxy_count / PERMITTED_SHARE
         random_excess = allowed / 4 + 2 * math.sqrt(allowed) + 2
         excess = self.proxy_count * (1.0 - fraction)
-        is_within_chance = excess <= PERMITTED_PART * random_excess
+        is_within_chance = excess <= PERMITTED_SHARE * random_excess
         return fraction if is_within_chance else fraction / 2
--- a/wheathill/policy/stage.py
+++ b/wheathill/policy/stage.py
@@ -1,7 +1,7 @@
-"""A stage of the pipeline that each session passes.
+"""The pipeline of stages that each session passes through.
 
-A session enters the first stage, which hands it on to the next. Acceptance and failure
-come back through the stages in reverse order.
+A session enters the first stage, and each stage passes it on to the next one.
+Acceptance and failure are passed back through the stages in reverse order.
 """
 
 from itertools import pairwise
@@ -13,19 +13,19 @@
     """One stage of the pipeline.
 
     Attributes:
-        next_stage: where sessions are handed on to.
-        previous_stage: where the result of a session is passed back to.
+        next_stage: the stage that sessions are passed on to.
+        previous_stage: the stage that results are passed back to.
     """
 
     next_stage: "Stage"
     previous_stage: "Stage"
 
     def enter(self, now_ms: float, session: Session) -> None:
-        """Take a session from the previous stage."""
+        """Process a session from the previous stage."""
         raise NotImplementedError
 
     def on_accepted(self, now_ms: float, session: Session) -> None:
-        """Take notice that a server accepted the session."""
+        """Handle the acceptance of the session by a server."""
         self.previous_stage.on_accepted(now_ms, session)
 
     def on_failed(
@@ -34,18 +34,18 @@
         session: Session,
         outcome: AttemptOutcome | None,
     ) -> None:
-        """Take back a session that was not set up.
+        """Handle a session that was not set up.
 
         Args:
             now_ms: the monotonic time.
             session: the session.
-            outcome: how its last attempt ended, or None where no further attempt is
-                made although none has just failed.
+            outcome: the outcome of its last attempt, or None if a stage decided not to
+                make a further attempt.
         """
         raise NotImplementedError
 
 
 def connect_stages(*stages: Stage) -> None:
-    """Link the stages of a pipeline, given from the first to the last."""
+    """Connect the stages of a pipeline, given from first to last."""
     for earlier, later in pairwise(stages):
         earlier.next_stage, later.previous_stage = later, earlier
