--- a/wheathill/net/clock.py
+++ b/wheathill/net/clock.py
@@ -1,4 +1,4 @@
-"""The event loop's time in milliseconds, and its timers."""
+"""Monotonic time in milliseconds and timers, both taken from the event loop."""
 
 import asyncio
 import time
@@ -8,8 +8,12 @@
 class Clock:
     """A monotonic clock in milliseconds.
 
-    The offset to wall time is determined once, so that a wall time, as a server's
-    start, keeps one monotonic value for good.
+    The offset to wall time is determined once at startup, so that a given wall time,
+    such as a server's start time, always converts to the same monotonic value.
+
+    Attributes:
+        loop: the event loop.
+        offset: monotonic time minus Unix time, in ms.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
@@ -17,29 +21,29 @@
         self.offset = self.now() - time.time() * 1000
 
     def now(self) -> float:
-        """Return the monotonic time."""
+        """Return the current monotonic time."""
         return self.loop.time() * 1000
 
     def from_wall(self, wall_ms: float) -> float:
-        """Return the monotonic time of a Unix time in milliseconds."""
+        """Convert a Unix time in milliseconds to monotonic time."""
         return wall_ms + self.offset
 
     def to_wall(self, monotonic_ms: float) -> float:
-        """Return the Unix time, in milliseconds, of a monotonic time."""
+        """Convert a monotonic time to Unix time in milliseconds."""
         return monotonic_ms - self.offset
 
     def at(
         self, when_ms: float, call: Callable[..., object], *args: object
     ) -> asyncio.TimerHandle:
-        """Call at a monotonic time."""
+        """Schedule a call at a monotonic time."""
         return self.loop.call_at(when_ms / 1000, call, *args)
 
     def after(
         self, delay_ms: float, call: Callable[..., object], *args: object
     ) -> asyncio.TimerHandle:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
         return self.loop.call_later(delay_ms / 1000, call, *args)
 
     def soon(self, call: Callable[..., object], *args: object) -> asyncio.Handle:
-        """Call in the loop's next turn."""
+        """Schedule a call for the next iteration of the event loop."""
         return self.loop.call_soon(call, *args)
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection: carries bytes between a socket and its protocol state machine."""
+"""A TCP connection: passes bytes between a socket and a protocol state machine."""
 
 from __future__ import annotations
 
@@ -24,20 +24,21 @@
 
 
 class Connection(FaultIsolation, asyncio.BufferedProtocol):
-    """A connection of whatever origin: connected, accepted, or passed by a process.
+    """A TCP connection that was opened, accepted, or passed by another process.
 
     Attributes:
-        carrier: the transport that it belongs to.
-        machine: the protocol state machine that it feeds, `NoMachine` once it has
-            closed.
-        transport: asyncio's, once the connection is established.
-        full: whether bytes wait to be sent.
-        refused: whether the host was there, and nothing listened.
-        finished: whether this side sends no more.
-        ended: whether the peer sends no more.
-        parted: whether the machine has closed it; nothing is told to it any more.
-        over: whether the machine was told that it is over, or has aborted it.
-        counted: whether the transport counts it as one of its descriptors.
+        carrier: the transport that this connection belongs to.
+        machine: the protocol state machine that receives events; `NoMachine` once the
+            connection has closed.
+        transport: the asyncio transport, once the connection is established.
+        full: whether bytes are waiting in the send buffer.
+        refused: whether the host refused the connection (nothing listens there).
+        finished: whether this side has sent end of stream.
+        ended: whether the peer has sent end of stream.
+        parted: whether the machine has closed the connection; it gets no further
+            events.
+        over: whether the machine was told of the loss, or has aborted the connection.
+        counted: whether the transport counts it among its open descriptors.
     """
 
     def __init__(
@@ -45,13 +46,13 @@
     ) -> None:
         self.carrier = carrier
         self.machine = make_machine(self)
-        self.transport: Any = None  # asyncio.Transport, not checked for each call
+        self.transport: Any = None  # asyncio.Transport; Any avoids casts at each call
         self._task: asyncio.Task[None] | None = None
         self.full = False
         self.finished = False
         self.ended = False
         self.parted = False
-        self._discarded_bytes = 0  # that came after `parted`
+        self._discarded_bytes = 0  # received after `parted` was set
         self.over = False
         self.counted = False
         self._is_adopted = False
@@ -60,19 +61,19 @@
     # Establishment
 
     def start_connecting(self, address: tuple[str, int], source: str | None) -> None:
-        """Begin to connect; it is counted from now on, as it holds a descriptor."""
-        self._count(True)
+        """Start connecting; the descriptor is counted from now on."""
+        self._set_counted(True)
         self._start(self._connect(address, source))
 
     def start_accepted(self, sock: socket.socket) -> asyncio.Task[None]:
-        """Take an accepted socket; the task ends once the machine has been told."""
-        self._count(True)
-        return self._start(self._take(sock))
+        """Start on an accepted socket; the task ends once the machine was notified."""
+        self._set_counted(True)
+        return self._start(self._register(sock))
 
     def start_adopted(self, sock: socket.socket) -> None:
-        """Take a socket that another process has passed; its descriptor is counted."""
+        """Start on a socket passed by another process, which is already counted."""
         self._is_adopted = self.counted = True
-        self._start(self._take(sock))
+        self._start(self._register(sock))
 
     def _start(self, establish: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = self._task = self.carrier.loop.create_task(establish)
@@ -80,17 +81,18 @@
         return task
 
     def _on_started(self, _task: asyncio.Task[None]) -> None:
-        # A task that is done is not kept: it holds its error, whose frames hold this.
+        # A finished task references its exception, whose traceback frames reference
+        # this connection; drop it to avoid a reference cycle.
         self._task = None
         if self.transport is None:
             self._release_machine()
 
-    async def _take(self, sock: socket.socket) -> None:
+    async def _register(self, sock: socket.socket) -> None:
         try:
             await self.carrier.loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
             sock.close()
-            self._count(False)
+            self._set_counted(False)
             if self._is_adopted:
                 self._report_lost(False)
 
@@ -103,24 +105,24 @@
             )
         except OSError as error:
             self.refused = isinstance(error, ConnectionRefusedError)
-            self._count(False)
+            self._set_counted(False)
             self._report_lost(False)
 
-    def _count(self, on: bool) -> None:
+    def _set_counted(self, on: bool) -> None:
         self.carrier.sockets += on - self.counted
         self.counted = on
 
     # Called by asyncio
 
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `transport`
-        """Tell the machine, unless it has aborted the attempt."""
+        """Notify the machine, unless it has aborted the connection attempt."""
         self.transport = transport
-        self._count(True)
+        self._set_counted(True)
         if self.over:
             transport.abort()
             return
-        # Nothing may lie in the buffer unnoticed: a line counts as sent when its last
-        # byte has left.
+        # Report any buffered byte as blocked: a line counts as sent only once its last
+        # byte has been handed to the kernel.
         transport.set_write_buffer_limits(high=0)
         enable_keep_alive(
             transport.get_extra_info("socket"), self.carrier.limits.keepalive_idle_ms
@@ -132,7 +134,7 @@
             self.guard(self.machine.connected)
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the buffer that all connections share."""
+        """Return the receive buffer that all connections share."""
         return self.carrier.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
@@ -140,19 +142,20 @@
         if not self.parted:
             self.guard(self.machine.received, self.carrier.buffer[:nbytes])
             return
-        # What comes after the end is read, so that the last line isn't lost, but not
-        # without end.
+        # After the machine has closed, keep reading so that unread bytes do not reset
+        # the connection and lose the last line sent, but only up to a limit.
         self._discarded_bytes += nbytes
         if self._discarded_bytes > self.carrier.limits.max_buffered_bytes:
             self.transport.pause_reading()
 
     def eof_received(self) -> bool:
-        """Tell the machine once; return whether the transport stays open.
+        """Notify the machine once; return whether the transport stays open.
 
-        Once both sides have finished the connection closes; until then the other
-        direction goes on.
+        The connection closes when both sides have sent end of stream; until then this
+        side can still send.
         """
-        # A reader that was paused and resumed is told of the same end again.
+        # asyncio reports the same end of stream again after reading was paused and
+        # resumed.
         if not self.ended and not self.parted:
             self.ended = True
             self.guard(self.machine.ended)
@@ -160,19 +163,19 @@
         return not self.finished
 
     def pause_writing(self) -> None:
-        """Tell the machine that bytes wait to be sent."""
+        """Notify the machine that bytes are waiting in the send buffer."""
         self.full = True
         self.guard(self.machine.blocked, True)
 
     def resume_writing(self) -> None:
-        """Tell the machine that all bytes have been sent."""
+        """Notify the machine that the send buffer is empty."""
         self.full = False
         self.guard(self.machine.blocked, False)
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Tell the machine, unless it has closed, and release it."""
+        """Notify the machine, unless it has closed the connection, and release it."""
         self.carrier.parting.pop(self, None)
-        self._count(False)
+        self._set_counted(False)
         self._report_lost(error is not None)
         self._release_machine()
 
@@ -182,10 +185,10 @@
         self.over = True
 
     def _release_machine(self) -> None:
-        """Leave no cycle of references; nothing is called any more.
+        """Break reference cycles; the machine is not called any more after this.
 
-        None of the transport's own is left either: asyncio's keeps a bound method of
-        itself.
+        The asyncio transport also stores a bound method of itself, which is deleted
+        here.
         """
         machine, self.machine = self.machine, NoMachine
         machine.let_go()
@@ -201,17 +204,20 @@
 
     @property
     def reached(self) -> bool:
-        """Whether it has ever been established."""
+        """Whether the connection was ever established."""
         return self.transport is not None
 
     @property
     def open(self) -> bool:
-        """Whether it is established, and neither over nor closed by the machine."""
+        """Whether it is established and neither lost, aborted nor closed."""
         return self.transport is not None and not self.over and not self.parted
 
     @property
     def drained(self) -> bool:
-        """Whether the last byte has left; a transport that failed is empty too."""
+        """Whether the send buffer is empty and the transport is still usable.
+
+        A failed transport has an empty buffer too, so it is checked for closing.
+        """
         return (
             not self.transport.is_closing()
             and not self.transport.get_write_buffer_size()
@@ -219,7 +225,7 @@
 
     @property
     def quiet(self) -> bool:
-        """Whether it is open both ways, and no byte is on its way through here."""
+        """Whether it is open in both directions and no byte is buffered here."""
         return (
             self.open
             and not self.finished
@@ -230,25 +236,25 @@
 
     @property
     def unread(self) -> bool:
-        """Whether received bytes wait in the system."""
+        """Whether the kernel holds received bytes that were not read yet."""
         return is_readable(self._socket)
 
     @property
     def waited(self) -> float:
-        """The ms since bytes last came from the network."""
+        """Milliseconds since bytes last arrived from the network."""
         return last_receive_ago_ms(self._socket)
 
     @property
     def to_send(self) -> int:
-        """Bytes that wait for the peer to read, 0 once the system has taken them all.
+        """Bytes the peer has not acknowledged; 0 once the kernel has accepted them all.
 
-        The system goes on sending those that it has taken.
+        The kernel keeps sending what it has accepted, even after this side closes.
         """
-        held = self.transport.get_write_buffer_size() if self.transport else 0
+        buffered = self.transport.get_write_buffer_size() if self.transport else 0
         try:
-            return held and held + kernel_unsent_bytes(self._socket)
+            return buffered and buffered + kernel_unsent_bytes(self._socket)
         except OSError:
-            return held
+            return buffered
 
     @property
     def _socket(self) -> socket.socket:
@@ -257,7 +263,7 @@
     # Called by the machine
 
     def send(self, *parts: bytes) -> None:
-        """Send bytes, now or as soon as the peer reads."""
+        """Send bytes, or buffer them until the peer reads."""
         if self.open and not self.finished:
             self.transport.writelines(parts)
 
@@ -270,16 +276,20 @@
                 self.transport.resume_reading()
 
     def copy(self) -> int:
-        """Return another descriptor of the connection, to pass on; raises OSError.
+        """Return a duplicate descriptor, to be passed to another process.
+
+        If the connection was quiet, this side can then be aborted without the peer
+        noticing.
 
-        Once this one is aborted the peer notices nothing, if the connection was quiet.
+        Raises:
+            OSError: the descriptor can't be duplicated.
         """
         descriptor = os.dup(self._socket.fileno())
         self.carrier.sockets += 1
         return descriptor
 
     def finish(self) -> None:
-        """Send no more; what the peer sends is still received."""
+        """Send end of stream; bytes from the peer are still received."""
         if not self.open or self.finished or self.transport.is_closing():
             return
         self.finished = True
@@ -289,15 +299,15 @@
         try:
             self.transport.write_eof()
         except OSError:
-            # The peer has reset it, which has not been read yet.
+            # The peer has reset the connection, and the loop has not noticed yet.
             self.transport.abort()
 
     def part(self) -> None:
-        """Close gracefully; the machine is told nothing any more.
+        """Close gracefully; the machine gets no further events.
 
-        If the socket was closed at once, bytes that the peer sent meanwhile would make
-        the kernel reset the connection, and the last line might be lost with it. Where
-        descriptors run out it is closed at once.
+        If the socket were closed immediately, bytes arriving from the peer would make
+        the kernel reset the connection, which may discard the last line sent. It is
+        closed without that wait only where descriptors run out.
         """
         if not self.open:
             self.abort()
@@ -312,9 +322,9 @@
         self._linger(math.inf)
 
     def _linger(self, unsent_before: float) -> None:
-        """Wait for the peer's end, or while it reads what waits for it here.
+        """Give the peer `linger_ms` to close, and again while it reads buffered bytes.
 
-        A slow reader is not cut off.
+        A slow reader that still makes progress is not cut off.
         """
         unsent = self.to_send
         if unsent_before is math.inf or 0 < unsent < unsent_before:
@@ -325,17 +335,18 @@
             self.transport.abort()
 
     def abort(self, reset: bool = False) -> None:
-        """Close at once, with a TCP reset if so wished; drop what was not sent."""
+        """Close immediately and discard unsent bytes; `reset` forces a TCP reset."""
         if self.over:
             return
         self.over = True
         if self.transport is None:
             if self._task:
                 self._task.cancel()
-            self._count(False)
+            self._set_counted(False)
             return
         if reset:
             reset_on_close(self._socket)
         self.transport.abort()
-        # Closed a turn later, but before anything that is begun from now on.
-        self._count(False)
+        # asyncio closes the socket in the next loop iteration, which is before anything
+        # started from now on needs a descriptor.
+        self._set_counted(False)
--- a/wheathill/net/datagram_socket.py
+++ b/wheathill/net/datagram_socket.py
@@ -1,4 +1,4 @@
-"""A socket for datagrams."""
+"""A UDP socket on the event loop."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 if TYPE_CHECKING:
     from wheathill.net.interfaces import SocketTransport
 
-MAX_EARLY = 64  # datagrams kept until the loop has the socket; older ones are lost
+# Datagrams queued until the event loop has registered the socket; the oldest ones are
+# dropped first.
+MAX_QUEUED_DATAGRAMS = 64
 
 
 class DatagramSocket(FaultIsolation, asyncio.DatagramProtocol):
-    """One socket for datagrams; what can't be sent at once is lost, as datagrams are.
+    """A UDP socket; a datagram that can't be sent immediately is dropped.
 
     Attributes:
-        carrier: the transport that it belongs to.
-        machine: called with each datagram and the host and port that it is from.
-        transport: asyncio's, once the loop has the socket.
+        carrier: the transport that this socket belongs to.
+        machine: receives each datagram with the sender's host and port.
+        transport: the asyncio transport, once the loop has registered the socket.
     """
 
     def __init__(
         self,
         carrier: SocketTransport,
-        machine: Any,  # noqa: ANN401 - whatever takes datagrams
+        machine: Any,  # noqa: ANN401 - any object with a `received` method
         address: tuple[str, int],
     ) -> None:
-        """Bind the address; raises OSError."""
+        """Bind the address.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
         self.carrier = carrier
         self.machine = machine
         self.transport: Any = None
-        self._early: deque[tuple[bytes, tuple[str, int]]] = deque(maxlen=MAX_EARLY)
+        self._queued: deque[tuple[bytes, tuple[str, int]]] = deque(
+            maxlen=MAX_QUEUED_DATAGRAMS
+        )
         sock = socket.socket(address_family(address[0]), socket.SOCK_DGRAM)
         try:
             sock.bind(address)
@@ -43,15 +51,15 @@
             sock.close()
             raise
         sock.setblocking(False)
-        # Kept: the loop itself holds tasks by weak references only.
+        # The event loop holds only weak references to tasks, so keep a strong one.
         self._task = carrier.loop.create_task(
             carrier.loop.create_datagram_endpoint(lambda: self, sock=sock)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send what has waited for the loop to take the socket."""
+        """Send the datagrams that were queued before the loop had the socket."""
         self.transport = transport
-        for data, address in self._early:
+        for data, address in self._queued:
             self.send(data, address)
 
     def datagram_received(self, data: bytes, address: tuple[Any, ...]) -> None:
@@ -59,12 +67,12 @@
         self.guard(self.machine.received, data, address[:2])
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a host refuses; whoever needs to know finds out."""
+        """Ignore ICMP errors; senders that need to know detect the loss themselves."""
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram, or lose it where the socket's buffer is full."""
+        """Send a datagram, or drop it if the socket's send buffer is full."""
         if self.transport is None:
-            self._early.append((data, address))
+            self._queued.append((data, address))
         elif not self.transport.get_write_buffer_size():
             self.transport.sendto(data, address)
 
--- a/wheathill/net/descriptor_passing.py
+++ b/wheathill/net/descriptor_passing.py
@@ -1,24 +1,24 @@
-"""Messages with descriptors on Unix sockets (SCM_RIGHTS), which asyncio lacks."""
+"""Passes file descriptors over Unix sockets (SCM_RIGHTS), which asyncio can't do."""
 
 import array
 import socket
 from collections.abc import Sequence
 from dataclasses import dataclass, field
 
-MAX_DESCRIPTORS = 64  # that are received with one read
-READ_SIZE = 65536
-DESCRIPTOR_SIZE = array.array("i").itemsize
-ANCILLARY_SIZE = socket.CMSG_SPACE(MAX_DESCRIPTORS * DESCRIPTOR_SIZE)
+MAX_DESCRIPTORS_PER_READ = 64
+READ_BYTES = 65536
+DESCRIPTOR_BYTES = array.array("i").itemsize
+ANCILLARY_BYTES = socket.CMSG_SPACE(MAX_DESCRIPTORS_PER_READ * DESCRIPTOR_BYTES)
 
 
 @dataclass(slots=True)
 class ReceivedMessage:
-    """Bytes, and the descriptors that came with them.
+    """The result of one read: bytes and the descriptors received with them.
 
     Attributes:
-        data: empty where the peer has ended.
-        descriptors: open in this process from now on.
-        is_truncated: whether descriptors were dropped by the system.
+        data: the bytes; empty at end of stream.
+        descriptors: open in this process; the receiver has to close them.
+        is_truncated: whether the kernel dropped descriptors that did not fit.
     """
 
     data: bytes
@@ -27,14 +27,14 @@
 
 
 def receive_message(sock: socket.socket) -> ReceivedMessage:
-    """Read once; an error of the connection reads as its end.
+    """Read once; a connection error is reported as end of stream.
 
     Raises:
-        BlockingIOError, InterruptedError: nothing can be read now.
+        BlockingIOError, InterruptedError: there is nothing to read at the moment.
     """
     try:
         data, ancillary, flags, _ = sock.recvmsg(
-            READ_SIZE, ANCILLARY_SIZE, socket.MSG_CMSG_CLOEXEC
+            READ_BYTES, ANCILLARY_BYTES, socket.MSG_CMSG_CLOEXEC
         )
     except (BlockingIOError, InterruptedError):
         raise
@@ -43,15 +43,18 @@
     descriptors = array.array("i")
     for level, kind, content in ancillary:
         if (level, kind) == (socket.SOL_SOCKET, socket.SCM_RIGHTS):
-            whole = len(content) - len(content) % DESCRIPTOR_SIZE
-            descriptors.frombytes(content[:whole])
+            complete_bytes = len(content) - len(content) % DESCRIPTOR_BYTES
+            descriptors.frombytes(content[:complete_bytes])
     return ReceivedMessage(data, list(descriptors), bool(flags & socket.MSG_CTRUNC))
 
 
 def send_message(sock: socket.socket, data: bytes, descriptors: Sequence[int]) -> int:
-    """Send once, and return how many bytes were taken; raises OSError.
+    """Send once and return how many bytes the kernel accepted.
 
-    The descriptors go with the first byte.
+    The descriptors are attached to the first byte.
+
+    Raises:
+        OSError: nothing was sent.
     """
     ancillary = (
         [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", descriptors))]
--- a/wheathill/net/errors.py
+++ b/wheathill/net/errors.py
@@ -1,9 +1,9 @@
-"""Errors about what a peer has sent."""
+"""Errors in data received from a peer."""
 
 
 class ProtocolError(Exception):
-    """A peer has sent what its protocol does not allow; the text says what."""
+    """A peer violated the protocol; the message says how."""
 
 
 class MalformedLineError(ProtocolError):
-    """A line is too long, or is not what it has to be."""
+    """A line is too long or has the wrong syntax."""
--- a/wheathill/net/fault_isolation.py
+++ b/wheathill/net/fault_isolation.py
@@ -1,4 +1,4 @@
-"""Keeps a fault in one connection's callback from the other connections."""
+"""Confines an exception in one connection's callback to that connection."""
 
 from __future__ import annotations
 
@@ -12,10 +12,12 @@
 
 
 class FaultIsolation:
-    """What each kind of connection does with its machine, on sockets and in the lab.
+    """Base class of connections that catch exceptions of their state machine.
+
+    Connections on sockets and simulated connections of the lab share it.
 
     Attributes:
-        carrier: the transport, which has the log.
+        carrier: the transport, whose log is written to.
         machine: the protocol state machine that is called.
     """
 
@@ -23,7 +25,10 @@
     machine: Any
 
     def guard(self, call: Callable[..., object], *args: object) -> None:
-        """Call; an exception ends this connection, with an answer, and no other."""
+        """Call; on an exception, log it and let the machine end this connection.
+
+        The machine still sends a final answer. Other connections are not affected.
+        """
         try:
             call(*args)
         except Exception as error:
@@ -34,7 +39,7 @@
 def log_fault(
     log_event: EventLog, call: Callable[..., object], error: Exception
 ) -> None:
-    """Log an exception that a callback has raised."""
+    """Log an exception that a callback raised."""
     log_event(
         LogEvent.INTERNAL_ERROR,
         where=getattr(call, "__qualname__", str(call)),
@@ -44,7 +49,7 @@
 
 
 def _raising_line(error: Exception) -> str:
-    """Return file and line of the innermost frame."""
+    """Return the file and line of the innermost frame, as `file.py:123`."""
     trace = error.__traceback__
     if trace is None:
         return ""
--- a/wheathill/net/garbage.py
+++ b/wheathill/net/garbage.py
@@ -1,16 +1,17 @@
-"""Keeps collections of garbage short, however much is open.
+"""Bounds garbage collection pauses, regardless of how many connections are open.
 
-What a proxy has closed is freed by its references alone. The collector is left with
-what faults and libraries leave behind; but a full collection walks over all that is
-open, and the loop stands meanwhile. So each object is walked over by one full
-collection only: what was allocated since the last one is all that the next one meets.
+Closed connections are freed by reference counting alone; the collector only has to find
+cycles left behind by exceptions and libraries. But a full collection traverses every
+live object and blocks the event loop meanwhile. Objects that survive a full collection
+are therefore moved to the permanent generation (`gc.freeze`), so that each full
+collection traverses only what was allocated since the previous one.
 """
 
 import gc
 
-# Allocations, and collections of the next younger generation, that start a collection.
-# The interpreter's own thresholds but for the last (10): some 30,000 objects between
-# two full collections.
+# The first counts allocations, the others count collections of the next younger
+# generation. All but the last (10 by default) are the interpreter's own; together they
+# give some 30,000 new objects between two full collections.
 YOUNG_THRESHOLD = 700
 MIDDLE_THRESHOLD = 10
 FULL_THRESHOLD = 3
@@ -18,9 +19,9 @@
 
 
 def keep_collections_short() -> None:
-    """Exempt from now on, in this process, whatever has survived a full collection.
+    """Exempt objects that survive a full collection from later ones in this process.
 
-    What is allocated already is exempted as well.
+    Objects that are already allocated are exempted as well.
     """
     gc.set_threshold(YOUNG_THRESHOLD, MIDDLE_THRESHOLD, FULL_THRESHOLD)
     gc.freeze()
--- a/wheathill/net/line_buffer.py
+++ b/wheathill/net/line_buffer.py
@@ -1,4 +1,4 @@
-"""Framing of a byte stream into lines that end with CRLF."""
+"""Splits a byte stream into lines that end with CRLF."""
 
 from wheathill.net.errors import MalformedLineError
 
@@ -6,11 +6,11 @@
 
 
 class LineBuffer:
-    """Cuts received bytes into lines, and keeps no more than one unfinished line.
+    """Splits received bytes into lines; buffers at most one incomplete line.
 
     Attributes:
-        max_length: the most bytes of a line, its end included.
-        unconsumed: what was received and has not been returned as a line yet.
+        max_length: maximum bytes of a line, including its CRLF.
+        unconsumed: received bytes that were not returned as a line yet.
     """
 
     def __init__(self, max_length: int) -> None:
@@ -22,7 +22,7 @@
         self.unconsumed += data
 
     def next_line(self) -> bytes | None:
-        """Return the next whole line without its end, or None where there is none yet.
+        """Return the next line without its CRLF, or None if it is incomplete.
 
         Raises:
             MalformedLineError: the line is longer than `max_length`.
@@ -33,7 +33,7 @@
             or end < 0
             and len(self.unconsumed) >= self.max_length
         ):
-            raise MalformedLineError(f"a line of over {self.max_length} bytes")
+            raise MalformedLineError(f"line exceeds {self.max_length} bytes")
         if end < 0:
             return None
         line = self.unconsumed[:end]
--- a/wheathill/net/load_report.py
+++ b/wheathill/net/load_report.py
@@ -1,13 +1,13 @@
-"""Load reports of servers: `inflight=7,util=0.61`."""
+"""Parses the load reports that servers send, such as `inflight=7,util=0.61`."""
 
 from collections.abc import Iterable
 
 
 def parse_load_report(text: bytes, names: Iterable[str]) -> list[float | None] | None:
-    """Return the values in the order of `names`, None for each that is not reported.
+    """Return the values in the order of `names`, None for each one not reported.
 
-    Pairs that are not a name and a number are passed over. The result is None where no
-    pair is left.
+    Pairs that are not a name and a number are ignored. Returns None if no valid pair
+    is left.
     """
     values = {}
     for pair in text.split(b","):
--- a/wheathill/net/log.py
+++ b/wheathill/net/log.py
@@ -1,4 +1,4 @@
-"""The log: one JSON line an event, on standard output."""
+"""The event log: one JSON line per event, on standard output."""
 
 import contextlib
 import os
@@ -9,22 +9,21 @@
 
 import orjson
 
-CLOSE_TIMEOUT_S = (
-    1.0  # for what is queued; a pipe that nobody empties must not hold the end
-)
+# Limits how long a stalled reader of standard output can delay process exit.
+CLOSE_TIMEOUT_S = 1.0
 
 
 class EventLog:
-    """Writes events from a thread: standard output may be a pipe that nobody empties.
+    """Writes events from a separate thread, as standard output may be a stalled pipe.
 
     Attributes:
-        node_name: the field `node` of each line.
+        node_name: value of the field `node` in each line.
     """
 
     def __init__(
         self, node_name: str, max_queued_lines: int, descriptor: int | None = None
     ) -> None:
-        """Start the thread; it writes to `descriptor`, or else to standard output."""
+        """Start the thread; it writes to `descriptor`, by default standard output."""
         self.node_name = node_name
         self._descriptor = sys.stdout.fileno() if descriptor is None else descriptor
         self._lines: queue.Queue[bytes] = queue.Queue(max_queued_lines)
@@ -32,7 +31,7 @@
         self._writer.start()
 
     def __call__(self, event: str, **fields: object) -> None:
-        """Queue a line with the event and its fields."""
+        """Queue a line with the event and its fields; drop it if the queue is full."""
         line = {
             "time": round(time.time(), 3),
             "node": self.node_name,
@@ -42,18 +41,18 @@
         self._put(orjson.dumps(line, default=str, option=orjson.OPT_APPEND_NEWLINE))
 
     def close(self) -> None:
-        """Write what is queued, as far as it can be written within a second."""
-        self._put(b"")  # ends the thread
+        """Flush queued lines, waiting at most `CLOSE_TIMEOUT_S`."""
+        self._put(b"")  # tells the thread to stop
         self._writer.join(CLOSE_TIMEOUT_S)
 
     def _put(self, line: bytes) -> None:
-        # A reader that stands still must not stop the proxy.
+        # A stalled reader must not block the proxy.
         with contextlib.suppress(queue.Full):
             self._lines.put_nowait(line)
 
     def _write_lines(self) -> None:
         while line := self._lines.get():
-            # Where nobody reads any more, serving goes on.
+            # Keep serving after the reader has closed the pipe.
             with contextlib.suppress(OSError):
                 while line:
                     line = line[os.write(self._descriptor, line) :]
--- a/wheathill/net/maintenance_store.py
+++ b/wheathill/net/maintenance_store.py
@@ -1,4 +1,4 @@
-"""The file of servers in maintenance, which outlives the process."""
+"""Persists which servers are in maintenance across restarts of the process."""
 
 import os
 from collections.abc import Mapping
@@ -8,29 +8,33 @@
 from wheathill.config.node import NodeConfig
 
 FORMAT_VERSION = 1
-# More than one entry of the file takes, by which the size that is read is bounded.
+# Upper bound for one entry of the file; limits how much of the file is read.
 MAX_ENTRY_BYTES = 512
 
 
 class MaintenanceStore:
-    """Keeps which servers are in maintenance, and since when (Unix time in ms).
+    """Stores the servers in maintenance and since when (Unix time in ms).
 
-    The file is written whole before an operator is answered.
+    The file is replaced atomically before an operator's request is answered.
+
+    Attributes:
+        path: the path of the file.
     """
 
     def __init__(self, path: str) -> None:
         self.path = path
 
     def save(self, since_by_name: Mapping[str, float]) -> None:
-        """Replace what is kept.
+        """Replace the stored servers.
 
         Raises:
-            OSError: It can't be written; the file is then as it was.
+            OSError: The file can't be written; its previous content is kept.
         """
-        # At an upgrade two processes write.
-        new_path = f"{self.path}.{os.getpid()}"
+        # During an upgrade two processes may write at the same time, so the temporary
+        # file's name contains the process id.
+        temporary_path = f"{self.path}.{os.getpid()}"
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_NOFOLLOW | os.O_CLOEXEC
-        descriptor = os.open(new_path, flags, 0o600)
+        descriptor = os.open(temporary_path, flags, 0o600)
         try:
             with open(descriptor, "wb") as file:
                 file.write(
@@ -38,18 +42,18 @@
                 )
                 file.flush()
                 os.fsync(descriptor)
-            os.rename(new_path, self.path)
+            os.rename(temporary_path, self.path)
         except OSError:
-            os.unlink(new_path)
+            os.unlink(temporary_path)
             raise
 
     def load(self, max_names: int) -> dict[str, float]:
-        """Return what is kept, nothing where there is no file.
+        """Return the stored servers; empty if there is no file.
 
         Raises:
             OSError: The file can't be read.
-            ValueError: It is no such file, another user's, or has more than
-                `max_names`.
+            ValueError: The file is malformed, belongs to another user, or has more
+                entries than `max_names`.
         """
         try:
             descriptor = os.open(self.path, os.O_RDONLY | os.O_NOFOLLOW | os.O_CLOEXEC)
@@ -57,7 +61,7 @@
             return {}
         with open(descriptor, "rb") as file:
             if os.fstat(descriptor).st_uid != os.geteuid():
-                raise ValueError("the file is another user's")
+                raise ValueError("the file belongs to another user")
             content = orjson.loads(file.read(max_names * MAX_ENTRY_BYTES))
         if (
             not isinstance(content, dict)
@@ -67,12 +71,12 @@
                 isinstance(since, (int, float)) for since in content["out"].values()
             )
         ):
-            raise ValueError("not a file of this version")
+            raise ValueError("the file has an unsupported format or version")
         return content["out"]
 
 
 def maintenance_store_of(node: NodeConfig) -> MaintenanceStore | None:
-    """Return the store of that proxy; None where no directory outlives the process."""
+    """Return the store of this proxy; None without a configured state directory."""
     if not node.state_directory:
         return None
     name = f"wheathill-{node.file_tag}.out"
--- a/wheathill/net/metrics.py
+++ b/wheathill/net/metrics.py
@@ -1,6 +1,6 @@
-"""Counts since the start: each event once, where it happens.
+"""Counters since process start, incremented where an event happens.
 
-The log and the admin endpoint show the same counts.
+The log and the admin endpoint show the same counters.
 """
 
 from collections import Counter
@@ -9,16 +9,16 @@
 
 from wheathill.model import Listener
 
-# How a session can end for its client: brought up, refused or failed.
+# Final results of a session as its client sees them: established, rejected or failed.
 RESULTS = ("completed", "rejected", "failed")
 
 
 class ProxyMetrics:
-    """Counts of one proxy.
+    """Counters of one proxy.
 
     Attributes:
-        counts: by event. The names of the events are keys of the log.
-        results: the number of sessions by the listener's name and the result.
+        counts: event counters by name; the names are keys in the log.
+        results: the number of sessions by listener name and result.
     """
 
     def __init__(self) -> None:
@@ -26,27 +26,27 @@
         self.results: dict[str, dict[str, int]] = {}
 
     def add_listeners(self, names: Iterable[str]) -> None:
-        """Show these listeners from now on, from 0 where they are new.
+        """Add listeners to the metrics; new ones start at 0.
 
-        One that the settings no longer name keeps its counts.
+        Listeners removed from the configuration keep their counters.
         """
         for name in names:
             self.results.setdefault(name, dict.fromkeys(RESULTS, 0))
 
     def count(self, event: str) -> None:
-        """Count an event."""
+        """Increment the counter of an event."""
         self.counts[event] += 1
 
     def count_result(self, listener: Listener, result: str) -> None:
-        """Count a session that was brought up, refused or has failed."""
+        """Count the result of a session, one of `RESULTS`."""
         self.results[listener.name][result] += 1
 
     def for_log(self) -> dict[str, Any]:
-        """Return all counts, as the log has them."""
+        """Return all counters in the form that is logged."""
         return {**self.counts, "sessions": self.results}
 
     def for_operators(self) -> dict[str, Any]:
-        """Return the counts that the admin endpoint shows."""
+        """Return the counters that the admin endpoint shows."""
         return {
             "downstream_requests": self.results,
             "upstream_requests": self.counts["dials sent"],
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -1,4 +1,4 @@
-"""The base of all protocol state machines, which are fed bytes."""
+"""Base class of the protocol state machines that connections feed with bytes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class NoTimer:
-    """Stands for a machine's timer while none is set."""
+    """Null object that replaces a machine's timer while none is set."""
 
     @staticmethod
     def cancel() -> None:
@@ -21,22 +21,23 @@
 
 
 class ProtocolMachine:
-    """A state machine of one connection.
+    """Protocol state machine of one connection.
 
-    It is fed by the connection, of which it uses only `send`, `finish`, `part`, `abort`
-    and `hold`, and reports what it finds to its owner. It has one timer at a time.
+    The connection calls it on each event. It uses only the connection's `send`,
+    `finish`, `part`, `abort` and `hold`, and reports results to its owner. It has at
+    most one timer.
 
     Attributes:
-        owner: who is told what the machine finds.
-        limits: sizes and times of the proxy.
-        clock: gives the time and sets timers.
-        lines: what was received and not consumed yet.
+        owner: the object that results are reported to.
+        limits: size and time limits of the proxy.
+        clock: provides the time and timers.
+        lines: buffer of received bytes that were not consumed yet.
         wire: the connection, once there is one.
-        timer: the one that is set, or `NoTimer`.
+        timer: the pending timer, or `NoTimer`.
     """
 
     def __init__(self, owner: object, limits: ProxyLimits, clock: Clock) -> None:
-        self.owner: Any = owner  # each kind of machine has its own kind of owner
+        self.owner: Any = owner  # its type depends on the subclass
         self.limits = limits
         self.clock = clock
         self.lines = LineBuffer(limits.max_line_bytes)
@@ -46,23 +47,23 @@
     def set_timer(
         self, delay_ms: float, call: Callable[..., object], *args: object
     ) -> None:
-        """Call after a delay, instead of what the timer was set for."""
+        """Schedule a call after a delay, replacing the pending timer."""
         self.timer.cancel()
         self.timer = self.clock.after(delay_ms, self._on_timer, call, *args)
 
     def _on_timer(self, call: Callable[..., object], *args: object) -> None:
-        # A timer that has expired still holds its call, and so the machine that holds
-        # it.
+        # An expired timer still references its callback and thus this machine; drop it
+        # to avoid a reference cycle.
         self.timer = NoTimer
         call(*args)
 
     @property
     def held_back(self) -> bool:
-        """Whether the connection is not to be attempted yet.
+        """Whether to postpone the connection attempt.
 
-        Asked right before the attempt, and a turn of the loop later again: what lies
-        unread in this process may be against it. A machine that finds so ends its
-        connection.
+        Checked immediately before the attempt and again in each loop iteration while it
+        is true, as received data that was not processed yet may make the attempt
+        unnecessary. In that case the machine aborts the connection.
         """
         return False
 
@@ -70,34 +71,33 @@
         """The connection is established."""
 
     def carried(self) -> None:
-        """A connection that another process held is open here; nothing is read yet."""
+        """A connection passed by another process is open here; reading is paused."""
 
-    def received(self, data: Any) -> None:  # noqa: ANN401 - Unix sockets give bytes and descriptors
-        """Bytes were received: a memoryview, valid only until this returns."""
+    def received(self, data: Any) -> None:  # noqa: ANN401 - Unix sockets pass bytes and descriptors
+        """Bytes were received: a memoryview that is valid only during this call."""
 
     def ended(self) -> None:
-        """The peer sends no more."""
+        """The peer has sent end of stream."""
 
     def blocked(self, on: bool) -> None:
-        """Bytes wait to be sent, or no longer."""
+        """Bytes are waiting in the send buffer (`on`), or the buffer is empty again."""
 
     def lost(self, reset: bool) -> None:
-        """The connection is over, or was never established; nothing else follows."""
+        """The connection was lost or could not be established; the last event."""
 
     def fault(self) -> None:
         """One of the callbacks above has raised an exception."""
 
     def let_go(self) -> None:
-        """The connection has closed and calls nothing any more.
+        """The connection has closed and makes no further calls.
 
-        It is called also where `lost` was not. What holds this machine in turn is given
-        up here: the loop would stand for as long as the collector took to find such
-        cycles.
+        Also called if `lost` was not. Subclasses drop references that form cycles with
+        this machine, as the garbage collector would block the event loop to find them.
         """
 
 
 class NoMachine:
-    """Stands for the machine of a connection that has let go of its own."""
+    """Null object for the machine of a connection that has released its own."""
 
     @staticmethod
     def fault() -> None:
--- a/wheathill/net/server_socket.py
+++ b/wheathill/net/server_socket.py
@@ -16,11 +16,11 @@
 
 
 class ServerSocket:
-    """Accepts a few connections at a time.
+    """Accepts a limited number of connections per loop iteration.
 
-    So their lines are read before the next ones hold a descriptor: asyncio's own
-    servers accept the whole backlog at once. What can't be accepted waits in the
-    backlog.
+    That way their first lines are read before the next connections take up descriptors;
+    asyncio's own servers accept the whole backlog at once. Connections that can't be
+    accepted yet stay in the backlog.
 
     Attributes:
         sock: the listening socket.
@@ -33,27 +33,27 @@
         sock: socket.socket,
         has_room: Callable[[], bool],
     ) -> None:
-        """Begin to accept on a socket that listens, while `has_room` says so."""
+        """Start accepting on a listening socket as long as `has_room` returns true."""
         self.sock = sock
         self._carrier = carrier
         self._make_machine = make_machine
         self._has_room = has_room
         self._resume_timer: asyncio.TimerHandle | None = None
-        self._is_held = False
-        self._is_resting = False  # held only for `accept_pause_ms`
-        # Accepted, but the machine has not been told yet; ordered.
+        self._is_paused = False
+        self._is_backing_off = False  # paused only for `accept_pause_ms`
+        # Accepted connections whose machine was not notified yet, in order.
         self._starting: dict[Connection, None] = {}
         self.hold(False)
 
     def hold(self, on: bool) -> None:
-        """Accept nobody for now, or go on; closed stays closed.
+        """Pause or resume accepting; has no effect on a closed socket.
 
-        While it is held the system still completes connections into the backlog.
+        While paused, the kernel still completes handshakes into the backlog.
         """
         if self.sock.fileno() < 0:
             return
         loop = self._carrier.loop
-        self._is_held, self._is_resting = on, False
+        self._is_paused, self._is_backing_off = on, False
         if self._resume_timer:
             self._resume_timer.cancel()
         if on:
@@ -62,22 +62,22 @@
             loop.add_reader(self.sock, self._accept)
 
     def close(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting and close the socket."""
         self.hold(True)
         self.sock.close()
 
     @property
     def waiting(self) -> bool:
-        """Whether somebody is on the way in: accepted, or yet to be accepted here."""
+        """Whether a new connection is starting up or waits to be accepted here."""
         if self._starting:
             return True
-        is_accepting = not self._is_held or self._is_resting
+        is_accepting = not self._is_paused or self._is_backing_off
         return self.sock.fileno() >= 0 and is_accepting and is_readable(self.sock)
 
     def _accept(self) -> None:
         for _ in range(self._carrier.limits.accepts_per_turn):
             if not self._has_room():
-                self._rest()
+                self._back_off()
                 return
             try:
                 accepted, _ = self.sock.accept()
@@ -87,7 +87,7 @@
                 self._carrier.log(
                     LogEvent.INTERNAL_ERROR, where="accept", what=repr(error)
                 )
-                self._rest()
+                self._back_off()
                 return
             self._start(accepted)
 
@@ -98,9 +98,9 @@
             lambda _: self._starting.pop(connection)
         )
 
-    def _rest(self) -> None:
+    def _back_off(self) -> None:
         self.hold(True)
-        self._is_resting = True
+        self._is_backing_off = True
         self._resume_timer = self._carrier.loop.call_later(
             self._carrier.limits.accept_pause_ms / 1000, self.hold, False
         )
--- a/wheathill/net/socket_options.py
+++ b/wheathill/net/socket_options.py
@@ -1,4 +1,4 @@
-"""What is asked of the system about single sockets."""
+"""Options and kernel state of individual sockets."""
 
 import fcntl
 import select
@@ -9,18 +9,21 @@
 # Linux's struct tcp_info: offset of tcpi_last_data_recv, an unsigned int, in ms.
 TCP_INFO_LAST_DATA_RECV = 52
 TCP_INFO_SIZE = 56
-KEEP_ALIVE_PROBES = 3  # without an answer, then the connection is over
-# Of a Unix socket's peer: process, user, group (struct ucred).
+KEEP_ALIVE_PROBES = 3  # unanswered probes before the connection is closed
+# Linux's struct ucred: process id, user id, group id of a Unix socket's peer.
 PEER_CREDENTIALS = struct.Struct("3i")
 
 
 def create_listening_socket(
     address: tuple[str, int], inherited_descriptor: int | None, backlog: int
 ) -> socket.socket:
-    """Return a non-blocking socket that listens; raises OSError.
+    """Return a non-blocking listening socket.
 
-    One that is inherited is shared with other processes: it is taken as it is, and is
-    not handed on.
+    An inherited socket is shared with other processes, so it is used as it is; child
+    processes do not inherit it.
+
+    Raises:
+        OSError: the address can't be listened on.
     """
     if inherited_descriptor is not None:
         sock = socket.socket(fileno=inherited_descriptor)
@@ -33,21 +36,21 @@
 
 
 def address_family(host: str) -> socket.AddressFamily:
-    """Return the family of an IP address."""
+    """Return the address family of an IP address."""
     return socket.AF_INET6 if ":" in host else socket.AF_INET
 
 
 def is_readable(sock: socket.socket) -> bool:
-    """Return whether something waits to be read or accepted, as the system says."""
+    """Return whether the kernel has data to read, or a connection to accept."""
     poll = select.poll()
     poll.register(sock, select.POLLIN)
     return bool(poll.poll(0))
 
 
 def enable_keep_alive(sock: socket.socket, idle_ms: float) -> None:
-    """Let the system probe a peer that is silent, and close if it does not answer.
+    """Enable TCP keep-alive, which closes the connection to an unreachable peer.
 
-    A client whose machine is gone would hold its descriptors for good.
+    Otherwise a client whose host has failed would hold its descriptors forever.
     """
     idle_s = int(idle_ms / 1000)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
@@ -57,12 +60,12 @@
 
 
 def reset_on_close(sock: socket.socket) -> None:
-    """Let the next close reset the connection and drop what was not sent."""
+    """Make the next close reset the connection and discard unsent bytes."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
 def last_receive_ago_ms(sock: socket.socket) -> float:
-    """Return the ms since data last came from the network, 0 where it isn't known."""
+    """Return the ms since data last arrived from the network; 0 if unknown."""
     try:
         info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, TCP_INFO_SIZE)
         return float(struct.unpack_from("I", info, TCP_INFO_LAST_DATA_RECV)[0])
@@ -71,7 +74,7 @@
 
 
 def kernel_unsent_bytes(sock: socket.socket) -> int:
-    """Return how many bytes the system holds that the peer has not acknowledged.
+    """Return the bytes in the kernel's send queue that the peer has not acknowledged.
 
     Raises:
         OSError: the socket is closed.
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -1,4 +1,4 @@
-"""The sockets of one proxy process: connections, servers and datagrams."""
+"""Opens the sockets of a proxy process: connections, listeners and datagrams."""
 
 from __future__ import annotations
 
@@ -24,19 +24,19 @@
 
 
 class Transport:
-    """What all connections of a process share.
+    """The state that all connections of a process share.
 
     Attributes:
         loop: the event loop.
-        limits: sizes, counts and times of the proxy.
-        log: writes an event.
-        buffer: the receive buffer of all connections. One is enough: a machine has
-            consumed what was received before the next read begins.
-        sockets: descriptors that the connections hold.
-        lent: descriptors that count here though the process that this one takes over
-            from holds them still.
-        parting: connections that their machines have closed, until the sockets are
-            closed; ordered.
+        limits: size, count and time limits of the proxy.
+        log: writes an event to the log.
+        buffer: the receive buffer of all connections. One is enough, as a machine
+            consumes received bytes before the next read starts.
+        sockets: the number of descriptors that connections hold.
+        lent: the number of descriptors that the process being replaced still holds;
+            they count against the limit of this one.
+        parting: connections closed by their machines whose sockets are still open, in
+            order of closing.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
 
     @property
     def free(self) -> int:
-        """How many more descriptors connections may take; may be negative."""
+        """The number of descriptors left for connections; may be negative."""
         limits = self.limits
         return limits.max_sockets - limits.reserved_sockets - self.sockets - self.lent
 
@@ -63,9 +63,12 @@
         has_room: Callable[[], bool],
         inherited_descriptor: int | None = None,
     ) -> ServerSocket:
-        """Accept connections while `has_room` says so; raises OSError.
+        """Accept connections as long as `has_room` returns true.
 
-        `inherited_descriptor` is that of a socket which listens there already.
+        `inherited_descriptor` is that of a socket already listening on the address.
+
+        Raises:
+            OSError: the address can't be listened on.
         """
         sock = create_listening_socket(
             address, inherited_descriptor, self.limits.listen_backlog
@@ -78,31 +81,31 @@
         address: tuple[str, int],
         source: str | None = None,
     ) -> Connection:
-        """Begin to connect; the machine is told of the result.
+        """Start connecting; the machine is notified of the result.
 
-        `source` is the host to connect from, where this one has several.
+        `source` is the local address to connect from, if the host has several.
         """
         connection = Connection(self, lambda _: machine)
         connection.start_connecting(address, source)
         return connection
 
     def adopt(self, descriptor: int, machine: ProtocolMachine) -> Connection:
-        """Take over the connection of a descriptor that another process has passed.
+        """Take over a connection whose descriptor another process has passed.
 
-        It reads nothing until `hold(False)`.
+        Reading is paused until `hold(False)`.
         """
         connection = machine.wire = Connection(self, lambda _: machine)
         connection.start_adopted(socket.socket(fileno=descriptor))
         return connection
 
     def drop(self, descriptors: Sequence[int]) -> None:
-        """Close descriptors that were passed or were meant to be."""
+        """Close descriptors that were received, or duplicated to be passed."""
         for descriptor in descriptors:
             os.close(descriptor)
         self.sockets -= len(descriptors)
 
     def datagrams(self, machine: object, address: tuple[str, int]) -> DatagramSocket:
-        """Bind a socket for datagrams; raises OSError."""
+        """Bind a UDP socket; raises OSError."""
         return DatagramSocket(self, machine, address)
 
     def meet(
@@ -111,7 +114,7 @@
         name: str,
         make_machine: Callable[[UnixConnection], Any],
     ) -> UnixServerSocket:
-        """Listen for other processes of this user on a Unix socket; raises OSError."""
+        """Listen on a Unix socket for processes of the same user; raises OSError."""
         return UnixServerSocket(self, directory, name, make_machine)
 
     def reach(
@@ -120,5 +123,5 @@
         name: str,
         make_machine: Callable[[UnixConnection], Any],
     ) -> UnixConnection:
-        """Connect to another process; raises OSError where none listens."""
+        """Connect to another process's Unix socket; raises OSError if none listens."""
         return connect_unix(self, directory, name, make_machine)
--- a/wheathill/net/unix_connection.py
+++ b/wheathill/net/unix_connection.py
@@ -1,4 +1,4 @@
-"""Unix sockets to other processes of the same user on this machine."""
+"""Unix sockets to other processes of the same user on the same host."""
 
 from __future__ import annotations
 
@@ -16,24 +16,24 @@
 if TYPE_CHECKING:
     from wheathill.net.interfaces import SocketTransport
 
-BACKLOG = 4  # processes that wait to be accepted
+LISTEN_BACKLOG = 4  # connections
 SOCKET_MODE = 0o600
-NEW_SUFFIX = ".new"  # of a socket's name until it takes the place of an earlier one
+TEMPORARY_SUFFIX = ".new"  # of a socket's name until it replaces the previous socket
 
 
 class SocketDirectory:
-    """Short paths for the Unix sockets of a directory.
+    """Provides short paths for the Unix sockets in a directory.
 
-    Their paths are limited to some 100 bytes: within the context, a name stands for a
-    path by way of the directory's descriptor.
+    Paths of Unix sockets are limited to some 100 bytes. Within the context, a socket is
+    addressed through the directory's descriptor in /proc/self/fd instead.
     """
 
     def __init__(self, path: str | None) -> None:
-        self._path = path or ""  # which opens as no such directory
+        self._path = path or ""  # opening "" raises FileNotFoundError
         self._descriptor = -1
 
     def __enter__(self) -> Callable[[str], str]:
-        """Return the function from a name to its path; raises OSError."""
+        """Return a function that maps a socket's name to its path; raises OSError."""
         self._descriptor = os.open(
             self._path, os.O_RDONLY | os.O_DIRECTORY | os.O_CLOEXEC
         )
@@ -53,7 +53,7 @@
 
 
 class UnixServerSocket:
-    """A listening Unix socket; one that had the name before is replaced in one step."""
+    """A listening Unix socket; atomically replaces an existing one of that name."""
 
     def __init__(
         self,
@@ -62,25 +62,25 @@
         name: str,
         make_machine: Callable[[UnixConnection], Any],
     ) -> None:
-        """Listen; raises OSError."""
+        """Start listening; raises OSError."""
         self._carrier = carrier
         self._make_machine = make_machine
         self._sock = _create_unix_socket()
         try:
             with SocketDirectory(directory) as path_of:
-                self._bind(path_of(name + NEW_SUFFIX), path_of(name))
+                self._bind(path_of(name + TEMPORARY_SUFFIX), path_of(name))
         except OSError:
             self._sock.close()
             raise
         carrier.loop.add_reader(self._sock, self._accept)
 
-    def _bind(self, new_path: str, path: str) -> None:
-        if os.path.lexists(new_path):
-            os.unlink(new_path)
-        self._sock.bind(new_path)
-        os.chmod(new_path, SOCKET_MODE)
-        self._sock.listen(BACKLOG)
-        os.rename(new_path, path)
+    def _bind(self, temporary_path: str, path: str) -> None:
+        if os.path.lexists(temporary_path):
+            os.unlink(temporary_path)
+        self._sock.bind(temporary_path)
+        os.chmod(temporary_path, SOCKET_MODE)
+        self._sock.listen(LISTEN_BACKLOG)
+        os.rename(temporary_path, path)
 
     def _accept(self) -> None:
         try:
@@ -91,17 +91,17 @@
         UnixConnection(self._carrier, sock, self._make_machine)
 
     def close(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting and close the socket."""
         self._carrier.loop.remove_reader(self._sock)
         self._sock.close()
 
 
 class UnixConnection(FaultIsolation):
-    """A connection that passes bytes, and descriptors with them.
+    """A connection to another process that passes bytes and descriptors.
 
     Attributes:
-        carrier: the transport that it belongs to.
-        machine: fed with what is received.
+        carrier: the transport that this connection belongs to.
+        machine: the protocol state machine that receives events.
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         sock: socket.socket,
         make_machine: Callable[[UnixConnection], Any],
     ) -> None:
-        """Take a connected socket; a process of another user is refused."""
+        """Start on a connected socket; close it if the peer runs as another user."""
         self.carrier = carrier
         self._sock = sock
         self._unsent: deque[tuple[bytes, list[int]]] = deque()
@@ -136,7 +136,7 @@
             self.guard(self.machine.received, message.data, message.descriptors)
 
     def send(self, data: bytes, handles: Sequence[int] = ()) -> None:
-        """Send bytes, with descriptors, now or as soon as the socket takes them."""
+        """Send bytes and descriptors, or queue them until the socket is writable."""
         if not self._is_closed:
             self._unsent.append((data, list(handles)))
             self._write()
@@ -150,7 +150,7 @@
                 self.carrier.loop.add_writer(self._sock, self._write)
                 return
             except OSError:
-                # Found by the reader, which tells the machine.
+                # The reader sees the same error and notifies the machine.
                 self._unsent.clear()
                 break
             if sent == len(data):
@@ -160,7 +160,7 @@
         self.carrier.loop.remove_writer(self._sock)
 
     def close(self) -> None:
-        """Close; the machine is not called any more."""
+        """Close the connection; the machine is not notified."""
         if not self._is_closed:
             self._is_closed = True
             self.carrier.loop.remove_reader(self._sock)
@@ -174,7 +174,7 @@
     name: str,
     make_machine: Callable[[UnixConnection], Any],
 ) -> UnixConnection:
-    """Connect to another process; raises OSError where none listens."""
+    """Connect to another process's Unix socket; raises OSError if none listens."""
     sock = _create_unix_socket()
     try:
         with SocketDirectory(directory) as path_of:
