--- a/wheathill/__main__.py
+++ b/wheathill/__main__.py
@@ -1,8 +1,8 @@
-"""The entry point, `python -m wheathill`.
+"""The entry point of `python -m wheathill`.
 
-Without arguments it starts the proxy as the platform does, configured by the
-environment variable NODE_CONFIG. With arguments it is the command line, and what only
-the command line needs is imported only then.
+Without arguments it starts the proxy with the configuration in the environment variable
+NODE_CONFIG, as the platform does. With arguments it runs the command line, whose
+dependencies are imported only in that case.
 """
 
 import os
--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -1,6 +1,6 @@
-"""The command line. Each command imports what it needs when it is called.
+"""The command line. Each command imports its implementation when it is called.
 
-Docstrings of commands are what `--help` prints, where they state no `help`.
+`--help` prints the docstring of a command unless it sets `help`.
 """
 
 import json
@@ -15,10 +15,10 @@
 
 
 class ReportingGroup(click.Group):
-    """Commands that answer a configuration that can't be used with its faults."""
+    """A command group that reports configuration errors and exits with 2."""
 
     def invoke(self, ctx: click.Context) -> Any:  # noqa: ANN401 - as click's own
-        """Run a command; print the faults and exit with 2 where there are any."""
+        """Run a command; print any configuration errors and exit with 2."""
         try:
             return super().invoke(ctx)
         except ConfigurationError as error:
@@ -27,16 +27,16 @@
 
 
 class ScaleGroup(click.Group):
-    """The commands of `lab scale`, imported once one is asked for."""
+    """The commands of `lab scale`, imported on first use."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """Return the commands' names."""
+        """Return the names of the commands."""
         from wheathill.lab.scale.commands import COMMANDS
 
         return list(COMMANDS)
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """Return the command of that name."""
+        """Return the command with that name."""
         from wheathill.lab.scale.commands import COMMANDS
 
         return COMMANDS.get(cmd_name)
@@ -51,7 +51,7 @@
     show_default=True,
 )
 mutant_option = click.option(
-    "--mutant", help="instances broken on purpose (lab/judging/mutated)"
+    "--mutant", help="run a deliberately broken variant (lab/judging/mutated)"
 )
 
 
@@ -64,13 +64,13 @@
 
 @main.command(
     help=(
-        "Run one installation's proxy as FILE says."
-        " SIGHUP reads it again, SIGTERM ends it."
+        "Run a proxy with the configuration in FILE."
+        " SIGHUP reloads it, SIGTERM shuts the proxy down."
     )
 )
 @file_argument
 def daemon(file: str) -> None:
-    """Run one proxy until a signal ends it."""
+    """Run one proxy until a signal stops it."""
     from wheathill.config.operator import read_operator_config
     from wheathill.daemon import run
 
@@ -80,7 +80,7 @@
 @main.command()
 @file_argument
 def check(file: str) -> None:
-    """Read FILE whole; name every faulty key, and exit with 2 if there is one."""
+    """Validate FILE; report every invalid key, and exit with 2 if there is one."""
     from wheathill.config.operator import read_operator_config
 
     node = read_operator_config(file)
@@ -94,7 +94,7 @@
 
 @main.command()
 def schema() -> None:
-    """Print the JSON schema of the operator's file."""
+    """Print the JSON schema of the operator's configuration file."""
     import msgspec
 
     from wheathill.config.operator_tables import File
@@ -104,19 +104,19 @@
 
 @main.command(
     help=(
-        "Show the instances that the proxy of FILE knows."
-        " Exits with 1 where its view is not agreed."
+        "Show the cluster members known to the proxy configured by FILE."
+        " Exits with 1 if its cluster view has not converged."
     )
 )
 @file_argument
-@click.option("--json", "as_json", is_flag=True, help="print all that is told")
+@click.option("--json", "as_json", is_flag=True, help="print the whole answer as JSON")
 @click.option(
     "--compare",
     is_flag=True,
-    help="ask all that can be reached, and show where views differ",
+    help="query all reachable members, and show where their views differ",
 )
 @click.option(
-    "--remove", metavar="NAME", help="take a member off that is lost for good"
+    "--remove", metavar="NAME", help="remove a member that will not come back"
 )
 def peers(file: str, as_json: bool, compare: bool, remove: str | None) -> None:
     """Ask a running proxy for its view of the cluster, and print it."""
@@ -127,17 +127,17 @@
 
 @main.group(
     help=(
-        "Play scripted incidents against the real proxy,"
+        "Run scripted failure scenarios against the real proxy,"
         " in simulated time or on loopback sockets."
     )
 )
 def lab() -> None:
-    """Hold the commands of the lab."""
+    """Group the commands of the lab."""
 
 
 @lab.command()
 @script_argument
-@click.option("--seed", type=int, help="of all chance; the script's own where left out")
+@click.option("--seed", type=int, help="random seed; defaults to the script's own")
 @world_option
 @click.option(
     "--policy",
@@ -149,15 +149,15 @@
     ),
 )
 @mutant_option
-@click.option("--json", "json_path", type=click.Path(), help="keep the figures there")
+@click.option("--json", "json_path", type=click.Path(), help="save the results there")
 @click.option(
     "--log",
     "log_path",
     type=click.Path(),
-    help="keep every event there, one JSON line each",
+    help="save every event there, one JSON line each",
 )
 @click.option(
-    "--report", type=click.Path(), help="write a page with plots into this folder"
+    "--report", type=click.Path(), help="write a report with plots to this directory"
 )
 def run(
     script: str,
@@ -169,7 +169,7 @@
     log_path: str | None,
     report: str | None,
 ) -> None:
-    """Play SCRIPT once; exit with 1 if a rule was broken."""
+    """Run SCRIPT once; exit with 1 if an invariant was violated."""
     from wheathill.lab.tools import experiments
 
     exit_code = experiments.run(
@@ -185,15 +185,15 @@
     "--set",
     "changes",
     multiple=True,
-    help="KEY=V1,V2: play it with each; may be repeated",
+    help="KEY=V1,V2: run with each value; may be repeated",
 )
 @click.option(
-    "--policies", default="module", show_default=True, help="with commas between"
+    "--policies", default="module", show_default=True, help="comma-separated list"
 )
 @world_option
 @mutant_option
 @click.option("--jobs", type=int, default=4, show_default=True)
-@click.option("--json", "json_path", type=click.Path(), help="keep all figures there")
+@click.option("--json", "json_path", type=click.Path(), help="save all results there")
 def sweep(
     script: str,
     seeds: str,
@@ -204,7 +204,7 @@
     jobs: int,
     json_path: str | None,
 ) -> None:
-    """Play SCRIPT over a grid of seeds, keys and policies; print medians and ranges."""
+    """Run SCRIPT over a grid of seeds, keys and policies; print medians and ranges."""
     from wheathill.lab.tools import experiments
 
     names = policies.split(",")
@@ -218,7 +218,7 @@
 @click.argument("one", type=click.Path(exists=True))
 @click.argument("other", type=click.Path(exists=True))
 def compare(one: str, other: str) -> None:
-    """Set the figures of two kept runs or sweeps side by side."""
+    """Compare the saved results of two runs or sweeps side by side."""
     from wheathill.lab.tools import experiments
 
     sys.exit(experiments.compare(one, other))
@@ -226,10 +226,10 @@
 
 @lab.command("draw-site")
 @click.option(
-    "--seed", type=int, required=True, help="the same one gives the same bytes"
+    "--seed", type=int, required=True, help="equal seeds give identical output"
 )
 def draw_site(seed: int) -> None:
-    """Print a site drawn at random, as the operators' bench reads it (docs/lab.md)."""
+    """Print a randomly generated site for the operators' bench (docs/lab.md)."""
     from wheathill.lab.tools import sites
 
     click.echo(sites.text(seed), nl=False)
@@ -237,4 +237,4 @@
 
 @lab.group(cls=ScaleGroup)
 def scale() -> None:
-    """Measure how the cost of one proxy grows."""
+    """Measure how the resource use of one proxy scales."""
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -1,6 +1,6 @@
-"""The process of one proxy: its clock, transport, log and signals, joined.
+"""Runs a proxy process: sets up its clock, transport, log and signal handlers.
 
-Where its configuration comes from is the caller's affair.
+The caller provides a function that reads the configuration.
 """
 
 import asyncio
@@ -22,31 +22,32 @@
 from wheathill.net.proxy import Proxy
 from wheathill.net.transport import Transport
 
-# Returns the configuration as it is now, or raises ConfigurationError.
+# Returns the current configuration, or raises ConfigurationError.
 ReadConfig = Callable[[], NodeConfig]
-# Takes an event and its fields.
+# Called with an event and its fields.
 WriteLog = Callable[..., None]
 
 EXIT_STOPPED = 0
 EXIT_MISCONFIGURED = 2
-# Bytes of the number by which processes of one name are told apart.
+# Size of the random number that distinguishes processes with the same member name.
 GENERATION_BYTES = 6
 
 
 def run(read_config: ReadConfig) -> int:
-    """Serve until a signal ends the process, and return its exit code.
+    """Serve until a signal stops the process, and return its exit code.
 
-    `read_config` is called again on SIGHUP. At the start its faults are printed.
+    `read_config` is called again on SIGHUP. Errors in the initial configuration are
+    printed to standard error.
     """
-    # Until the proxy can read its configuration again, the order to do so must not
-    # end it.
+    # Until the reload handler is installed, SIGHUP would terminate the process.
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     try:
         node = raise_descriptor_limit(read_config())
         log = EventLog(node.name, node.limits.max_queued_log_lines)
         keep_collections_short()
         serving = serve(node, log, read_config)
-        # A list of thousands is held once, by the proxy.
+        # Drop this reference: an endpoint list may have thousands of entries, and the
+        # proxy keeps what it needs of it.
         del node
         try:
             asyncio.run(serving)
@@ -59,23 +60,23 @@
 
 
 def raise_descriptor_limit(node: NodeConfig) -> NodeConfig:
-    """Allow the process as many descriptors as configured, where the system lets it.
+    """Raise the soft descriptor limit to the configured number, up to the hard limit.
 
-    Returns the configuration with as many as there are.
+    Returns the configuration with the number that is available.
     """
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    wanted = node.limits.max_sockets
-    allowed = wanted if hard == resource.RLIM_INFINITY else min(wanted, hard)
+    configured = node.limits.max_sockets
+    allowed = configured if hard == resource.RLIM_INFINITY else min(configured, hard)
     if soft != resource.RLIM_INFINITY and soft < allowed:
         resource.setrlimit(resource.RLIMIT_NOFILE, (allowed, hard))
     return replace(node, limits=replace(node.limits, max_sockets=allowed))
 
 
 async def serve(node: NodeConfig, log: WriteLog, read_config: ReadConfig) -> None:
-    """Run one proxy until a signal has ended it.
+    """Run one proxy until a signal stops it.
 
     Raises:
-        ConfigurationError: An address can't be listened at.
+        ConfigurationError: An address can't be listened on.
     """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(partial(_log_internal_error, log))
@@ -92,13 +93,13 @@
         _open_admin_endpoint(proxy, carrier, node.admin_address, log)
     _listen_for_clients(proxy, carrier, log)
     if node.listen_fd is not None and node.state_directory:
-        # Imported only where another process may be there to take over from.
+        # Imported only if there may be a process to take over from.
         from wheathill.handover.coordinator import UpgradeCoordinator
 
         UpgradeCoordinator(proxy, carrier, clock, log).begin()
     else:
         proxy.start()
-    # A list of thousands is held once, by the proxy.
+    # As in `run`, only the proxy keeps the endpoint list.
     del node
     await stopped.wait()
 
@@ -116,10 +117,11 @@
 def _start_peers(proxy: Proxy, carrier: Transport, clock: Clock, log: WriteLog) -> None:
     """Join the cluster.
 
-    No two processes of one name may be taken for one another, whatever seed their file
-    gives them: the number that tells them apart is the system's.
+    Two processes with the same member name must never be mistaken for each other, even
+    if their files set the same random seed. The generation therefore comes from the
+    operating system's random source.
     """
-    # Imported only where the proxy knows other instances.
+    # Imported only if the proxy is a member of a cluster.
     from wheathill.peers import PeerEnvironment, create_peer_service
 
     node = proxy.node
@@ -134,7 +136,7 @@
     except OSError as error:
         if node.listen_fd is None:
             raise ConfigurationError(f"peers: {error}") from None
-        # The process that this one takes over from holds the address until it ends.
+        # The process being replaced holds the address until it exits, so retry.
         retry_after_ms = node.peers.probe_interval_ms
         clock.after(retry_after_ms, _start_peers, proxy, carrier, clock, log)
     else:
@@ -144,7 +146,7 @@
 def _open_admin_endpoint(
     proxy: Proxy, carrier: Transport, address: tuple[str, int], log: WriteLog
 ) -> None:
-    # Imported only where operators may call.
+    # Imported only if the admin endpoint is enabled.
     from wheathill.net.admin.server import AdminServer
 
     server = AdminServer(proxy)
@@ -171,7 +173,7 @@
     has_room: Callable[[], bool],
     inherited: int | None = None,
 ) -> Any:  # noqa: ANN401 - the transport's type
-    """Return a listening socket; `key` is the setting that a fault names."""
+    """Return a listening socket; `key` is the setting named in error messages."""
     try:
         return carrier.listen(accept, address, has_room, inherited)
     except OSError as error:
@@ -183,7 +185,7 @@
 
 
 def _stop(proxy: Proxy, stopped: asyncio.Event) -> None:
-    """Let the proxy see its sessions off, then leave the cluster and end."""
+    """Let the proxy drain its sessions, then leave the cluster and stop."""
 
     def end() -> None:
         if proxy.peers:
@@ -194,9 +196,10 @@
 
 
 def _reload(proxy: Proxy, log: WriteLog, read_config: ReadConfig) -> None:
-    """Take over a changed configuration.
+    """Apply a changed configuration.
 
-    It is read and checked whole first: with a faulty one the proxy goes on as it was.
+    It is read and validated completely first; if it has errors, the current one stays
+    in effect.
     """
     try:
         proxy.reload(raise_descriptor_limit(read_config()))
--- a/wheathill/log_events.py
+++ b/wheathill/log_events.py
@@ -1,16 +1,16 @@
-"""The events of the log, one JSON line each, as docs/on-call.md describes them.
+"""Events of the log, one JSON line each; docs/on-call.md describes them.
 
-Whoever writes or reads the log uses these names, so that a renamed event can't be
-missed by a reader.
+Code that writes or reads the log uses these constants, so that renaming an event can't
+leave a reader behind.
 """
 
 import enum
 
 
 class LogEvent(enum.StrEnum):
-    """The `event` field of a line in the log."""
+    """Values of the `event` field of a log line."""
 
-    # The life of a process.
+    # Process lifecycle.
     LISTENING = "listening"
     READY = "ready"
     ADMIN_LISTENING = "admin_listening"
@@ -38,7 +38,7 @@
     MAINTENANCE_EXITED = "maintenance_exited"
     MAINTENANCE_FILE_ERROR = "maintenance_file_error"
 
-    # Process-to-process upgrades.
+    # Handover between processes during an upgrade.
     HANDOVER_RECEIVED = "handover_received"
     HANDOVER_UNAVAILABLE = "handover_unavailable"
     HANDOVER_SENT = "handover_sent"
@@ -47,7 +47,7 @@
     ACCEPTING_CONNECTIONS = "accepting_connections"
     PREVIOUS_PROCESS_EXITED = "previous_process_exited"
 
-    # Proxies that know each other.
+    # Cluster membership and peers.
     MEMBERSHIP = "membership"
     MEMBER_STATE_CHANGED = "member_state_changed"
     CLUSTER_VIEW_CHANGED = "cluster_view_changed"
--- a/wheathill/net/admin/errors.py
+++ b/wheathill/net/admin/errors.py
@@ -1,13 +1,13 @@
-"""Requests that are not answered with 200."""
+"""Exceptions that become HTTP error responses."""
 
 
 class HttpError(Exception):
-    """A request that is answered with an error.
+    """Makes the server answer a request with an error response.
 
     Attributes:
-        status: the HTTP status, one of `response.REASON_PHRASES`.
-        message: what was wrong, for the body of the response.
-        headers: more header fields of the response.
+        status: the HTTP status code, one of `response.REASON_PHRASES`.
+        message: the error message in the response body.
+        headers: additional response headers.
     """
 
     def __init__(self, status: int, message: str, **headers: str) -> None:
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -1,4 +1,4 @@
-"""What the admin endpoint needs of a connection and of the proxy."""
+"""Interfaces of the connection and the proxy that the admin endpoint uses."""
 
 from collections.abc import Container
 from typing import Any, Protocol
@@ -7,41 +7,56 @@
 
 
 class AdminConnection(Protocol):
-    """The transport of one request."""
+    """The connection that carries one request.
 
-    counted: bool  # whether it holds a descriptor
-    open: bool  # whether it is up
-    unread: bool  # whether bytes have come that were not read yet
+    Attributes:
+        counted: whether it holds a descriptor.
+        open: whether it is established and not closed.
+        unread: whether received bytes are waiting to be read.
+    """
+
+    counted: bool
+    open: bool
+    unread: bool
 
     def send(self, *parts: bytes) -> None:
         """Send bytes."""
 
     def part(self) -> None:
-        """End the connection once all is sent."""
+        """Close the connection once all bytes are sent."""
 
     def abort(self) -> None:
-        """End the connection at once."""
+        """Close the connection immediately."""
 
 
 class AdministeredProxy(Protocol):
-    """The proxy that operators see and change."""
+    """The proxy whose status operators query and change.
+
+    Attributes:
+        limits: size and time limits of the proxy.
+        clock: provides the time and timers.
+        ready: whether it accepts sessions.
+        handed_over: whether another process has taken over.
+        stopping: since when the proxy is shutting down, in ms; None if it is not.
+        names: names of all servers that the endpoint list has ever contained.
+    """
 
     limits: ProxyLimits
     clock: Any
     ready: bool
-    handed_over: bool  # whether another process has taken over
-    stopping: float | None  # since when, in ms
-    names: Container[str]  # of all servers that were ever listed
+    handed_over: bool
+    stopping: float | None
+    names: Container[str]
 
     def now(self) -> float:
         """Return the monotonic time in ms."""
 
     def metrics_report(self) -> dict[str, Any]:
-        """Return the metrics for operators."""
+        """Return the metrics that operators see."""
 
     def set_maintenance(self, name: str, out: bool) -> bool:
-        """Take a server out of service or back in; return whether that outlives us.
+        """Put a server into maintenance (`out`) or end it; return whether it persists.
 
         Raises:
-            OSError: It can't be kept, and nothing was changed.
+            OSError: The change can't be stored; nothing was changed.
         """
--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -1,4 +1,4 @@
-"""One request on one connection: HTTP/1.1 (RFC 9112), answered with JSON."""
+"""Protocol machine for one HTTP/1.1 request (RFC 9112) with a JSON response."""
 
 import re
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.protocol_machine import ProtocolMachine
 
-# Only their types are needed, and memory is short.
+# Needed for type checking only; not importing it at run time saves memory.
 if TYPE_CHECKING:
     from wheathill.net.admin.interfaces import AdminConnection
 
@@ -20,7 +20,7 @@
 TARGET = re.compile(rb"[!-~]+")
 VERSION = re.compile(rb"HTTP/[0-9]\.[0-9]")
 SUPPORTED_VERSIONS = b"HTTP/1."
-# Digits of a Content-Length that are read; any number as long is over the limit.
+# Digits of a Content-Length that are parsed; a number this long exceeds any limit.
 MAX_LENGTH_DIGITS = 20
 
 Answer = Callable[[str, RequestTarget], Any]
@@ -29,8 +29,11 @@
 class AdminRequest(ProtocolMachine):
     """Reads one request, sends one response, and closes the connection.
 
-    `answer` takes the method and the target; it returns the value that is sent with
-    200, or raises `HttpError`.
+    The callback `answer` gets the method and the target. It returns the value that is
+    sent with status 200, or raises `HttpError`.
+
+    Attributes:
+        done: whether the response was sent or the connection was lost.
     """
 
     def __init__(
@@ -45,18 +48,18 @@
         self.done = False
         self._answer = answer
         self.lines.max_length = limits.max_admin_head_bytes
-        # Not a bound method, by which the request would hold itself.
+        # A plain function; a bound method would create a reference cycle.
         self._read_next = AdminRequest._read_request_line
         self._method, self._target = "", b""
         self._head_bytes = self._header_count = 0
         self._content_length: int | None = None
 
     def connected(self) -> None:
-        """Give the whole request a time to come."""
+        """Start the timeout for receiving the whole request."""
         self.set_timer(self.limits.admin_request_timeout_ms, self._time_out)
 
     def received(self, data: bytes) -> None:
-        """Read on, and answer once the request is whole or found to be wrong."""
+        """Continue parsing; answer once the request is complete or invalid."""
         if self.done:
             return
         self.lines.feed(data)
@@ -69,16 +72,16 @@
             self._send_error(error)
 
     def ended(self) -> None:
-        """The caller sends no more, and the request is not whole."""
+        """The client has sent end of stream before the request was complete."""
         self._send_error(HttpError(400, "half a call"))
 
     def lost(self, reset: bool) -> None:
-        """The connection is over."""
+        """The connection was lost."""
         self.done = True
         self.timer.cancel()
 
     def fault(self) -> None:
-        """A handler, or this, raised an exception, which was logged."""
+        """A callback or handler raised an exception, which was logged already."""
         if self.done:
             self.wire.abort()
         else:
@@ -86,11 +89,11 @@
             self._send_error(HttpError(500, message))
 
     def make_room(self) -> None:
-        """End the connection at once, as another request needs its descriptor."""
+        """Close the connection immediately, as another request needs its descriptor."""
         self.lost(False)
         self.wire.abort()
 
-    # Reading. Each returns whether the next part may be read.
+    # Parser states. Each returns whether parsing can continue.
 
     def _head_too_large(self) -> HttpError:
         return HttpError(
@@ -108,17 +111,17 @@
     def _read_request_line(self) -> bool:
         line = self._next_head_line()
         if not line:
-            # An empty line before it is passed over (section 2.2).
+            # Empty lines before the request line are ignored (RFC 9112 section 2.2).
             return line is not None
-        words = line.split(b" ")
+        parts = line.split(b" ")
         if (
-            len(words) != 3
-            or not TOKEN.fullmatch(words[0])
-            or not TARGET.fullmatch(words[1])
-            or not VERSION.fullmatch(words[2])
+            len(parts) != 3
+            or not TOKEN.fullmatch(parts[0])
+            or not TARGET.fullmatch(parts[1])
+            or not VERSION.fullmatch(parts[2])
         ):
             raise HttpError(400, "the first line is not METHOD TARGET HTTP/1.1")
-        method, self._target, version = words
+        method, self._target, version = parts
         if not version.startswith(SUPPORTED_VERSIONS):
             raise HttpError(505, "HTTP/1.1 is spoken here")
         self._method = method.decode()
@@ -155,10 +158,10 @@
             )
 
     def _skip_body(self) -> bool:
-        """Read the body to its end and answer.
+        """Read and discard the body, then answer.
 
-        No request here needs one; it is read so that the response is not lost with
-        what was not read.
+        No request needs a body. It is read because closing a socket with unread bytes
+        resets the connection, which could discard the response.
         """
         self._content_length = (self._content_length or 0) - len(self.lines.unconsumed)
         self.lines.unconsumed = b""
@@ -167,7 +170,7 @@
             self._send(200, self._answer(self._method, target), {})
         return False
 
-    # Answering
+    # Responses
 
     def _send(self, status: int, value: object, headers: dict[str, str]) -> None:
         head, body = encode_response(status, value, headers)
--- a/wheathill/net/admin/request_target.py
+++ b/wheathill/net/admin/request_target.py
@@ -1,4 +1,4 @@
-"""The target of a request: its path and its query."""
+"""Parses the target of an HTTP request into path and query."""
 
 import re
 from dataclasses import dataclass
@@ -11,21 +11,21 @@
 
 @dataclass(frozen=True)
 class RequestTarget:
-    """A target, percent-decoded.
+    """A request target after percent-decoding.
 
     Attributes:
-        path: begins with a slash.
-        query: the values of each name, in order.
+        path: the path, which begins with a slash.
+        query: the values of each query parameter, in order.
     """
 
     path: str
     query: dict[str, list[str]]
 
     def single_value(self, name: str) -> str:
-        """Return the one value of that name.
+        """Return the value of a parameter that must be given exactly once.
 
         Raises:
-            HttpError: It is missing, empty or given more than once.
+            HttpError: The parameter is missing, empty or given more than once.
         """
         values = self.query.get(name, [])
         if len(values) > 1:
@@ -36,10 +36,10 @@
 
 
 def parse_target(target: bytes) -> RequestTarget:
-    """Return a target in origin or absolute form (RFC 9112 section 3.2).
+    """Parse a target in origin form or absolute form (RFC 9112 section 3.2).
 
     Raises:
-        HttpError: It has another form, or escapes that are malformed.
+        HttpError: The target has another form, or contains malformed escapes.
     """
     text = target.decode()
     if text[: len(ABSOLUTE_FORM)].lower() == ABSOLUTE_FORM:
@@ -55,21 +55,21 @@
 
 
 def percent_decoded(text: str) -> str:
-    """Return the text without escapes; strictly, see RFC 3986 section 2.1.
+    """Decode percent escapes strictly, as RFC 3986 section 2.1 defines them.
 
     Raises:
-        HttpError: An escape is malformed, or the escapes are not UTF-8.
+        HttpError: An escape is malformed, or the decoded bytes are not UTF-8.
     """
     decoded = bytearray()
-    rest = text.encode()
-    while rest:
-        plain, escape, rest = rest.partition(b"%")
+    remaining = text.encode()
+    while remaining:
+        plain, escape, remaining = remaining.partition(b"%")
         decoded += plain
         if escape:
-            if not HEX_DIGITS.match(rest):
+            if not HEX_DIGITS.match(remaining):
                 raise HttpError(400, "a % without two hexadecimal digits after it")
-            decoded.append(int(rest[:2], 16))
-            rest = rest[2:]
+            decoded.append(int(remaining[:2], 16))
+            remaining = remaining[2:]
     try:
         return decoded.decode()
     except UnicodeDecodeError:
--- a/wheathill/net/admin/response.py
+++ b/wheathill/net/admin/response.py
@@ -1,4 +1,4 @@
-"""Responses with a JSON body, after which the connection is closed."""
+"""Encodes HTTP responses with a JSON body; the connection is closed after each."""
 
 from collections.abc import Mapping
 
@@ -22,12 +22,12 @@
 def encode_response(
     status: int, value: object, headers: Mapping[str, str]
 ) -> tuple[bytes, bytes]:
-    """Return the head and the body; what JSON does not know is written as text."""
+    """Return head and body; values that JSON can't represent are written as strings."""
     body = orjson.dumps(value, default=str, option=orjson.OPT_APPEND_NEWLINE)
-    more = "".join(f"{name}: {text}\r\n" for name, text in headers.items())
+    extra_fields = "".join(f"{name}: {text}\r\n" for name, text in headers.items())
     head = (
         f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\n"
-        f"{more}Content-Type: application/json\r\n"
+        f"{extra_fields}Content-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nConnection: close\r\n\r\n"
     )
     return head.encode(), body
--- a/wheathill/net/admin/routes.py
+++ b/wheathill/net/admin/routes.py
@@ -1,4 +1,4 @@
-"""Which path and method leads to which handler."""
+"""Maps paths and methods to handlers."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,12 +10,12 @@
 
 @dataclass(frozen=True)
 class Route:
-    """What answers a path and a method.
+    """The handler for a path and a method.
 
     Attributes:
-        handler: returns the body of the response, or raises `HttpError`. It is called
-            with the values of the parameters.
-        parameters: names that the query has to give once each.
+        handler: called with the values of the parameters; returns the body of the
+            response, or raises `HttpError`.
+        parameters: names of query parameters, each required exactly once.
     """
 
     handler: Callable[..., Any]
@@ -23,7 +23,7 @@
 
 
 class Routes:
-    """All routes, by path and method, in the order in which they were added."""
+    """Routing table by path and method, in the order of addition."""
 
     def __init__(self) -> None:
         self._routes: dict[str, dict[str, Route]] = {}
@@ -35,16 +35,16 @@
         self._routes.setdefault(path, {})[method] = Route(handler, parameters)
 
     def answer(self, method: str, target: RequestTarget) -> Any:  # noqa: ANN401 - JSON
-        """Return the body of the response.
+        """Call the handler and return the body of the response.
 
         Raises:
-            HttpError: There is no such path, it has no such method, a parameter is
-                missing, or the handler raised it.
+            HttpError: The path is unknown, does not support the method, a parameter is
+                missing or repeated, or the handler raised the error.
         """
         routes = self._routes.get(target.path)
         if routes is None:
-            known = ", ".join(self._routes)
-            raise HttpError(404, f"no such path; known here: {known}")
+            known_paths = ", ".join(self._routes)
+            raise HttpError(404, f"no such path; known here: {known_paths}")
         if method not in routes:
             raise HttpError(
                 405,
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -1,4 +1,4 @@
-"""The endpoint itself: which requests are taken in, and what the proxy answers."""
+"""The admin endpoint: accepts requests and handles them."""
 
 from collections.abc import Callable
 from functools import partial
@@ -9,17 +9,17 @@
 from wheathill.net.admin.request_target import RequestTarget
 from wheathill.net.admin.routes import Routes
 
-# Only their types are needed, and memory is short.
+# Needed for type checking only; not importing them at run time saves memory.
 if TYPE_CHECKING:
     from wheathill.net.admin.interfaces import AdminConnection, AdministeredProxy
 
 
 class AdminServer:
-    """Holds a few requests at a time, in descriptors that are reserved for it."""
+    """Serves a limited number of requests at a time, using reserved descriptors."""
 
     def __init__(self, proxy: "AdministeredProxy") -> None:
         self._proxy = proxy
-        # Not over yet, the oldest first -> since when, in ms.
+        # Open request -> time of its acceptance in ms, oldest first.
         self._requests: dict[AdminRequest, float] = {}
         self._routes = Routes()
         add = self._routes.add
@@ -31,23 +31,23 @@
     def add_route(
         self, method: str, path: str, handler: Callable[..., Any], *parameters: str
     ) -> None:
-        """Add a path of another part of the program; see `routes.Route`."""
+        """Add a route for another component; see `routes.Route`."""
         self._routes.add(method, path, handler, *parameters)
 
     def accept(self, connection: "AdminConnection") -> AdminRequest:
-        """Take a connection in."""
+        """Accept a connection and return the machine that reads its request."""
         proxy = self._proxy
         request = AdminRequest(connection, self.answer, proxy.limits, proxy.clock)
         self._requests[request] = proxy.now()
         return request
 
     def make_room(self) -> bool:
-        """Return whether another request may be taken in.
+        """Return whether another request can be accepted; may evict an old one.
 
-        The oldest one makes room: a silent caller must not keep others out. It has some
-        time to come, and is not ended while bytes of it are unread, as otherwise of
-        fifty callers at once the one that sent something is among those that are cut
-        off.
+        A silent client must not block others, so the oldest silent request is closed.
+        It is spared for a minimum time and while it has unread bytes; otherwise, of
+        fifty clients that connect at once, the one that has sent a request could be
+        closed.
         """
         for request in [each for each in self._requests if not each.wire.counted]:
             del self._requests[request]
@@ -81,12 +81,12 @@
         if name not in self._proxy.names:
             raise HttpError(404, f"{name!r} was never listed here")
         try:
-            is_kept = self._proxy.set_maintenance(name, out)
+            is_persistent = self._proxy.set_maintenance(name, out)
         except OSError as error:
             raise HttpError(
                 500, f"nothing was changed, as it can't be kept: {error.strerror}"
             ) from None
-        return {"host": name, "out": out, "kept": is_kept}
+        return {"host": name, "out": out, "kept": is_persistent}
 
 
 def _has_unread(connection: "AdminConnection") -> bool:
