--- a/tests/golden_proxy.py
+++ b/tests/golden_proxy.py
@@ -99,7 +99,7 @@
         """A fault of this test."""
         raise AssertionError(self.name)
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Nothing here has to be given up."""
 
     def send(self, data: bytes | str) -> None:
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -244,7 +244,7 @@
     def lost(self, reset):
         self.carry(False, self.end, reset)
 
-    def let_go(self):
+    def release(self):
         pass  # what is still on its way is told later
 
     def blocked(self, on):
@@ -262,7 +262,7 @@
             self.refused = self.wire.refused
             self.leave()
             self.guard(self.machine.lost, reset)
-            self.machine.let_go()
+            self.machine.release()
 
     def tell(self, what, *args):
         if not self.over:
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -75,8 +75,8 @@
         self.dead = True
         self.machine.lost(reset)
 
-    def let_go(self):
-        self.machine.let_go()
+    def release(self):
+        self.machine.release()
 
     def fault(self):
         self.wire.abort(reset=True)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -146,7 +146,7 @@
         if self.up:
             self.dial.wire.abort(reset=reset)
 
-    def let_go(self):
+    def release(self):
         # Where a fault of its dial ended it, the alarm for its answer is still set.
         self.timer.cancel()
         self.dial = None
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -191,7 +191,7 @@
         here.
         """
         machine, self.machine = self.machine, NoMachine
-        machine.let_go()
+        machine.release()
         attributes = vars(self.transport) if self.transport else {}
         for name in [
             name
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -83,7 +83,7 @@
     def fault(self) -> None:
         """A call to the machine has raised an exception."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Nothing is called any more."""
 
 
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -88,7 +88,7 @@
     def fault(self) -> None:
         """One of the callbacks above has raised an exception."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """The connection has closed and makes no further calls.
 
         Also called if `lost` was not. Subclasses drop references that form cycles with
