--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -162,8 +162,8 @@
         self.attempt(FIRST_AGAIN)
 
     @property
-    def held_back(self):
-        return self.machine.held_back
+    def is_connect_postponed(self):
+        return self.machine.is_connect_postponed
 
     def attempt(self, again):
         shape = self.shape
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -19,7 +19,7 @@
 
 
 class Tap:
-    held_back = False  # a connection of a stand-in is begun at once
+    is_connect_postponed = False  # a connection of a stand-in is begun at once
     came = None  # when the first byte left its sender, where the way here may hold it for long
 
     def __init__(self, host, machine, wire=None):
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -97,7 +97,7 @@
                 self._report_lost(False)
 
     async def _connect(self, address: tuple[str, int], source: str | None) -> None:
-        while self.machine.held_back:
+        while self.machine.is_connect_postponed:
             await asyncio.sleep(0)
         try:
             await self.carrier.loop.create_connection(
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -59,7 +59,7 @@
     wire: Any
 
     @property
-    def held_back(self) -> bool:
+    def is_connect_postponed(self) -> bool:
         """Whether the connection is not to be attempted yet."""
 
     def connected(self) -> None:
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -58,7 +58,7 @@
         call(*args)
 
     @property
-    def held_back(self) -> bool:
+    def is_connect_postponed(self) -> bool:
         """Whether to postpone the connection attempt.
 
         Checked immediately before the attempt and again in each loop iteration while it
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -39,7 +39,7 @@
         )
 
     @property
-    def held_back(self):
+    def is_connect_postponed(self):
         """That its client has left, or that the list says its server leaves, may have come in one turn with what
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
@@ -50,7 +50,7 @@
     def connected(self):
         if self.over:
             return
-        if self.held_back:
+        if self.is_connect_postponed:
             return self.clock.soon(self.connected)
         left = self.until - self.clock.now()
         # With nothing left it would be sent in vain, and might have run.
