--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -100,7 +100,7 @@
             wire.count(False)
             wire.guard(wire.machine.lost, True)
         else:
-            wire.guard(wire.machine.carried)
+            wire.guard(wire.machine.adopted)
 
     def drop(self, handles):
         self.sockets -= len(handles)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -91,7 +91,7 @@
             and self.dial.wire.quiet
         )
 
-    def carried(self):
+    def adopted(self):
         """Nothing is read until both sides are here: it could not be passed on."""
         if self.wire.open and self.dial.wire.open:
             self.wire.hold(False)
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -129,7 +129,7 @@
         )
         if self._is_adopted:
             transport.pause_reading()
-            self.guard(self.machine.carried)
+            self.guard(self.machine.adopted)
         else:
             self.guard(self.machine.connected)
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -65,7 +65,7 @@
     def connected(self) -> None:
         """The connection is established."""
 
-    def carried(self) -> None:
+    def adopted(self) -> None:
         """A connection that another process held is open here."""
 
     def received(self, data: memoryview) -> None:
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -70,7 +70,7 @@
     def connected(self) -> None:
         """The connection is established."""
 
-    def carried(self) -> None:
+    def adopted(self) -> None:
         """A connection passed by another process is open here; reading is paused."""
 
     def received(self, data: Any) -> None:  # noqa: ANN401 - Unix sockets pass bytes and descriptors
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -61,8 +61,8 @@
         if self.wire.drained:
             self.line_left()
 
-    def carried(self):
-        self.client.carried()
+    def adopted(self):
+        self.client.adopted()
 
     def line_left(self):
         if not self.sent:
