--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -370,7 +370,7 @@
         self.full = False
         self.finished = False
         self.ended = False
-        self.parted = False
+        self.is_closing = False
         self.over = False
         self.held = False
         self.copied = False  # another process is to have it
@@ -439,11 +439,11 @@
                 peer.on_way -= len(data)
                 if peer.unsent:
                     self.host.net.transmit(self, self.host, peer.host, peer.pump)
-                if not self.parted:
+                if not self.is_closing:
                     self.guard(self.machine.received, memoryview(data))
 
     def eof(self):
-        if not self.ended and not self.parted:
+        if not self.ended and not self.is_closing:
             self.ended = True
             self.guard(self.machine.ended)
         self.ended = True
@@ -464,7 +464,7 @@
                 self.tell_lost(True)
 
     def tell_lost(self, reset):
-        if not self.over and not self.parted:
+        if not self.over and not self.is_closing:
             self.over = True
             self.guard(self.machine.lost, reset)
         self.over = True
@@ -497,7 +497,7 @@
         full = bool(self.unsent)
         if full is not self.full:
             self.full = full
-            if not self.over and not self.parted:
+            if not self.over and not self.is_closing:
                 self.guard(self.machine.blocked, full)
 
     def finish(self):
@@ -516,7 +516,7 @@
             return self.abort()
         self.hold(False)
         self.finish()
-        self.parted = True
+        self.is_closing = True
         if self.gone:
             return
         if self.carrier.free < self.carrier.limits.reserved_sockets:
@@ -595,7 +595,7 @@
 
     @property
     def open(self):
-        return self.up and not self.over and not self.parted
+        return self.up and not self.over and not self.is_closing
 
     @property
     def waited(self):
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -35,7 +35,7 @@
         refused: whether the host refused the connection (nothing listens there).
         finished: whether this side has sent end of stream.
         ended: whether the peer has sent end of stream.
-        parted: whether the machine has closed the connection; it gets no further
+        is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
         counted: whether the transport counts it among its open descriptors.
@@ -51,8 +51,8 @@
         self.full = False
         self.finished = False
         self.ended = False
-        self.parted = False
-        self._discarded_bytes = 0  # received after `parted` was set
+        self.is_closing = False
+        self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
         self.counted = False
         self._is_adopted = False
@@ -139,7 +139,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         """Pass received bytes to the machine."""
-        if not self.parted:
+        if not self.is_closing:
             self.guard(self.machine.received, self.carrier.buffer[:nbytes])
             return
         # After the machine has closed, keep reading so that unread bytes do not reset
@@ -156,7 +156,7 @@
         """
         # asyncio reports the same end of stream again after reading was paused and
         # resumed.
-        if not self.ended and not self.parted:
+        if not self.ended and not self.is_closing:
             self.ended = True
             self.guard(self.machine.ended)
         self.ended = True
@@ -180,7 +180,7 @@
         self._release_machine()
 
     def _report_lost(self, reset: bool) -> None:
-        if not self.over and not self.parted:
+        if not self.over and not self.is_closing:
             self.guard(self.machine.lost, reset)
         self.over = True
 
@@ -210,7 +210,7 @@
     @property
     def open(self) -> bool:
         """Whether it is established and neither lost, aborted nor closed."""
-        return self.transport is not None and not self.over and not self.parted
+        return self.transport is not None and not self.over and not self.is_closing
 
     @property
     def drained(self) -> bool:
@@ -314,7 +314,7 @@
             return
         self.hold(False)
         self.finish()
-        self.parted = True
+        self.is_closing = True
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             self.transport.close()
             return
