--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -69,7 +69,10 @@
         for peer in peers:
             peer.sock.close()
         self.turns.until(
-            lambda: not self.turns.carrier.sockets and not self.turns.carrier.parting
+            lambda: (
+                not self.turns.carrier.sockets
+                and not self.turns.carrier.closing_connections
+            )
         )
 
     # Of a session that was up
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -135,7 +135,12 @@
     """Stands in for the sockets of one process."""
 
     def __init__(self, limits):
-        self.limits, self.free, self.lent, self.parting = limits, 1000, 0, {}
+        self.limits, self.free, self.lent, self.closing_connections = (
+            limits,
+            1000,
+            0,
+            {},
+        )
         self.sockets = 40
         self.dropped = self.adopted = 0
         self.make_receiver = self.make_sender = None
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -129,7 +129,7 @@
         self.limits = limits
         self.log = log
         self.sockets = 0
-        self.parting = {}
+        self.closing_connections = {}
 
     @property
     def free(self):
@@ -521,7 +521,7 @@
             return
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             return self.close()
-        self.carrier.parting[self] = None
+        self.carrier.closing_connections[self] = None
         self.host.clock.after(self.carrier.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
@@ -553,7 +553,7 @@
         self.inbox.clear()
         self.unsent.clear()
         self.host.wires.pop(self, None)
-        self.carrier.parting.pop(self, None)
+        self.carrier.closing_connections.pop(self, None)
         self.count(False)
 
     def reset_peer(self):
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -174,7 +174,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the machine, unless it has closed the connection, and release it."""
-        self.carrier.parting.pop(self, None)
+        self.carrier.closing_connections.pop(self, None)
         self._set_counted(False)
         self._report_lost(error is not None)
         self._release_machine()
@@ -318,7 +318,7 @@
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             self.transport.close()
             return
-        self.carrier.parting[self] = None
+        self.carrier.closing_connections[self] = None
         self._linger(math.inf)
 
     def _linger(self, unsent_before: float) -> None:
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -206,7 +206,7 @@
         log: writes an event.
         sockets: descriptors that the connections hold.
         lent: descriptors that the process which this one takes over from holds still.
-        parting: connections that their machines have closed, until the sockets are
+        closing_connections: connections that their machines have closed, until the sockets are
             closed.
     """
 
@@ -214,7 +214,7 @@
     log: EventLog
     sockets: int
     lent: int
-    parting: dict[Any, None]
+    closing_connections: dict[Any, None]
 
     @property
     def free(self) -> int:
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -164,7 +164,7 @@
     def see_off(self, stopped, until):
         """The last answers and MOVE lines are on their way: the end follows them, as closing with bytes unread or
         unsent would cut them off, but not later than the time in which this proxy may be killed."""
-        now, parting = self.now(), list(self.carrier.parting)
+        now, parting = self.now(), list(self.carrier.closing_connections)
         if parting and (
             now < until
             or now < self.stop_last + self.limits.shutdown_linger_ms
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -35,7 +35,7 @@
         sockets: the number of descriptors that connections hold.
         lent: the number of descriptors that the process being replaced still holds;
             they count against the limit of this one.
-        parting: connections closed by their machines whose sockets are still open, in
+        closing_connections: connections closed by their machines whose sockets are still open, in
             order of closing.
     """
 
@@ -48,7 +48,7 @@
         self.buffer = memoryview(bytearray(limits.receive_buffer_bytes))
         self.sockets = 0
         self.lent = 0
-        self.parting: dict[Any, None] = {}
+        self.closing_connections: dict[Any, None] = {}
 
     @property
     def free(self) -> int:
