--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -28,11 +28,11 @@
         """Keeps bytes."""
         self.sent += b"".join(parts)
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Closes after what was sent."""
         self.closed = True
 
-    close = abort = part
+    close = abort = close_gracefully
 
     def drop(self, handles: tuple) -> None:
         """Has no descriptors."""
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -106,7 +106,7 @@
     def ignore(self, *_):
         pass
 
-    send = hold = finish = part = ignore
+    send = hold = finish = close_gracefully = ignore
 
 
 class UnixConnection:
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -174,7 +174,7 @@
 def parted_with_bytes_on_the_way():
     pair = Pair().run(10)
     pair.far.wire.send(b"the last answer")
-    pair.far.wire.part()
+    pair.far.wire.close_gracefully()
     pair.near.wire.send(b"still talking")
     pair.run(5)
     pair.near.wire.finish()
--- a/wheathill/lab/cast/callers.py
+++ b/wheathill/lab/cast/callers.py
@@ -24,7 +24,7 @@
         self.answer += bytes(data)
 
     def ended(self):
-        self.wire.part()
+        self.wire.close_gracefully()
         self.over()
 
     def lost(self, reset):
--- a/wheathill/lab/cast/discovery.py
+++ b/wheathill/lab/cast/discovery.py
@@ -176,7 +176,7 @@
 
     def ended(self):
         self.over()
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def lost(self, reset):
         self.over()
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -312,13 +312,13 @@
     def end(self, word):
         self.note_over("answered " + word.decode())
         self.wire.send(word, CRLF)
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def leave(self, word):
         """An open connection that this gateway ends by itself."""
         self.wire.send(word, CRLF)
         self.note_over("sent away")
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def note_over(self, how):
         if not self.over:
@@ -342,7 +342,7 @@
     def ended(self):
         self.keep()
         self.note_over("closed")
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def lost(self, reset):
         self.keep()
--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -88,7 +88,7 @@
             self.wire.abort(reset=True)
         elif way != "by_leaving":
             self.lost(False)
-            self.wire.part()
+            self.wire.close_gracefully()
 
     def ended(self):
         self.lost(False)
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -511,7 +511,7 @@
                 self.unsent.append(None)
                 self.pump()
 
-    def part(self):
+    def close_gracefully(self):
         if not self.open:
             return self.abort()
         self.hold(False)
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -219,8 +219,8 @@
     def finish(self):
         self.tap.pass_on(False, self.wire.finish)
 
-    def part(self):
-        self.tap.pass_on(False, self.wire.part)
+    def close_gracefully(self):
+        self.tap.pass_on(False, self.wire.close_gracefully)
 
 
 class SocketHost(Host):
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -110,8 +110,8 @@
     def finish(self):
         self.pass_out(self.wire.finish)
 
-    def part(self):
-        self.pass_out(self.wire.part)
+    def close_gracefully(self):
+        self.pass_out(self.wire.close_gracefully)
 
     def abort(self, reset=False):
         self.dead = True
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -22,7 +22,7 @@
     def send(self, *parts: bytes) -> None:
         """Send bytes."""
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Close the connection once all bytes are sent."""
 
     def abort(self) -> None:
--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -178,7 +178,7 @@
         self.lines.unconsumed = b""
         self.timer.cancel()
         self.wire.send(head, body)
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def _send_error(self, error: HttpError) -> None:
         self._send(error.status, {"error": error.message}, error.headers)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -115,7 +115,7 @@
         """The final answer of a session that is not up; nothing goes out after it."""
         self.timer.cancel()
         self.wire.send(*parts, CRLF)
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def move(self):
         """Between two lines only: half a line from the server is waited for."""
@@ -124,7 +124,7 @@
             return False
         self.dial.timer.cancel()
         self.answer(b"MOVE")
-        self.dial.wire.part()
+        self.dial.wire.close_gracefully()
         return True
 
     def blocked(self, on):
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -302,7 +302,7 @@
             # The peer has reset the connection, and the loop has not noticed yet.
             self.transport.abort()
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Close gracefully; the machine gets no further events.
 
         If the socket were closed immediately, bytes arriving from the peer would make
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -142,7 +142,7 @@
     def finish(self) -> None:
         """Send no more; what the peer sends is still received."""
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Close gracefully; the machine is told nothing any more."""
 
     def abort(self, reset: bool = False) -> None:
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -195,7 +195,7 @@
             if reset:
                 self.client.wire.abort(reset=True)
             else:
-                self.client.wire.part()
+                self.client.wire.close_gracefully()
 
     def fault(self):
         self.wire.abort(reset=True)
