--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -135,7 +135,12 @@
     """Stands in for the sockets of one process."""
 
     def __init__(self, limits):
-        self.limits, self.free, self.lent, self.closing_connections = (
+        (
+            self.limits,
+            self.free,
+            self.previous_process_sockets,
+            self.closing_connections,
+        ) = (
             limits,
             1000,
             0,
@@ -566,7 +571,7 @@
                     new.receiver.deliver(json.dumps(one).encode() + b"\n")
                 new.receiver.deliver(message(told=True))
         yield (
-            odd_line(f"new: {name}", new, new.receiver) + f", lent {new.transport.lent}"
+            odd_line(f"new: {name}", new, new.receiver) + f", lent {new.transport.previous_process_sockets}"
         )
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -691,7 +691,9 @@
     with Turns(settings=PROBED) as turns:
         turns.watched("a", "b")
         server = turns.proxy.servers["a"]
-        turns.carrier.lent = turns.carrier.free + turns.node().limits.reserved_sockets
+        turns.carrier.previous_process_sockets = (
+            turns.carrier.free + turns.node().limits.reserved_sockets
+        )
         server.probe_sent_ms = turns.proxy.now()
         turns.proxy.send_probe(server)
         turns.turn(2)
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -35,11 +35,11 @@
 
     Attributes:
         sockets: how many descriptors it holds.
-        lent: how many of its descriptors another process holds still.
+        previous_process_sockets: how many of its descriptors another process holds still.
     """
 
     sockets: int
-    lent: int
+    previous_process_sockets: int
 
     def drop(self, handles: Sequence[Handle]) -> None:
         """Close descriptors that came over or were meant to."""
--- a/wheathill/handover/receiver.py
+++ b/wheathill/handover/receiver.py
@@ -69,7 +69,9 @@
             case messages.SESSIONS:
                 self._on_sessions(value)
             case messages.DESCRIPTORS_HELD:
-                self.wire.carrier.lent = DescriptorsHeld.decode(value).count
+                self.wire.carrier.previous_process_sockets = DescriptorsHeld.decode(
+                    value
+                ).count
             case messages.MAINTENANCE:
                 self.apply_maintenance(value)
             case _:
@@ -98,5 +100,5 @@
 
     def on_over(self, reason: str) -> None:
         """Take back what the old process held of the descriptors."""
-        self.wire.carrier.lent = 0
+        self.wire.carrier.previous_process_sockets = 0
         self._coordinator.on_receiver_over(self, reason)
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -77,11 +77,11 @@
         self.places = (
             places  # name -> MeetingPlace, of the folder that the processes share
         )
-        self.lent = 0
+        self.previous_process_sockets = 0
 
     @property
     def free(self):
-        return super().free - self.lent
+        return super().free - self.previous_process_sockets
 
     def open_door(self, make_machine, room):
         return View(self.held, self, make_machine, room)
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -205,7 +205,7 @@
         limits: sizes, counts and times of the proxy.
         log: writes an event.
         sockets: descriptors that the connections hold.
-        lent: descriptors that the process which this one takes over from holds still.
+        previous_process_sockets: descriptors that the process which this one takes over from holds still.
         closing_connections: connections that their machines have closed, until the sockets are
             closed.
     """
@@ -213,7 +213,7 @@
     limits: ProxyLimits
     log: EventLog
     sockets: int
-    lent: int
+    previous_process_sockets: int
     closing_connections: dict[Any, None]
 
     @property
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -33,7 +33,7 @@
         buffer: the receive buffer of all connections. One is enough, as a machine
             consumes received bytes before the next read starts.
         sockets: the number of descriptors that connections hold.
-        lent: the number of descriptors that the process being replaced still holds;
+        previous_process_sockets: the number of descriptors that the process being replaced still holds;
             they count against the limit of this one.
         closing_connections: connections closed by their machines whose sockets are still open, in
             order of closing.
@@ -47,14 +47,19 @@
         self.log = log
         self.buffer = memoryview(bytearray(limits.receive_buffer_bytes))
         self.sockets = 0
-        self.lent = 0
+        self.previous_process_sockets = 0
         self.closing_connections: dict[Any, None] = {}
 
     @property
     def free(self) -> int:
         """The number of descriptors left for connections; may be negative."""
         limits = self.limits
-        return limits.max_sockets - limits.reserved_sockets - self.sockets - self.lent
+        return (
+            limits.max_sockets
+            - limits.reserved_sockets
+            - self.sockets
+            - self.previous_process_sockets
+        )
 
     def listen(
         self,
