--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -161,7 +161,7 @@
     def drop(self, handles):
         self.dropped += len(handles)
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         self.make_sender = make_machine
         return types.SimpleNamespace(close=lambda: None)
 
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -104,7 +104,7 @@
 
     def _await_successor(self) -> None:
         try:
-            self._server_socket = self._transport.meet(
+            self._server_socket = self._transport.listen_unix(
                 self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverSender(connection, self._proxy, self),
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -44,7 +44,7 @@
     def drop(self, handles: Sequence[Handle]) -> None:
         """Close descriptors that came over or were meant to."""
 
-    def meet(
+    def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> ServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -108,7 +108,7 @@
             if wire.copied:
                 wire.close()
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         return MeetingPlace(self, name, make_machine)
 
     def reach(self, folder, name, make_machine):
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -245,7 +245,7 @@
     def drop(self, handles: Sequence[Any]) -> None:
         """Close what was passed or was meant to be."""
 
-    def meet(
+    def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -113,7 +113,7 @@
         """Bind a UDP socket; raises OSError."""
         return DatagramSocket(self, machine, address)
 
-    def meet(
+    def listen_unix(
         self,
         directory: str | None,
         name: str,
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -33,7 +33,7 @@
         """
         folder, name = os.path.split(path)
         carrier, clock = self._environment.carrier, self._environment.clock
-        return carrier.meet(
+        return carrier.listen_unix(
             folder or ".",
             name,
             lambda connection: ControlConnection(
