--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -165,7 +165,7 @@
         self.make_sender = make_machine
         return types.SimpleNamespace(close=lambda: None)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         if not self.reaches:
             raise FileNotFoundError(2, "nobody is there")
         return self.connection(make_machine)
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -51,7 +51,7 @@
         if self._began_at_ms is None:
             self._began_at_ms = self._clock.now()
         try:
-            self._receiver = self._transport.reach(
+            self._receiver = self._transport.connect_unix(
                 self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverReceiver(connection, self._proxy, self),
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -49,7 +49,7 @@
     ) -> ServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
-    def reach(
+    def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> "Connection":
         """Connect to another process's Unix socket; raises OSError."""
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -111,7 +111,7 @@
     def listen_unix(self, folder, name, make_machine):
         return MeetingPlace(self, name, make_machine)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         place = self.places.get(name)
         if place is None or not place.carrier.host.alive:
             raise FileNotFoundError(2, "nobody is there")
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -166,7 +166,7 @@
         if self.running and self.asker is None:
             asker = Asker(self, self.world)
             try:
-                self.world.carrier.reach(self.folder, "control", asker.take)
+                self.world.carrier.connect_unix(self.folder, "control", asker.take)
             except OSError:
                 return
             self.asker = asker
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -250,7 +250,7 @@
     ) -> UnixServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
-    def reach(
+    def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixConnection:
         """Connect to another process's Unix socket; raises OSError."""
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -122,7 +122,7 @@
         """Listen on a Unix socket for processes of the same user; raises OSError."""
         return UnixServerSocket(self, directory, name, make_machine)
 
-    def reach(
+    def connect_unix(
         self,
         directory: str | None,
         name: str,
