--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -34,7 +34,7 @@
 
     close = abort = close_gracefully
 
-    def drop(self, handles: tuple) -> None:
+    def close_handles(self, handles: tuple) -> None:
         """Has no descriptors."""
 
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -157,7 +157,7 @@
         handles = self.proxy.hand_over(sess, machine)
         del sess, machine
         self.turns.turn(3)
-        self.turns.carrier.drop(handles)
+        self.turns.carrier.close_handles(handles)
         self.over(client, server)
 
     def taken_over(self):
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -158,7 +158,7 @@
         machine.wire = Connection()
         self.adopted += 1
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.dropped += len(handles)
 
     def listen_unix(self, folder, name, make_machine):
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -41,7 +41,7 @@
     sockets: int
     previous_process_sockets: int
 
-    def drop(self, handles: Sequence[Handle]) -> None:
+    def close_handles(self, handles: Sequence[Handle]) -> None:
         """Close descriptors that came over or were meant to."""
 
     def listen_unix(
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -174,7 +174,7 @@
     def _on_sessions_received(self, value: object) -> None:
         if not SessionsReceived(len(self._batch)).matches(value):
             raise HandoverError("not what was sent")
-        self.wire.carrier.drop(self._batch_handles)
+        self.wire.carrier.close_handles(self._batch_handles)
         self._batch, self._batch_handles = [], []
         self.send_sessions()
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -102,7 +102,7 @@
         else:
             wire.guard(wire.machine.adopted)
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.sockets -= len(handles)
         for wire in handles:
             if wire.copied:
@@ -146,7 +146,7 @@
     def arrive(self, data, handles):
         self.carrier.sockets += len(handles)
         if self.over:
-            self.carrier.drop(handles)
+            self.carrier.close_handles(handles)
         else:
             self.guard(self.machine.received, data, handles)
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -365,7 +365,7 @@
             try:
                 handles.append(client.dial.wire.copy())
             except OSError:
-                self.carrier.drop(handles)
+                self.carrier.close_handles(handles)
                 raise
         except OSError:
             return []
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -242,7 +242,7 @@
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
         """Take over a connection that another process has passed."""
 
-    def drop(self, handles: Sequence[Any]) -> None:
+    def close_handles(self, handles: Sequence[Any]) -> None:
         """Close what was passed or was meant to be."""
 
     def listen_unix(
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -103,7 +103,7 @@
         connection.start_adopted(socket.socket(fileno=descriptor))
         return connection
 
-    def drop(self, descriptors: Sequence[int]) -> None:
+    def close_handles(self, descriptors: Sequence[int]) -> None:
         """Close descriptors that were received, or duplicated to be passed."""
         for descriptor in descriptors:
             os.close(descriptor)
--- a/wheathill/net/unix_connection.py
+++ b/wheathill/net/unix_connection.py
@@ -129,7 +129,7 @@
             return
         self.carrier.sockets += len(message.descriptors)
         if message.is_truncated or not message.data:
-            self.carrier.drop(message.descriptors)
+            self.carrier.close_handles(message.descriptors)
             self.close()
             self.guard(self.machine.lost, False)
         else:
