--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -637,8 +637,11 @@
 @pytest.mark.processes
 def test_across_a_cut_an_attempt_gets_no_answer_and_no_refusal_until_it_is_over():
     async def test(two):
-        one, post = two.ends[0], two.one.datagrams(two.ends[1], two.layout.where(0))
-        there = two.other.datagrams(two.ends[2], two.layout.where(1))
+        one, post = (
+            two.ends[0],
+            two.one.bind_datagram_socket(two.ends[1], two.layout.where(0)),
+        )
+        there = two.other.bind_datagram_socket(two.ends[2], two.layout.where(1))
         two.shape.set_cut(1)
         connect(two, one)
         post.send(b"lost", two.layout.where(1))
@@ -664,8 +667,8 @@
 @pytest.mark.processes
 def test_across_a_way_cut_in_one_direction_only_datagrams_arrive_the_other_way():
     async def test(two):
-        here = two.one.datagrams(two.ends[1], two.layout.where(0))
-        there = two.other.datagrams(two.ends[2], two.layout.where(1))
+        here = two.one.bind_datagram_socket(two.ends[1], two.layout.where(0))
+        there = two.other.bind_datagram_socket(two.ends[2], two.layout.where(1))
         two.shape.set_cut(1, out=True)
         here.send(b"in", two.layout.where(1))
         there.send(b"out", two.layout.where(0))
@@ -717,7 +720,7 @@
 @pytest.mark.processes
 def test_losses_take_their_share_and_delay_streams():
     async def test(two):
-        post = two.one.datagrams(two.ends[1], two.layout.where(0))
+        post = two.one.bind_datagram_socket(two.ends[1], two.layout.where(0))
         for _ in range(1000):
             post.send(b"x", two.layout.where(1))
         lost = two.shape.counts["datagrams lost"]
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -103,7 +103,7 @@
     def listen(self, make_machine, address, room):
         return self.inner.listen(make_machine, address, room)
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return ShapedPost(self, machine, address)
 
     def connect(self, machine, address, source=None):
@@ -117,7 +117,7 @@
 class ShapedPost:
     def __init__(self, carrier, machine, address):
         self.carrier, self.shape = carrier, carrier.shape
-        self.post = carrier.inner.datagrams(machine, address)
+        self.post = carrier.inner.bind_datagram_socket(machine, address)
         self.open = True
 
     def send(self, data, address):
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -146,7 +146,7 @@
         )
         return wire
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return VirtualDatagrams(self, machine, tuple(address))
 
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -236,7 +236,9 @@
     ) -> Connection:
         """Begin to connect; the machine is told of the result."""
 
-    def datagrams(self, machine: Any, address: tuple[str, int]) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
+    def bind_datagram_socket(
+        self, machine: Any, address: tuple[str, int]
+    ) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
         """Bind a socket for datagrams; raises OSError."""
 
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -109,7 +109,9 @@
             os.close(descriptor)
         self.sockets -= len(descriptors)
 
-    def datagrams(self, machine: object, address: tuple[str, int]) -> DatagramSocket:
+    def bind_datagram_socket(
+        self, machine: object, address: tuple[str, int]
+    ) -> DatagramSocket:
         """Bind a UDP socket; raises OSError."""
         return DatagramSocket(self, machine, address)
 
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -93,7 +93,7 @@
         self._server = carrier.listen(
             self._accept_stream, listen, self._make_room_for_stream
         )
-        self._datagrams = carrier.datagrams(self, listen)
+        self._datagrams = carrier.bind_datagram_socket(self, listen)
 
     def close(self) -> None:
         """Close all sockets."""
