--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -607,7 +607,7 @@
         return bool(self.inbox)
 
     @property
-    def to_send(self):
+    def unsent_bytes(self):
         return sum(len(data) for data in self.unsent if data)
 
     @property
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -245,7 +245,7 @@
         return last_receive_ago_ms(self._socket)
 
     @property
-    def to_send(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes the peer has not acknowledged; 0 once the kernel has accepted them all.
 
         The kernel keeps sending what it has accepted, even after this side closes.
@@ -326,7 +326,7 @@
 
         A slow reader that still makes progress is not cut off.
         """
-        unsent = self.to_send
+        unsent = self.unsent_bytes
         if unsent_before is math.inf or 0 < unsent < unsent_before:
             self.carrier.loop.call_later(
                 self.carrier.limits.linger_ms / 1000, self._linger, unsent
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -127,7 +127,7 @@
         """The ms since bytes last came from the network."""
 
     @property
-    def to_send(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that wait for the peer to read."""
 
     def send(self, *parts: bytes) -> None:
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -168,7 +168,7 @@
         if parting and (
             now < until
             or now < self.stop_last + self.limits.shutdown_linger_ms
-            and any(wire.to_send for wire in parting)
+            and any(wire.unsent_bytes for wire in parting)
         ):
             self.clock.after(
                 self.limits.shutdown_poll_interval_ms, self.see_off, stopped, until
