--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -93,7 +93,7 @@
 class Connection:
     """One to a client or a server; what is sent on it is of no interest here."""
 
-    open = reached = drained = quiet = True
+    open = was_established = drained = quiet = True
     full = unread = False
     waited = 0.0
 
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -590,7 +590,7 @@
         return self
 
     @property
-    def reached(self):
+    def was_established(self):
         return self.up
 
     @property
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -203,7 +203,7 @@
     # State
 
     @property
-    def reached(self) -> bool:
+    def was_established(self) -> bool:
         """Whether the connection was ever established."""
         return self.transport is not None
 
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -205,7 +205,7 @@
         self.end("ended")
 
     def lost(self, reset):
-        self.end("lost" if self.wire.reached else "not reached")
+        self.end("lost" if self.wire.was_established else "not reached")
 
     def fault(self):
         self.end("fault")
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -103,7 +103,7 @@
     counted: bool
 
     @property
-    def reached(self) -> bool:
+    def was_established(self) -> bool:
         """Whether it has ever been established."""
 
     @property
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -245,7 +245,9 @@
 
     def lost(self, reset):
         self.gone(
-            AttemptOutcome.RESET if self.wire.reached else AttemptOutcome.CONNECT_FAILED
+            AttemptOutcome.RESET
+            if self.wire.was_established
+            else AttemptOutcome.CONNECT_FAILED
         )
 
     def gone(self, outcome):
