--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -571,7 +571,8 @@
                     new.receiver.deliver(json.dumps(one).encode() + b"\n")
                 new.receiver.deliver(message(told=True))
         yield (
-            odd_line(f"new: {name}", new, new.receiver) + f", lent {new.transport.previous_process_sockets}"
+            odd_line(f"new: {name}", new, new.receiver)
+            + f", lent {new.transport.previous_process_sockets}"
         )
 
 
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -35,7 +35,8 @@
 
     Attributes:
         sockets: how many descriptors it holds.
-        previous_process_sockets: how many of its descriptors another process holds still.
+        previous_process_sockets: how many of its descriptors another process holds
+            still.
     """
 
     sockets: int
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -205,9 +205,10 @@
         limits: sizes, counts and times of the proxy.
         log: writes an event.
         sockets: descriptors that the connections hold.
-        previous_process_sockets: descriptors that the process which this one takes over from holds still.
-        closing_connections: connections that their machines have closed, until the sockets are
-            closed.
+        previous_process_sockets: descriptors that the process which this one takes
+            over from holds still.
+        closing_connections: connections that their machines have closed, until the
+            sockets are closed.
     """
 
     limits: ProxyLimits
@@ -237,8 +238,10 @@
         """Begin to connect; the machine is told of the result."""
 
     def bind_datagram_socket(
-        self, machine: Any, address: tuple[str, int]
-    ) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
+        self,
+        machine: Any,  # noqa: ANN401 - takes datagrams
+        address: tuple[str, int],
+    ) -> DatagramSocket:
         """Bind a socket for datagrams; raises OSError."""
 
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -33,10 +33,10 @@
         buffer: the receive buffer of all connections. One is enough, as a machine
             consumes received bytes before the next read starts.
         sockets: the number of descriptors that connections hold.
-        previous_process_sockets: the number of descriptors that the process being replaced still holds;
-            they count against the limit of this one.
-        closing_connections: connections closed by their machines whose sockets are still open, in
-            order of closing.
+        previous_process_sockets: the number of descriptors that the process being
+            replaced still holds; they count against the limit of this one.
+        closing_connections: connections closed by their machines whose sockets are
+            still open, in order of closing.
     """
 
     def __init__(
