--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -69,7 +69,10 @@
         for peer in peers:
             peer.sock.close()
         self.turns.until(
-            lambda: not self.turns.carrier.sockets and not self.turns.carrier.parting
+            lambda: (
+                not self.turns.carrier.sockets
+                and not self.turns.carrier.closing_connections
+            )
         )
 
     # Of a session that was up
@@ -154,7 +157,7 @@
         handles = self.proxy.hand_over(sess, machine)
         del sess, machine
         self.turns.turn(3)
-        self.turns.carrier.drop(handles)
+        self.turns.carrier.close_handles(handles)
         self.over(client, server)
 
     def taken_over(self):
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -77,11 +77,11 @@
         self.places = (
             places  # name -> MeetingPlace, of the folder that the processes share
         )
-        self.lent = 0
+        self.previous_process_sockets = 0
 
     @property
     def free(self):
-        return super().free - self.lent
+        return super().free - self.previous_process_sockets
 
     def open_door(self, make_machine, room):
         return View(self.held, self, make_machine, room)
@@ -100,18 +100,18 @@
             wire.count(False)
             wire.guard(wire.machine.lost, True)
         else:
-            wire.guard(wire.machine.carried)
+            wire.guard(wire.machine.adopted)
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.sockets -= len(handles)
         for wire in handles:
             if wire.copied:
                 wire.close()
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         return MeetingPlace(self, name, make_machine)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         place = self.places.get(name)
         if place is None or not place.carrier.host.alive:
             raise FileNotFoundError(2, "nobody is there")
@@ -146,7 +146,7 @@
     def arrive(self, data, handles):
         self.carrier.sockets += len(handles)
         if self.over:
-            self.carrier.drop(handles)
+            self.carrier.close_handles(handles)
         else:
             self.guard(self.machine.received, data, handles)
 
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -91,7 +91,7 @@
             and self.dial.wire.quiet
         )
 
-    def carried(self):
+    def adopted(self):
         """Nothing is read until both sides are here: it could not be passed on."""
         if self.wire.open and self.dial.wire.open:
             self.wire.hold(False)
@@ -115,7 +115,7 @@
         """The final answer of a session that is not up; nothing goes out after it."""
         self.timer.cancel()
         self.wire.send(*parts, CRLF)
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def move(self):
         """Between two lines only: half a line from the server is waited for."""
@@ -124,7 +124,7 @@
             return False
         self.dial.timer.cancel()
         self.answer(b"MOVE")
-        self.dial.wire.part()
+        self.dial.wire.close_gracefully()
         return True
 
     def blocked(self, on):
@@ -146,7 +146,7 @@
         if self.up:
             self.dial.wire.abort(reset=reset)
 
-    def let_go(self):
+    def release(self):
         # Where a fault of its dial ended it, the alarm for its answer is still set.
         self.timer.cancel()
         self.dial = None
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -59,13 +59,13 @@
     wire: Any
 
     @property
-    def held_back(self) -> bool:
+    def is_connect_postponed(self) -> bool:
         """Whether the connection is not to be attempted yet."""
 
     def connected(self) -> None:
         """The connection is established."""
 
-    def carried(self) -> None:
+    def adopted(self) -> None:
         """A connection that another process held is open here."""
 
     def received(self, data: memoryview) -> None:
@@ -83,7 +83,7 @@
     def fault(self) -> None:
         """A call to the machine has raised an exception."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Nothing is called any more."""
 
 
@@ -103,7 +103,7 @@
     counted: bool
 
     @property
-    def reached(self) -> bool:
+    def was_established(self) -> bool:
         """Whether it has ever been established."""
 
     @property
@@ -127,7 +127,7 @@
         """The ms since bytes last came from the network."""
 
     @property
-    def to_send(self) -> int:
+    def unsent_bytes(self) -> int:
         """Bytes that wait for the peer to read."""
 
     def send(self, *parts: bytes) -> None:
@@ -142,7 +142,7 @@
     def finish(self) -> None:
         """Send no more; what the peer sends is still received."""
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Close gracefully; the machine is told nothing any more."""
 
     def abort(self, reset: bool = False) -> None:
@@ -205,16 +205,17 @@
         limits: sizes, counts and times of the proxy.
         log: writes an event.
         sockets: descriptors that the connections hold.
-        lent: descriptors that the process which this one takes over from holds still.
-        parting: connections that their machines have closed, until the sockets are
-            closed.
+        previous_process_sockets: descriptors that the process which this one takes
+            over from holds still.
+        closing_connections: connections that their machines have closed, until the
+            sockets are closed.
     """
 
     limits: ProxyLimits
     log: EventLog
     sockets: int
-    lent: int
-    parting: dict[Any, None]
+    previous_process_sockets: int
+    closing_connections: dict[Any, None]
 
     @property
     def free(self) -> int:
@@ -236,21 +237,25 @@
     ) -> Connection:
         """Begin to connect; the machine is told of the result."""
 
-    def datagrams(self, machine: Any, address: tuple[str, int]) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
+    def bind_datagram_socket(
+        self,
+        machine: Any,  # noqa: ANN401 - takes datagrams
+        address: tuple[str, int],
+    ) -> DatagramSocket:
         """Bind a socket for datagrams; raises OSError."""
 
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
         """Take over a connection that another process has passed."""
 
-    def drop(self, handles: Sequence[Any]) -> None:
+    def close_handles(self, handles: Sequence[Any]) -> None:
         """Close what was passed or was meant to be."""
 
-    def meet(
+    def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
-    def reach(
+    def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixConnection:
         """Connect to another process's Unix socket; raises OSError."""
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -39,7 +39,7 @@
         )
 
     @property
-    def held_back(self):
+    def is_connect_postponed(self):
         """That its client has left, or that the list says its server leaves, may have come in one turn with what
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
@@ -50,7 +50,7 @@
     def connected(self):
         if self.over:
             return
-        if self.held_back:
+        if self.is_connect_postponed:
             return self.clock.soon(self.connected)
         left = self.until - self.clock.now()
         # With nothing left it would be sent in vain, and might have run.
@@ -61,8 +61,8 @@
         if self.wire.drained:
             self.line_left()
 
-    def carried(self):
-        self.client.carried()
+    def adopted(self):
+        self.client.adopted()
 
     def line_left(self):
         if not self.sent:
@@ -195,7 +195,7 @@
             if reset:
                 self.client.wire.abort(reset=True)
             else:
-                self.client.wire.part()
+                self.client.wire.close_gracefully()
 
     def fault(self):
         self.wire.abort(reset=True)
@@ -245,7 +245,9 @@
 
     def lost(self, reset):
         self.gone(
-            AttemptOutcome.RESET if self.wire.reached else AttemptOutcome.CONNECT_FAILED
+            AttemptOutcome.RESET
+            if self.wire.was_established
+            else AttemptOutcome.CONNECT_FAILED
         )
 
     def gone(self, outcome):
