--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -120,8 +120,8 @@
         )
         if shift:
             self.effects.log(
-                f"slot table: {shift.slot_count} slots shifted off a server at load"
-                f" level {levels[shift.server]}"
+                f"slot table: {shift.slot_count} slots shifted off a server on level"
+                f" {levels[shift.server]}"
             )
 
     def _schedule_probes(self, now_ms: float) -> None:
@@ -337,4 +337,4 @@
         if server.is_removal_unconfirmed:
             left = self.endpoint_list.confirm_removal(now_ms, server)
             self.slot_table.update(now_ms, [], left, self.endpoint_list.servers)
-            self.effects.log("endpoint list: 1 left, unlisted and unresponsive")
+            self.effects.log("endpoint list: 1 left, unresponsive as well")
--- a/wheathill/policy/settings.py
+++ b/wheathill/policy/settings.py
@@ -46,7 +46,7 @@
 
     @property
     def own_zone_weight(self) -> float:
-        """The weight of a server in the own zone, relative to one in another zone.
+        """The weight of a server in this proxy's zone, relative to another zone.
 
         Slot tables that differ by zone cause resets where a connection's packets arrive
         in another zone, so the preference depends on the cost of a migration.
