--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -26,7 +26,7 @@
     MemberUpdate,
     StateSync,
 )
-from wheathill.peers.membership.anti_entropy import BUCKETS
+from wheathill.peers.membership.anti_entropy import DIGEST_BUCKETS
 from wheathill.peers.membership.messages import DigestRequest, StateRequest
 from wheathill.peers.replicated_table import (
     MAX_CLOCK_SKEW_MS,
@@ -485,7 +485,7 @@
     one.anti_entropy.synchronise_with(other.local)
     ((to, request),) = wire.said
     assert to == "y:1" and isinstance(request, DigestRequest)
-    assert len(request.digests) == BUCKETS
+    assert len(request.digests) == DIGEST_BUCKETS
     other.on_message(1.0, "x:1", request)
     assert answers.said == []
     one.apply_updates(0.0, [alive("new", 9)])
--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -21,7 +21,9 @@
 from wheathill.peers.membership.name_conflicts import NameOwnership
 
 STATE_CHUNK = 24  # updates a message
-BUCKETS = 16  # of a state that is compared by digest; the same throughout a cluster
+DIGEST_BUCKETS = (
+    16  # of a state that is compared by digest; the same throughout a cluster
+)
 MAX_UNCONFIRMED_DEAD = 1024
 DEATH_CHECKS = 8  # of the unconfirmed dead that are probed with each exchange
 SYNC_JITTER = (0.75, 1.25)  # of an interval, so that instances don't fall in step
@@ -127,7 +129,7 @@
         Those who are surely gone are left out: each instance forgets them in its own
         time.
         """
-        digests = [0] * BUCKETS
+        digests = [0] * DIGEST_BUCKETS
         for name, member in self._context.table.members.items():
             if member.state != MemberState.LEFT and not member.is_death_confirmed:
                 digests[_bucket(name)] ^= member.digest()
@@ -139,9 +141,9 @@
         Raises:
             InvalidMessageError: The sender has another number of buckets.
         """
-        if len(digests) != BUCKETS:
+        if len(digests) != DIGEST_BUCKETS:
             raise InvalidMessageError(
-                f"{len(digests)} buckets where there are {BUCKETS}"
+                f"{len(digests)} buckets where there are {DIGEST_BUCKETS}"
             )
         differing = [
             bucket
@@ -171,4 +173,4 @@
 
 
 def _bucket(name: str) -> int:
-    return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % BUCKETS
+    return hashlib.blake2b(name.encode(), digest_size=1).digest()[0] % DIGEST_BUCKETS
