--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
     decode_message,
 )
 from wheathill.peers.membership.anti_entropy import (
-    DEATH_CHECKS,
+    DEATH_CHECKS_PER_SYNC,
     MAX_UNCONFIRMED_DEAD,
 )
 from wheathill.peers.membership.effects import SyncTimer
@@ -326,4 +326,4 @@
     )
     membership.on_timer(1.0, SyncTimer())
     assert list(membership.members) == ["a", *names[5:]]
-    assert len(effects.probes) == DEATH_CHECKS
+    assert len(effects.probes) == DEATH_CHECKS_PER_SYNC
--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -25,7 +25,7 @@
     16  # of a state that is compared by digest; the same throughout a cluster
 )
 MAX_UNCONFIRMED_DEAD = 1024
-DEATH_CHECKS = 8  # of the unconfirmed dead that are probed with each exchange
+DEATH_CHECKS_PER_SYNC = 8  # of the unconfirmed dead that are probed with each exchange
 SYNC_JITTER = (0.75, 1.25)  # of an interval, so that instances don't fall in step
 FIRST_SYNC_JITTER = (0.5, 1.5)
 
@@ -167,8 +167,8 @@
         unconfirmed = unconfirmed[-MAX_UNCONFIRMED_DEAD:]
         pending = [name for name in self._death_checks if name in unconfirmed]
         pending = pending or unconfirmed
-        self._death_checks = pending[DEATH_CHECKS:]
-        for name in pending[:DEATH_CHECKS]:
+        self._death_checks = pending[DEATH_CHECKS_PER_SYNC:]
+        for name in pending[:DEATH_CHECKS_PER_SYNC]:
             self._context.start_fallback_probe(members[name], ProbePurpose.KNOWN_DEATH)
 
 
