--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -12,7 +12,7 @@
 )
 from wheathill.peers.drain_registry import DrainRecord, DrainRegistry
 from wheathill.peers.frames import (
-    MAX_PROCESSES,
+    MAX_TRACKED_PROCESSES,
     Frame,
     FrameAuthenticator,
     FrameRejectedError,
@@ -118,7 +118,7 @@
         one.encode_frame(generation, ["x"])
     assert other.decode_frame(one.encode_frame(2, ["late"])) == Frame("a", 1, ["late"])
     assert other.decode_frame(waits) == Frame("a", 1, ["early"])
-    for generation in range(10, 10 + MAX_PROCESSES + 10):
+    for generation in range(10, 10 + MAX_TRACKED_PROCESSES + 10):
         one.encode_frame(generation + 100_000, ["x"])
     assert 2 not in one.counters
     again = other.decode_frame(one.encode_frame(2, ["again"]))
--- a/wheathill/peers/frames.py
+++ b/wheathill/peers/frames.py
@@ -20,7 +20,7 @@
 MAGIC = b"wh"
 HEADER = struct.Struct("!2sHII16s")
 # Senders of which replay windows are kept, and receivers of which counters are.
-MAX_PROCESSES = 4096
+MAX_TRACKED_PROCESSES = 4096
 
 
 class RejectReason(StrEnum):
@@ -111,7 +111,7 @@
         """Return the counter of the next frame for the process of that generation."""
         counter = self._last.pop(generation, self._highest_dropped) + 1
         self._last[generation] = counter
-        if len(self._last) > MAX_PROCESSES:
+        if len(self._last) > MAX_TRACKED_PROCESSES:
             _, dropped = self._last.popitem(last=False)
             self._highest_dropped = max(self._highest_dropped, dropped)
         return counter
@@ -230,7 +230,7 @@
         window = self._windows.get(identity)
         if window is None:
             window = self._windows[identity] = ReplayWindow()
-            while len(self._windows) > MAX_PROCESSES:
+            while len(self._windows) > MAX_TRACKED_PROCESSES:
                 self._windows.popitem(last=False)
         self._windows.move_to_end(identity)
         if not window.accept(counter):
