--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -27,7 +27,7 @@
     PeerHealthReports,
     ServerHealth,
 )
-from wheathill.peers.sender_rate_limiter import BURST, SenderRateLimiter
+from wheathill.peers.sender_rate_limiter import BURST_MESSAGES, SenderRateLimiter
 from wheathill.peers.start_registry import MAX_FUTURE_MS, StartRecord, StartRegistry
 from wheathill.peers.transport_metrics import DropReason
 
@@ -127,7 +127,7 @@
 
 def test_a_sender_is_limited_by_itself_and_gets_tokens_back():
     limiter = SenderRateLimiter()
-    assert all(limiter.allow(0.0, "a") for _ in range(BURST))
+    assert all(limiter.allow(0.0, "a") for _ in range(BURST_MESSAGES))
     assert not limiter.allow(0.0, "a") and limiter.allow(0.0, "b")
     assert [limiter.allow(10.0, "a") for _ in range(3)] == [True, True, False]
 
