--- a/wheathill/lab/judging/mutated.py
+++ b/wheathill/lab/judging/mutated.py
@@ -86,8 +86,8 @@
 
 def goes_past_any_other():
     """Of its name, whoever holds it."""
-    NameOwnership.contest = lambda self, now_ms, other: self._context.raise_incarnation(
-        other.incarnation
+    NameOwnership.resolve_conflict = lambda self, now_ms, other: (
+        self._context.raise_incarnation(other.incarnation)
     )
 
 
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -62,9 +62,9 @@
         """Take note that another process is said to hold this instance's name."""
         local = self._context.local
         if holder.name == local.name and holder.generation != local.generation:
-            self.contest(now_ms, holder)
+            self.resolve_conflict(now_ms, holder)
 
-    def contest(self, now_ms: float, other: MemberUpdate) -> None:
+    def resolve_conflict(self, now_ms: float, other: MemberUpdate) -> None:
         """Defend the name against another process, or give it up.
 
         One that has held the name for a while raises its incarnation past the other's,
--- a/wheathill/peers/membership/refutation.py
+++ b/wheathill/peers/membership/refutation.py
@@ -51,7 +51,7 @@
     def _apply_of_other_process(self, now_ms: float, update: MemberUpdate) -> None:
         is_elsewhere = update.address != self._context.local.address
         if update.state == MemberState.ALIVE and is_elsewhere:
-            self._ownership.contest(now_ms, update)
+            self._ownership.resolve_conflict(now_ms, update)
             return
         # Of the process that had this name before: this one supersedes it.
         self._ownership.on_name_confirmed(now_ms)
