--- a/wheathill/peers/membership/__init__.py
+++ b/wheathill/peers/membership/__init__.py
@@ -1,10 +1,10 @@
-"""Who the members of a cluster are: SWIM with suspicion and Lifeguard's local health.
+"""Cluster membership: SWIM with suspicion and Lifeguard's local health awareness.
 
-After "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
+Implements "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership
 Protocol" (Das, Gupta, Motivala, 2002) and "Lifeguard: Local Health Awareness for More
-Accurate Failure Detection" (Dadgar, Phillips, Currey, 2018), in the terms of these
-papers and of HashiCorp's memberlist. What is added to them is in
-docs/design/membership.md.
+Accurate Failure Detection" (Dadgar, Phillips, Currey, 2018), and uses the terms of
+these papers and of HashiCorp's memberlist. docs/design/membership.md describes the
+extensions.
 """
 
 from wheathill.peers.membership.config import MembershipConfig
--- a/wheathill/peers/membership/anti_entropy.py
+++ b/wheathill/peers/membership/anti_entropy.py
@@ -1,7 +1,7 @@
-"""Exchanges of whole states with members at random (memberlist's push/pull).
+"""Anti-entropy: full state exchanges with random members (memberlist's push/pull).
 
-They repair what gossip has missed. The dead are among the partners: so two halves that
-have declared each other dead meet again after a partition.
+They repair what gossip has missed. Dead members are also chosen as partners, so that
+two sides of a partition that declared each other dead merge again when it heals.
 """
 
 import hashlib
@@ -20,23 +20,22 @@
 )
 from wheathill.peers.membership.name_conflicts import NameOwnership
 
-STATE_CHUNK = 24  # updates a message
-DIGEST_BUCKETS = (
-    16  # of a state that is compared by digest; the same throughout a cluster
-)
+UPDATES_PER_STATE_SYNC = 24
+DIGEST_BUCKETS = 16  # must be the same throughout a cluster
 MAX_UNCONFIRMED_DEAD = 1024
-DEATH_CHECKS_PER_SYNC = 8  # of the unconfirmed dead that are probed with each exchange
-SYNC_JITTER = (0.75, 1.25)  # of an interval, so that instances don't fall in step
-FIRST_SYNC_JITTER = (0.5, 1.5)
+DEATH_CHECKS_PER_SYNC = 8
+# Factors of the interval; they keep instances from synchronising at the same time.
+SYNC_JITTER_RANGE = (0.75, 1.25)
+FIRST_SYNC_JITTER_RANGE = (0.5, 1.5)
 
 
 class AntiEntropy:
-    """Sends and compares whole states.
+    """Sends and compares full membership states.
 
     Attributes:
-        interval_ms: Mean time until the next exchange. Short while exchanges bring
-            members that were not known: where hundreds start at once each has met few,
-            and gossip takes long to spread so many.
+        interval_ms: Mean time until the next exchange. It shortens while exchanges
+            bring unknown members: when hundreds of instances start at once, each knows
+            only a few others, and gossip spreads that many updates slowly.
     """
 
     def __init__(
@@ -48,31 +47,31 @@
         config = context.config
         self.interval_ms = min(config.probe_interval_ms, config.sync_interval_ms)
         self._has_found_members = False
-        self._death_checks: list[str] = []  # names of the dead that are probed next
+        self._death_check_queue: list[str] = []  # names of dead members to probe next
 
     def start(self, now_ms: float) -> None:
         """Schedule the first exchange."""
-        wait_ms = self._context.rng.uniform(*FIRST_SYNC_JITTER) * self.interval_ms
+        wait_ms = self._context.rng.uniform(*FIRST_SYNC_JITTER_RANGE) * self.interval_ms
         self._context.effects.set_timer(now_ms + wait_ms, SyncTimer())
 
     def on_timer(self, now_ms: float) -> None:
-        """Schedule the next exchange, and begin one."""
+        """Schedule the next exchange and start one now."""
         config = self._context.config
         if self._has_found_members:
             self.interval_ms = max(config.probe_interval_ms, self.interval_ms / 2)
         else:
             self.interval_ms = min(config.sync_interval_ms, 2 * self.interval_ms)
         self._has_found_members = False
-        wait_ms = self.interval_ms * self._context.rng.uniform(*SYNC_JITTER)
+        wait_ms = self.interval_ms * self._context.rng.uniform(*SYNC_JITTER_RANGE)
         self._context.effects.set_timer(now_ms + wait_ms, SyncTimer())
         self.synchronise(now_ms)
 
     def on_state_applied(self, has_found_members: bool) -> None:
-        """Take note of a state that another has sent."""
+        """Record whether a received state contained unknown members."""
         self._has_found_members = self._has_found_members or has_found_members
 
     def synchronise(self, now_ms: float) -> None:
-        """Forget who is surely gone, probe some of the dead, and exchange states."""
+        """Remove expired members, probe some dead ones, and exchange states."""
         table = self._context.table
         table.forget_expired(now_ms, self._context.config.retention_ms)
         self._check_unconfirmed_dead()
@@ -93,8 +92,8 @@
     def synchronise_with(self, partner: Member) -> None:
         """Exchange states with one member.
 
-        A process in place of one that is dead knows nothing yet, and has another
-        generation: nothing is gained by comparing first.
+        The full state is sent to a dead member without comparing digests: a process
+        that has replaced it knows nothing yet and has another generation.
         """
         if self._context.config.digest_sync and partner.state != MemberState.DEAD:
             self._context.effects.send(
@@ -107,27 +106,27 @@
     def send_state(
         self, address: str | None, buckets: Container[int] | None = None
     ) -> None:
-        """Send all members, or only those in `buckets`."""
+        """Send the state of all members, or only of those in `buckets`."""
         reporter = self._context.local.name
         updates = [
             MemberUpdate.of(member, reporter)
             for name, member in sorted(self._context.table.members.items())
             if buckets is None or _bucket(name) in buckets
         ]
-        for start in range(0, len(updates), STATE_CHUNK):
-            chunk = updates[start : start + STATE_CHUNK]
+        for start in range(0, len(updates), UPDATES_PER_STATE_SYNC):
+            chunk = updates[start : start + UPDATES_PER_STATE_SYNC]
             self._context.effects.send(address, StateSync(chunk))
 
     def send_member(self, address: str | None, member: Member) -> None:
-        """Send what this instance knows of one member."""
+        """Send this instance's state of one member."""
         update = MemberUpdate.of(member, self._context.local.name)
         self._context.effects.send(address, StateSync([update]))
 
     def bucket_digests(self) -> list[int]:
-        """Return a digest of each bucket of the members.
+        """Return a digest of each bucket of members.
 
-        Those who are surely gone are left out: each instance forgets them in its own
-        time.
+        Members that left or whose death is confirmed are excluded, because instances
+        remove them at different times.
         """
         digests = [0] * DIGEST_BUCKETS
         for name, member in self._context.table.members.items():
@@ -136,14 +135,14 @@
         return digests
 
     def on_digest_request(self, address: str | None, digests: list[int]) -> None:
-        """Send the members of all buckets that differ, and ask for the sender's.
+        """Send the members of all differing buckets, and request the sender's.
 
         Raises:
-            InvalidMessageError: The sender has another number of buckets.
+            InvalidMessageError: The sender uses a different number of buckets.
         """
         if len(digests) != DIGEST_BUCKETS:
             raise InvalidMessageError(
-                f"{len(digests)} buckets where there are {DIGEST_BUCKETS}"
+                f"got {len(digests)} bucket digests instead of {DIGEST_BUCKETS}"
             )
         differing = [
             bucket
@@ -155,21 +154,24 @@
             self._context.effects.send(address, StateRequest(differing))
 
     def _check_unconfirmed_dead(self) -> None:
-        """Probe some of those that may only be partitioned, each in turn.
+        """Probe some dead members that may only be partitioned, in rotation.
 
         They are kept until their death is confirmed or an operator removes them. A
-        connection that comes up ends a partition sooner than chance does.
+        successful connection reveals the end of a partition sooner than the random
+        choice of exchange partners does.
         """
         members = self._context.table.members
         unconfirmed = self._context.table.unconfirmed_dead()
         for name in unconfirmed[:-MAX_UNCONFIRMED_DEAD]:
             del members[name]
         unconfirmed = unconfirmed[-MAX_UNCONFIRMED_DEAD:]
-        pending = [name for name in self._death_checks if name in unconfirmed]
+        pending = [name for name in self._death_check_queue if name in unconfirmed]
         pending = pending or unconfirmed
-        self._death_checks = pending[DEATH_CHECKS_PER_SYNC:]
+        self._death_check_queue = pending[DEATH_CHECKS_PER_SYNC:]
         for name in pending[:DEATH_CHECKS_PER_SYNC]:
-            self._context.start_fallback_probe(members[name], ProbePurpose.KNOWN_DEATH)
+            self._context.start_fallback_probe(
+                members[name], ProbePurpose.UNCONFIRMED_DEATH
+            )
 
 
 def _bucket(name: str) -> int:
--- a/wheathill/peers/membership/config.py
+++ b/wheathill/peers/membership/config.py
@@ -1,29 +1,28 @@
-"""The settings of one instance's membership."""
+"""Settings of the membership protocol."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True, kw_only=True)
 class MembershipConfig:
-    """Settings of one instance.
+    """Membership settings of one instance.
 
     The intervals must be the same throughout a cluster.
 
     Attributes:
-        name: Of this instance, unique within the cluster.
-        address: "HOST:PORT" at which the others reach it.
-        generation: A number that no other process under this name has or had.
-        probe_interval_ms: Between two probes; SWIM's protocol period. Stretched with
-            the local health.
-        probe_timeout_ms: For the answer to a ping, before others are asked to ping.
-            Stretched with the local health.
-        indirect_checks: How many others are asked to ping a member that has not
-            answered; SWIM's k.
-        retention_ms: How long members that have left, or whose death is confirmed, are
-            remembered.
-        sync_interval_ms: Between two exchanges of whole states with a member at random.
-        digest_sync: Whether states are compared by digest first, and only what differs
-            is sent. All instances of a cluster do so, or none.
+        name: Name of this instance, unique within the cluster.
+        address: "HOST:PORT" at which other instances reach this one.
+        generation: Number that no other process of this name has or had.
+        probe_interval_ms: Time between two probes; SWIM's protocol period. Multiplied
+            by the local health multiplier.
+        probe_timeout_ms: Time to wait for an ack before indirect probes are requested.
+            Multiplied by the local health multiplier.
+        indirect_checks: Number of other members that are asked to ping a member that
+            has not answered; SWIM's k.
+        retention_ms: How long members that left, or whose death is confirmed, are kept.
+        sync_interval_ms: Time between two full state exchanges with a random member.
+        digest_sync: Whether digests are compared first and only differences are sent.
+            Must be the same throughout a cluster.
     """
 
     name: str
--- a/wheathill/peers/membership/death_checks.py
+++ b/wheathill/peers/membership/death_checks.py
@@ -1,10 +1,10 @@
-"""The fallback probes that precede a suspicion and a death, and what follows from them.
+"""Fallback probes before a member is suspected or declared dead, and their outcomes.
 
-Beside the papers: a member that has not answered a probe is at first unconfirmed to
-this instance alone. It is suspected publicly only where no TCP connection reaches it
-either and it has sent nothing meanwhile, so that neither lost datagrams nor a process
-that is stopped look like a death. A process whose host refuses the connection is known
-to be dead.
+This extends SWIM and Lifeguard: a member that has not answered a probe is first
+unconfirmed, locally to this instance. It becomes suspect only if it cannot be reached
+over TCP either and has sent nothing in the meantime, so that neither lost datagrams nor
+a stopped process look like a death. A process whose host refuses the connection is
+known to be dead.
 """
 
 from wheathill.peers.membership.anti_entropy import AntiEntropy
@@ -16,13 +16,13 @@
 from wheathill.peers.membership.suspicion import Suspicion
 from wheathill.peers.membership.transitions import Transitions
 
-# Of those that learn of a suspicion, so many probe for themselves: a suspicion that
-# several came to independently is likelier to be true, and is certain sooner.
+# Expected number of instances that verify another's suspicion with their own probe.
+# Independent confirmations make a suspicion more reliable and shorten its timeout.
 SUSPICION_CHECKS = 4
 
 
 class DeathChecks:
-    """Decides by fallback probes who is suspected and who is declared dead."""
+    """Suspects members and declares them dead according to fallback probes."""
 
     def __init__(
         self,
@@ -39,13 +39,13 @@
         self._anti_entropy = anti_entropy
 
     def check_unresponsive(self, now_ms: float, member: Member) -> None:
-        """Probe a member that may be suspected, unless this instance can't judge."""
+        """Probe a member that may become suspect, unless a check is not possible."""
         if self._can_begin_check(member):
             member.unconfirmed_since_ms = now_ms
             self._context.start_fallback_probe(member, ProbePurpose.BEFORE_SUSPICION)
 
     def check_suspected_by_others(self, now_ms: float, member: Member) -> None:
-        """Probe a member that others suspect; only some of all instances do."""
+        """Probe a member that others suspect, on a random subset of instances only."""
         if not self._can_begin_check(member):
             return
         others = len(self._context.table.members) - 2
@@ -55,10 +55,11 @@
     def check_reported_dead(
         self, now_ms: float, member: Member, report: MemberUpdate
     ) -> None:
-        """Probe a member that was seen here recently and that others declared dead.
+        """Probe a member that others declared dead but that was seen here recently.
 
-        Whoever did may itself be partitioned from it. The member is informed, so that
-        it refutes; it is dead where this probe fails too.
+        The reporter may itself be partitioned from the member. The report is forwarded
+        to the member so that it can refute it; if this probe fails too, it is declared
+        dead.
         """
         member.reported_dead_incarnation = report.incarnation
         if not self._can_begin_check(member):
@@ -79,9 +80,9 @@
         )
 
     def check_due_suspects(self, now_ms: float) -> None:
-        """Begin the final check of all suspects whose deadline is near.
+        """Start the final check of all suspects whose deadline is near.
 
-        An instance that was stopped itself declares nobody dead.
+        While this instance is stalled, their suspicions are restarted instead.
         """
         members = self._context.table.members
         for name in sorted(members):
@@ -93,8 +94,8 @@
             else:
                 self._begin_final_check(now_ms, member)
 
-    def check_known_death(self, name: str, generation: int) -> None:
-        """Probe a member that others declared dead: its host may confirm it."""
+    def check_unconfirmed_death(self, name: str, generation: int) -> None:
+        """Probe a dead member, as a refused connection confirms its death."""
         member = self._context.table.members.get(name)
         if (
             member is not None
@@ -102,12 +103,12 @@
             and member.state == MemberState.DEAD
             and not member.is_death_confirmed
         ):
-            self._context.start_fallback_probe(member, ProbePurpose.KNOWN_DEATH)
+            self._context.start_fallback_probe(member, ProbePurpose.UNCONFIRMED_DEATH)
 
     def on_probe_result(
         self, now_ms: float, probe: FallbackProbe, result: ProbeResult
     ) -> None:
-        """Conclude from the result of a fallback probe."""
+        """Update the member's state according to the result of a fallback probe."""
         member = self._context.table.members.get(probe.name)
         if (
             member is None
@@ -133,20 +134,20 @@
                 self._suspicion.schedule_deadline(now_ms, member)
 
     def _can_begin_check(self, member: Member) -> bool:
-        """Whether no check is under way and this instance is not stalled."""
+        """Return whether no check is pending and this instance is not stalled."""
         return (
             member.unconfirmed_since_ms is None and not self._context.health.is_stalled
         )
 
     def _begin_final_check(self, now_ms: float, member: Member) -> None:
-        """Probe a suspect for the last time, over TCP and through others."""
+        """Probe a suspect for the last time, over TCP and through other members."""
         if member.final_check_since_ms is None:
             member.final_check_since_ms = now_ms
             self._context.start_fallback_probe(member, ProbePurpose.BEFORE_DEATH)
             self._indirect_probes.request_final_check(member)
 
     def _on_refused(self, now_ms: float, member: Member) -> None:
-        """Hold for certain that the process is dead."""
+        """Record that the member's death is confirmed."""
         if member.is_death_confirmed:
             return
         member.is_death_confirmed = True
@@ -157,11 +158,11 @@
             self._transitions.mark_dead(now_ms, member, self._context.local.name)
 
     def _on_reachable(self, now_ms: float, member: Member) -> None:
-        """Hold that the process runs.
+        """Handle evidence that the member's process is running.
 
-        One that counts as dead was partitioned or stopped: with the state that it is
-        sent it learns that, and refutes it. A suspect is stopped, or its datagrams are
-        lost, and neither is a death.
+        A member that counts as dead was partitioned or stopped: the state exchange
+        informs it, and it refutes its death. A suspect is stopped or its datagrams are
+        lost, neither of which is a death.
         """
         if member.state == MemberState.DEAD:
             self._anti_entropy.synchronise_with(member)
@@ -171,7 +172,7 @@
     def _on_unreachable(
         self, now_ms: float, member: Member, purpose: ProbePurpose
     ) -> None:
-        """Take the next step towards the death of an active member."""
+        """Advance an active member from alive to suspect, or from suspect to dead."""
         local_name = self._context.local.name
         if member.reported_dead_incarnation >= member.incarnation:
             self._transitions.mark_dead(now_ms, member, local_name)
@@ -180,13 +181,13 @@
         elif purpose != ProbePurpose.BEFORE_DEATH:
             self._suspicion.confirm(now_ms, member, local_name)
             self._begin_final_check(now_ms, member)
-        elif self._suspicion.has_ended(now_ms, member):
+        elif self._suspicion.has_expired(now_ms, member):
             self._transitions.mark_dead(now_ms, member, local_name)
         else:
             self._suspicion.schedule_deadline(now_ms, member)
 
     def _suspect(self, now_ms: float, member: Member) -> None:
-        """Suspect a member publicly, and inform a few others at once."""
+        """Suspect a member, and inform a few other members immediately."""
         local_name = self._context.local.name
         self._suspicion.suspect(now_ms, member, member.incarnation, local_name)
         self._begin_final_check(now_ms, member)
@@ -195,7 +196,7 @@
 
 
 def _end_check(member: Member, purpose: ProbePurpose) -> float | None:
-    """Note that the check of this purpose has ended; return when it began, if known."""
+    """End the check of this purpose, and return its start time if known."""
     if purpose == ProbePurpose.BEFORE_DEATH:
         began_ms, member.final_check_since_ms = member.final_check_since_ms, None
         return began_ms
--- a/wheathill/peers/membership/effects.py
+++ b/wheathill/peers/membership/effects.py
@@ -1,4 +1,4 @@
-"""What membership asks of the instance that runs it."""
+"""Effects, timers and fallback probes that the membership protocol requests."""
 
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -9,34 +9,34 @@
 
 
 class ProbePurpose(Enum):
-    """Why a fallback probe is made, which decides what follows from its result."""
+    """Why a fallback probe is made; it determines how the result is handled."""
 
-    # A member did not answer a probe, or is suspected by others.
+    # The member did not answer a probe, or others suspect it.
     BEFORE_SUSPICION = auto()
-    # The suspicion of a member is about to end in its death.
+    # The member's suspicion timeout is about to expire.
     BEFORE_DEATH = auto()
-    # Others declared a member dead that was seen here a moment ago.
+    # Others declared the member dead, but it was seen here recently.
     DEATH_REPORT = auto()
-    # A member counts as dead, but nobody observed its death: it may be partitioned.
-    KNOWN_DEATH = auto()
-    # Another process claims a member's name.
+    # The member counts as dead without confirmation, and may only be partitioned.
+    UNCONFIRMED_DEATH = auto()
+    # Another process claims the member's name.
     NAME_CLAIM = auto()
 
 
 class ProbeResult(Enum):
-    """What a fallback probe found."""
+    """Outcome of a fallback probe."""
 
     REACHABLE = auto()
-    # The host is there and no process listens at the address: the process is dead.
+    # The host answered that nothing listens at the address: the process is dead.
     REFUSED = auto()
     NO_ANSWER = auto()
 
 
 @dataclass(slots=True, frozen=True)
 class FallbackProbe:
-    """A probe over TCP, as memberlist's fallback ping.
+    """A TCP probe of whether a process listens at the member's address.
 
-    It finds whether a process listens at the member's address.
+    It corresponds to memberlist's TCP fallback ping.
     """
 
     name: str
@@ -48,29 +48,29 @@
 
 @dataclass(slots=True, frozen=True)
 class ProbeTimer:
-    """Ends the probe under way and begins the next."""
+    """Ends the current probe and starts the next one."""
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeTimeoutTimer:
-    """The answer to a ping is late."""
+    """The ack of the current probe is overdue."""
 
 
 @dataclass(slots=True, frozen=True)
 class NackTimer:
-    """The answer to a ping that was made for another instance is late."""
+    """The ack of a ping sent on behalf of another instance is overdue."""
 
     sequence: int
 
 
 @dataclass(slots=True, frozen=True)
 class SuspicionTimer:
-    """The suspicion of some member may end."""
+    """The final check of a suspect may be due."""
 
 
 @dataclass(slots=True, frozen=True)
 class DeathCheckTimer:
-    """Checks whether a member that counts as dead is."""
+    """Starts a probe to confirm the death of a member that counts as dead."""
 
     name: str
     generation: int
@@ -78,12 +78,12 @@
 
 @dataclass(slots=True, frozen=True)
 class JoinTimer:
-    """Tries the seeds again."""
+    """Retries joining through the seeds."""
 
 
 @dataclass(slots=True, frozen=True)
 class SyncTimer:
-    """Exchanges states with a member at random."""
+    """Starts a full state exchange with a random member."""
 
 
 Timer = (
@@ -98,27 +98,27 @@
 
 
 class MembershipEffects(Protocol):
-    """Carries out what membership decides."""
+    """Performs the effects that the membership protocol requests."""
 
     def send(self, address: str | None, message: Message) -> None:
         """Send `message`, which may be lost.
 
-        `address` is None in answer to a message that came over a stream.
+        `address` is None in a reply to a message that was received on a stream.
         """
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
-        """Probe, and give the result to `Membership.on_fallback_probe_result`."""
+        """Run a probe, and pass its result to `Membership.on_fallback_probe_result`."""
 
     def set_timer(self, at_ms: float, timer: Timer) -> None:
-        """Give `timer` to `Membership.on_timer` at that time."""
+        """Pass `timer` to `Membership.on_timer` at `at_ms`."""
 
     def member_changed(
         self, member: Member, previous_state: MemberState | None
     ) -> None:
-        """Take note that a member is new, or has another state or process.
+        """Handle a new member, or a member with a changed state or process.
 
-        A new member has no previous state.
+        `previous_state` is None for a new member.
         """
 
     def log(self, text: str) -> None:
-        """Write a line to the log."""
+        """Write a message to the log."""
--- a/wheathill/peers/membership/failure_detector.py
+++ b/wheathill/peers/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: it pings members in turn, if need be by way of others."""
+"""SWIM's failure detector: pings members in turn, if necessary through others."""
 
 from dataclasses import dataclass
 from operator import attrgetter
@@ -15,14 +15,14 @@
 
 @dataclass(slots=True)
 class PendingProbe:
-    """The probe under way.
+    """The current probe.
 
     Attributes:
         sequence: Sequence number of its pings.
-        target: The member that is probed.
-        is_acknowledged: Whether it, or another in its place, has answered.
-        missing_nacks: Helpers that have sent neither an answer nor a nack.
-        is_late: Whether no answer came within the timeout.
+        target: The member being probed.
+        is_acknowledged: Whether an ack was received, directly or through a helper.
+        missing_nacks: Number of helpers from which no nack was received.
+        is_late: Whether no ack was received within the timeout.
     """
 
     sequence: int
@@ -33,7 +33,7 @@
 
 
 class FailureDetector:
-    """Probes one member each interval."""
+    """Probes one member per interval."""
 
     def __init__(
         self,
@@ -54,30 +54,33 @@
         self._next_probe_ms = 0.0
 
     def start(self, now_ms: float) -> None:
-        """Schedule the first probe, not in step with instances that start together."""
+        """Schedule the first probe at a random time within one interval.
+
+        The random delay spreads the probes of instances that start together.
+        """
         interval_ms = self._context.config.probe_interval_ms
         self._schedule_probe(now_ms + self._context.rng.uniform(0.0, interval_ms))
 
     def on_probe_timer(self, now_ms: float) -> None:
-        """End the probe under way and begin the next."""
+        """End the current probe and start the next one."""
         config = self._context.config
         delay_ms = now_ms - self._next_probe_ms
         if delay_ms > config.probe_timeout_ms:
             self.on_stall(now_ms, delay_ms)
         self._end_probe(now_ms)
-        # A starved instance answers late itself: it probes less often.
+        # A CPU-starved instance itself answers late, so it probes less often.
         interval_ms = config.probe_interval_ms * self._context.health.multiplier
         self._schedule_probe(now_ms + interval_ms)
         self._begin_probe(now_ms)
 
     def on_stall(self, now_ms: float, stalled_ms: float) -> None:
-        """Begin anew after this process was stopped or starved.
+        """Cancel all checks after this process was stopped or starved of CPU.
 
-        What it has missed meanwhile says nothing of others: until another instance
-        answers, it suspects nobody and declares nobody dead.
+        Acks that it missed are no evidence against other members: until another
+        instance answers, it suspects no member and declares none dead.
         """
         self._context.effects.log(
-            f"peers: this process stood still for {stalled_ms:.0f} ms"
+            f"peers: this process was stalled for {stalled_ms:.0f} ms"
         )
         self._pending = None
         self._context.health.on_stall(now_ms)
@@ -90,12 +93,12 @@
                 self._suspicion.restart(now_ms, member)
 
     def on_probe_timeout(self) -> None:
-        """Ping the target again and ask others to, where it has not answered."""
+        """Ping an unresponsive target again, and request indirect probes of it."""
         pending = self._pending
         if pending is None or pending.is_acknowledged:
             return
         pending.is_late = True
-        self._ping(pending.target, pending.sequence)  # the first may have been lost
+        self._ping(pending.target, pending.sequence)  # the first ping may be lost
         pending.missing_nacks = self._indirect_probes.request(
             pending.target,
             pending.sequence,
@@ -103,14 +106,14 @@
         )
 
     def on_ack(self, now_ms: float, sequence: int) -> None:
-        """Take note of an answer to any ping that asked for one."""
+        """Handle the ack of a direct or relayed ping."""
         if self._pending is not None and self._pending.sequence == sequence:
             self._pending.is_acknowledged = True
         else:
             self._indirect_probes.on_ack(now_ms, sequence)
 
     def on_nack(self, sequence: int) -> None:
-        """Take note that a helper is well, and the target has not answered it."""
+        """Record that a helper is responsive, but has no ack from the target."""
         pending = self._pending
         if pending is not None and pending.sequence == sequence:
             pending.missing_nacks = max(0, pending.missing_nacks - 1)
@@ -134,14 +137,15 @@
         self._context.effects.set_timer(now_ms + timeout_ms, ProbeTimeoutTimer())
 
     def _ping_own_suspects(self) -> None:
-        """Ping all members that this instance is checking or suspects, each interval.
+        """Ping every member that this instance is checking or suspects.
 
-        So each hears of its suspicion, and can answer: one lost message is no death.
-        The answer counts whichever probe is under way.
+        This informs each of them of its suspicion once per interval, so that a single
+        lost message does not lead to its death. Its ack counts regardless of the
+        current probe.
         """
         members = self._context.table.members
         local_name = self._context.local.name
-        # Few of many: sorted last, as this is done each interval.
+        # Filtered before sorting, as few of many members match.
         candidates = [
             member
             for member in members.values()
@@ -158,7 +162,7 @@
                 self._ping(member, self._context.next_sequence())
 
     def _ping(self, target: Member, sequence: int) -> None:
-        # A suspect receives the suspicion first of all, so that it can refute it.
+        # A suspect always receives its own suspicion, so that it can refute it.
         is_suspect = target.state == MemberState.SUSPECT
         self._context.send_ping(
             target.address, sequence, first=target if is_suspect else None
@@ -178,7 +182,7 @@
             health.improve(was_late=pending.is_late)
             return
         health.unanswered_probes += 1
-        # Helpers that answer nothing at all point at this instance, not at the target.
+        # Missing nacks indicate a fault of this instance rather than of the target.
         health.worsen(1 + pending.missing_nacks)
         if pending.target.is_active:
             self._death_checks.check_unresponsive(now_ms, pending.target)
--- a/wheathill/peers/membership/gossip_queue.py
+++ b/wheathill/peers/membership/gossip_queue.py
@@ -1,4 +1,4 @@
-"""The updates that ride on other messages (SWIM's infection-style dissemination)."""
+"""Queue of piggybacked updates (SWIM's infection-style dissemination)."""
 
 import math
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True)
 class QueuedUpdate:
-    """An update that is still being passed on."""
+    """An update that is still being disseminated."""
 
     member: Member
     reported_by: str
@@ -21,14 +21,14 @@
 
 
 class GossipQueue:
-    """The members whose last update is passed on, the least often sent first.
+    """Members whose latest update is disseminated, least often sent first.
 
-    Each is sent about log10(members) times, then no more, which is enough to reach all
-    with high probability.
+    Each update is sent a number of times proportional to log10(members), which reaches
+    all members with high probability.
     """
 
     def __init__(self, retransmit_multiplier: float) -> None:
-        """Begin empty.
+        """Create an empty queue.
 
         Each update is sent `retransmit_multiplier` * log10(members + 1) times.
         """
@@ -36,15 +36,15 @@
         self._queued: dict[Member, QueuedUpdate] = {}
 
     def add(self, member: Member, reported_by: str) -> None:
-        """Pass on the state of `member` from now on, as often as any new update."""
+        """Queue the state of `member` as a new update, replacing an older one."""
         self._queued[member] = QueuedUpdate(member, reported_by)
 
     def discard(self, member: Member) -> None:
-        """Pass on nothing of `member` any more."""
+        """Remove the update about `member`, if there is one."""
         self._queued.pop(member, None)
 
     def clear(self) -> None:
-        """Pass on nothing any more."""
+        """Remove all updates."""
         self._queued.clear()
 
     def take(
@@ -52,34 +52,36 @@
     ) -> list[MemberUpdate]:
         """Return up to `limit` updates, and count them as sent.
 
-        `first` is among them, and leads them, however often it was sent.
+        If `first` is not among the selected members, its update is put in front of
+        theirs, even if it is no longer queued.
         """
-        chosen = self._by_priority()[:limit]
-        if first is not None and first not in chosen:
-            chosen = [first, *chosen[: limit - 1]]
-        most_transmissions = math.ceil(
+        selected = self._by_priority()[:limit]
+        if first is not None and first not in selected:
+            selected = [first, *selected[: limit - 1]]
+        max_transmissions = math.ceil(
             self._retransmit_multiplier * math.log10(member_count + 1)
         )
-        return [self._take(member, most_transmissions) for member in chosen]
+        return [self._take_update(member, max_transmissions) for member in selected]
 
     def _by_priority(self) -> list[Member]:
-        """Return the members, those gone first, each of both by transmissions.
+        """Return inactive members, then active ones, each ordered by transmissions.
 
-        At a start of hundreds the newcomers would delay news of the gone. The queue is
-        long then, and ordered for each message: hence two sorts by a key of C.
+        When hundreds of members start, updates about them would delay those about
+        members that died or left. The queue is long then and is sorted for each
+        message, so two sorts with a key function in C are used.
         """
         queued = self._queued.values()
-        gone = [update for update in queued if not update.member.is_active]
+        inactive = [update for update in queued if not update.member.is_active]
         active = [update for update in queued if update.member.is_active]
-        gone.sort(key=_TRANSMISSIONS)
+        inactive.sort(key=_TRANSMISSIONS)
         active.sort(key=_TRANSMISSIONS)
-        return [update.member for update in (*gone, *active)]
+        return [update.member for update in (*inactive, *active)]
 
-    def _take(self, member: Member, most_transmissions: int) -> MemberUpdate:
+    def _take_update(self, member: Member, max_transmissions: int) -> MemberUpdate:
         queued = self._queued.get(member)
         if queued is None:
             return MemberUpdate.of(member, reported_by="")
         queued.transmissions += 1
-        if queued.transmissions >= most_transmissions:
+        if queued.transmissions >= max_transmissions:
             del self._queued[member]
         return MemberUpdate.of(member, queued.reported_by)
--- a/wheathill/peers/membership/joining.py
+++ b/wheathill/peers/membership/joining.py
@@ -1,4 +1,4 @@
-"""How an instance gets to know others: by its seeds."""
+"""Joining a cluster through seed addresses."""
 
 from collections.abc import Iterable
 
@@ -9,11 +9,11 @@
 
 
 class Joining:
-    """Asks the seeds for all that they know, until one has answered.
+    """Requests the state of the seeds until one of them answers.
 
     Attributes:
-        seeds: Addresses that the settings give.
-        has_joined: Whether another instance has sent its state.
+        seeds: Configured addresses of other instances.
+        has_joined: Whether a state was received from another instance.
     """
 
     def __init__(self, context: MembershipContext, ownership: NameOwnership) -> None:
@@ -24,12 +24,12 @@
         self._is_retry_scheduled = False
 
     def start(self, now_ms: float, seeds: Iterable[str]) -> None:
-        """Begin with these seeds, of which this instance may be one."""
+        """Start joining; this instance's own address among `seeds` is ignored."""
         self.seeds = [seed for seed in seeds if seed != self._context.local.address]
         self.send_joins(now_ms)
 
     def send_joins(self, now_ms: float) -> None:
-        """Ask all seeds, and again after an interval where none has answered yet."""
+        """Send a join to all seeds, and schedule a retry until one has answered."""
         if not self._ownership.is_removed:
             for seed in self.seeds:
                 self.send_join(seed)
@@ -39,12 +39,12 @@
             self._context.effects.set_timer(now_ms + interval_ms, JoinTimer())
 
     def send_join(self, address: str) -> None:
-        """Ask one instance for all that it knows."""
+        """Request the state of one instance and introduce this one."""
         local = self._context.local
         self._context.effects.send(address, Join(MemberUpdate.of(local, local.name)))
 
     def on_retry_timer(self, now_ms: float) -> None:
-        """Ask again where none has answered."""
+        """Retry unless a seed has answered."""
         self._is_retry_scheduled = False
         if not self.has_joined:
             self.send_joins(now_ms)
--- a/wheathill/peers/membership/local_health.py
+++ b/wheathill/peers/membership/local_health.py
@@ -1,77 +1,77 @@
-"""Lifeguard's local health: how far an instance may trust what it observes."""
+"""Lifeguard's local health: how reliable an instance's own observations are."""
 
 from collections import deque
 
-MAX_SCORE = 8  # Lifeguard's S: intervals and timeouts are 9 times as long at the most
-RECENT_PROBES = 16  # by which the loss of datagrams is judged
-LOSSY_SHARE = 1 / 8  # of the recent probes that were late or unanswered
-LOSSY_TARGETS = (
-    2  # different members whose probes were: a single one may itself be slow
-)
+MAX_SCORE = 8  # Lifeguard's S: limits the multiplier of intervals and timeouts to 9
+RECENT_PROBE_WINDOW = 16  # probes
+# The network counts as lossy if more than this share of recent probes was late or
+# unanswered, across at least so many targets: a single target may itself be slow.
+LOSSY_LATE_SHARE = 1 / 8
+LOSSY_LATE_TARGETS = 2
 
 
 class LocalHealth:
-    """Signs that this instance or its network is at fault, and not who it probes.
+    """Evidence that this instance or its network is at fault rather than its targets.
 
     Attributes:
-        score: 0 where it is well; each missed answer or suspicion of it makes it more
-            careful.
-        stalled_since_ms: Since when it has been stopped or starved and nobody has
-            answered it, None if it was not.
-        unanswered_probes: Probes in a row that nobody answered.
+        score: 0 when healthy; raised by each missed ack and by suspicions of this
+            instance.
+        stalled_since_ms: When this process was last found to have been stopped or
+            starved of CPU; None if it was not, or once another instance has answered.
+        unanswered_probes: Number of consecutive probes without an ack.
     """
 
     def __init__(self) -> None:
         self.score = 0
         self.stalled_since_ms: float | None = None
         self.unanswered_probes = 0
-        # Of the last probes the target's name where the answer was late or none came,
-        # else None.
-        self._late_targets: deque[str | None] = deque(maxlen=RECENT_PROBES)
+        # For each recent probe: the target's name if the ack was late or missing, else
+        # None.
+        self._late_targets: deque[str | None] = deque(maxlen=RECENT_PROBE_WINDOW)
 
     @property
     def multiplier(self) -> int:
-        """By how much probes are made less often, and answers are awaited longer."""
+        """Factor by which probe intervals and timeouts are lengthened."""
         return 1 + self.score
 
     @property
     def is_stalled(self) -> bool:
-        """Whether this process was stopped and nobody has answered it since.
+        """Whether this process was stalled and no instance has answered it since.
 
-        What it has missed says nothing of others.
+        While it is, missed messages are no evidence against other members.
         """
         return self.stalled_since_ms is not None
 
     @property
     def is_network_lossy(self) -> bool:
-        """Whether datagrams are being lost: silence is a weaker sign of death."""
+        """Whether many datagrams are lost, so that silence is weaker evidence."""
         late = [name for name in self._late_targets if name is not None]
-        return len(set(late)) >= LOSSY_TARGETS and len(late) > LOSSY_SHARE * len(
-            self._late_targets
-        )
+        return len(set(late)) >= LOSSY_LATE_TARGETS and len(
+            late
+        ) > LOSSY_LATE_SHARE * len(self._late_targets)
 
     def worsen(self, amount: int = 1) -> None:
-        """Take note of signs that this instance is slow or cut off."""
+        """Raise the score, as this instance may be slow or partitioned."""
         self.score = min(MAX_SCORE, self.score + amount)
 
     def improve(self, was_late: bool) -> None:
-        """Take note of an answered probe.
+        """Lower the score after an acknowledged probe.
 
-        After an answer in time the score is halved: an instance that was partitioned
-        raised it by those that it could not reach, and is well again soon.
+        An ack in time halves the score, so that an instance recovers quickly after a
+        partition in which unreachable members raised it.
         """
         self.score = max(0, self.score - 1) if was_late else self.score // 2
 
     def on_stall(self, now_ms: float) -> None:
-        """Take note that this process has been stopped or starved."""
+        """Record that this process was stopped or starved of CPU."""
         self.stalled_since_ms = now_ms
         self.worsen()
 
     def on_ack(self) -> None:
-        """Take note that another instance has answered."""
+        """Record that another instance has answered."""
         self.stalled_since_ms = None
         self.unanswered_probes = 0
 
     def record_probe(self, target_name: str, was_late: bool) -> None:
-        """Take note of a probe that has ended; `was_late` also where no answer came."""
+        """Record a completed probe; `was_late` is also true if it was not answered."""
         self._late_targets.append(target_name if was_late else None)
--- a/wheathill/peers/membership/membership.py
+++ b/wheathill/peers/membership/membership.py
@@ -189,7 +189,7 @@
             case SuspicionTimer():
                 self._death_checks.check_due_suspects(now_ms)
             case DeathCheckTimer(name, generation):
-                self._death_checks.check_known_death(name, generation)
+                self._death_checks.check_unconfirmed_death(name, generation)
             case JoinTimer():
                 self.joining.on_retry_timer(now_ms)
             case SyncTimer():
@@ -276,7 +276,7 @@
 
     def _on_join(self, now_ms: float, joining: MemberUpdate) -> None:
         """Send all that is known to a process that joins, and take it in."""
-        if self._ownership.rejects_claim(joining):
+        if self._ownership.reject_conflicting_claim(joining):
             return
         self.anti_entropy.send_state(joining.address)
         self.apply_updates(now_ms, [joining])
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -5,7 +5,7 @@
 from wheathill.peers.membership.member import MemberState
 from wheathill.peers.membership.messages import MemberUpdate, NameConflict
 
-HOLDING_INTERVALS = 10.0  # probe intervals after which a process holds its name
+MIN_OWNERSHIP_INTERVALS = 10.0  # probe intervals after which a process holds its name
 MAX_DEFENCES = 3  # how often a name that is held is defended against one other process
 
 
@@ -30,7 +30,7 @@
         # Generation of the other process -> how often the name was defended against it.
         self._defences: dict[int, int] = {}
 
-    def rejects_claim(self, claim: MemberUpdate) -> bool:
+    def reject_conflicting_claim(self, claim: MemberUpdate) -> bool:
         """Answer a process that joins under a name that another one holds.
 
         Returns whether another does: it keeps the name while it is there.
@@ -75,8 +75,10 @@
         if other_rank < (local.incarnation, -local.generation) or self.is_removed:
             return
         held_ms = now_ms - self.held_since_ms
-        holding_ms = HOLDING_INTERVALS * self._context.config.probe_interval_ms
-        is_held = not self.is_isolated and held_ms >= holding_ms
+        min_ownership_ms = (
+            MIN_OWNERSHIP_INTERVALS * self._context.config.probe_interval_ms
+        )
+        is_held = not self.is_isolated and held_ms >= min_ownership_ms
         defences = self._defences.get(other.generation, 0)
         if is_held and (defences < MAX_DEFENCES or local.generation < other.generation):
             self._defences[other.generation] = defences + 1
--- a/wheathill/peers/membership/suspicion.py
+++ b/wheathill/peers/membership/suspicion.py
@@ -12,7 +12,7 @@
 # Lifeguard's beta: a suspicion without confirmations lasts so many times as long.
 MAX_TIMEOUT_FACTOR = 6.0
 # Lifeguard's K: so many independent ones, and it lasts no longer than the minimum.
-CONFIRMATIONS = 3
+CONFIRMATIONS_FOR_MIN_TIMEOUT = 3
 
 
 class Suspicion:
@@ -40,7 +40,7 @@
         That makes it likelier to be true.
         """
         is_known = not reported_by or reported_by in member.suspected_by
-        if not is_known and len(member.suspected_by) <= CONFIRMATIONS:
+        if not is_known and len(member.suspected_by) <= CONFIRMATIONS_FOR_MIN_TIMEOUT:
             member.suspected_by += (reported_by,)
             self.schedule_deadline(now_ms, member)
             self._context.gossip.add(member, reported_by)
@@ -67,7 +67,7 @@
             and now_ms >= self._final_check_due_ms(member, member.suspicion_deadline_ms)
         )
 
-    def has_ended(self, now_ms: float, member: Member) -> bool:
+    def has_expired(self, now_ms: float, member: Member) -> bool:
         """Whether the deadline of a suspect has passed."""
         deadline_ms = member.suspicion_deadline_ms
         return deadline_ms is not None and now_ms >= deadline_ms
@@ -81,7 +81,7 @@
             * max(1.0, math.log10(max(1, active_count)))
             * interval_ms
         )
-        possible_confirmations = min(CONFIRMATIONS, active_count - 2)
+        possible_confirmations = min(CONFIRMATIONS_FOR_MIN_TIMEOUT, active_count - 2)
         if possible_confirmations < 1:
             # Among so few there is nobody to confirm.
             return shortest_ms
