--- a/wheathill/peers/membership/member.py
+++ b/wheathill/peers/membership/member.py
@@ -1,4 +1,4 @@
-"""The members of a cluster as one instance knows them."""
+"""One instance's record of a cluster member."""
 
 import hashlib
 from dataclasses import dataclass, field
@@ -6,7 +6,7 @@
 
 
 class MemberState(StrEnum):
-    """What an instance holds a member to be. The values are those on the wire."""
+    """State of a member as seen by one instance; the values are used on the wire."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -19,32 +19,32 @@
 
 @dataclass(slots=True, eq=False)
 class Member:
-    """One process under a member's name, as this instance knows it.
+    """A process that runs under a member's name, as this instance knows it.
 
     Attributes:
-        name: Unique within the cluster.
-        address: "HOST:PORT" of its datagrams and streams.
-        incarnation: Orders the updates about one process (SWIM); only the process
-            itself raises it, and an operator.
-        generation: Tells apart the processes that run under one name. Generations have
-            no order in time.
-        state: What this instance holds it to be.
-        state_since_ms: When it came into this state, or when its suspicion was last
+        name: Name that is unique within the cluster.
+        address: "HOST:PORT" of its datagram and stream sockets.
+        incarnation: Orders the updates about one process (SWIM). Only the process
+            itself or an operator raises it.
+        generation: Distinguishes processes of the same name. Generations have no order
+            in time.
+        state: Current state as seen by this instance.
+        state_since_ms: When it entered this state, or when its suspicion was last
             restarted.
-        last_seen_ms: When a message of its own last arrived.
-        suspected_by: Names of the members that suspect it, each independently.
-        suspicion_deadline_ms: While suspect: when it is declared dead.
+        last_seen_ms: When a message sent by it was last received.
+        suspected_by: Names of the members that suspect it independently.
+        suspicion_deadline_ms: When a suspect is declared dead.
         suspicion_restarted_ms: When its suspicion was last restarted, None if never.
-        unconfirmed_since_ms: Since when it has not answered this instance, while a
-            fallback probe is under way.
-        final_check_since_ms: Since when the fallback probe that precedes its
-            declaration as dead is under way.
-        reported_dead_incarnation: The incarnation others declared dead while this
-            instance verifies that; else -1.
+        unconfirmed_since_ms: When it was found unresponsive, while a fallback probe is
+            pending.
+        final_check_since_ms: When the fallback probe before its declaration as dead
+            started, while that is pending.
+        reported_dead_incarnation: The incarnation that others declared dead, while
+            this instance verifies the report; else -1.
         is_death_confirmed: Whether its death was observed: its host refuses connections
             to its address.
-        claimed_by_generation: Generation of the last process that tried to take over
-            its name.
+        claimed_by_generation: Generation of the last other process that claimed its
+            name.
     """
 
     name: str
@@ -68,11 +68,11 @@
 
     @property
     def is_active(self) -> bool:
-        """Whether it counts as running: alive, or only suspected."""
+        """Whether the member counts as running, which includes suspects."""
         return self.state in _ACTIVE_STATES
 
     def digest(self) -> int:
-        """Return 48 bits of what this instance knows of the member."""
+        """Return a 48-bit digest of the member's state as seen by this instance."""
         fields = [
             self.state.value,
             self.name,
@@ -80,7 +80,7 @@
             self.incarnation,
             self.generation,
         ]
-        # The text of the list is what other instances digest: it must not change.
+        # Other instances compute the digest from the same text, so it must not change.
         return int.from_bytes(
             hashlib.blake2b(repr(fields).encode(), digest_size=6).digest(), "big"
         )
--- a/wheathill/peers/membership/member_table.py
+++ b/wheathill/peers/membership/member_table.py
@@ -1,19 +1,19 @@
-"""All members that an instance knows."""
+"""Table of all members that an instance knows."""
 
 import hashlib
 
 from wheathill.peers.membership.member import Member, MemberState
 
-MAX_REMOVED = 1024  # processes that are remembered as gone for good
+MAX_REMOVED = 1024  # processes
 
 
 class MemberTable:
-    """The members by name, and the processes that are gone for good.
+    """Members by name, and the processes whose updates are ignored.
 
     Attributes:
-        local: The member that is this instance.
-        members: All members by name; those that left or died stay for a while, so that
-            an old update does not bring them back.
+        local: This instance as a member.
+        members: All members by name. Members that left or died are kept for a while, so
+            that an outdated update does not bring them back.
     """
 
     def __init__(self, local: Member) -> None:
@@ -22,34 +22,34 @@
         self._removed: dict[tuple[str, int], None] = {}
 
     def active(self) -> list[Member]:
-        """Return the members that count as running, in order of name.
+        """Return all active members, ordered by name.
 
-        Suspects and this instance are among them.
+        They include suspects and this instance.
         """
         members = (self.members[name] for name in sorted(self.members))
         return [member for member in members if member.is_active]
 
     def active_others(self, *excluded: Member) -> list[Member]:
-        """Return the active members but this instance and those excluded, by name."""
+        """Return the active members except this instance and `excluded`, by name."""
         without = (self.local, *excluded)
         return [member for member in self.active() if member not in without]
 
     def active_count(self) -> int:
-        """Return how many members count as running, this instance among them."""
+        """Return the number of active members, including this instance."""
         return sum(member.is_active for member in self.members.values())
 
     def mark_removed(self, member: Member) -> None:
-        """Ignore updates about this process from now on: it is gone for good."""
+        """Ignore further updates about this process, which has ended."""
         self._removed[member.name, member.generation] = None
         while len(self._removed) > MAX_REMOVED:
             del self._removed[next(iter(self._removed))]
 
     def is_removed(self, name: str, generation: int) -> bool:
-        """Whether this process is gone for good."""
+        """Return whether updates about this process are ignored."""
         return (name, generation) in self._removed
 
     def forget_expired(self, now_ms: float, retention_ms: float) -> None:
-        """Forget the members that have surely been gone for `retention_ms`."""
+        """Delete members that left, or are confirmed dead, after `retention_ms`."""
         expired = [
             name
             for name, member in self.members.items()
@@ -60,7 +60,7 @@
             del self.members[name]
 
     def unconfirmed_dead(self) -> list[str]:
-        """Return the dead whose death nobody observed: they may be partitioned."""
+        """Return the names of unconfirmed dead members, which may be partitioned."""
         return [
             name
             for name, member in self.members.items()
@@ -68,7 +68,7 @@
         ]
 
     def digest(self) -> str:
-        """Return a digest of the active processes, the same where views agree."""
+        """Return a digest of the active processes, equal on instances that agree."""
         processes = ";".join(
             f"{member.name} {member.generation}" for member in self.active()
         )
--- a/wheathill/peers/membership/membership.py
+++ b/wheathill/peers/membership/membership.py
@@ -1,4 +1,4 @@
-"""One instance's membership: what reaches each part of the protocol."""
+"""Membership of one instance: dispatches inputs to the parts of the protocol."""
 
 import random
 from collections.abc import Iterable
@@ -46,17 +46,18 @@
 
 
 class Membership:
-    """One instance's view of the members of its cluster.
+    """State machine of one instance's cluster membership.
 
-    It does no I/O: it is given messages, timers and results of probes with the time in
-    ms, and answers with calls of `MembershipEffects`. All draws are made from `rng`.
+    It performs no I/O: messages, timers and probe results are passed in together with
+    the current time in ms, and all effects go through `MembershipEffects`. All random
+    numbers come from `rng`.
 
     Attributes:
-        config: Its settings.
-        gossip: The updates that are being passed on.
-        joining: How it gets to know others by its seeds.
-        anti_entropy: The exchanges of whole states.
-        failure_detector: The probes of members.
+        config: Settings of this instance.
+        gossip: Queue of updates to disseminate.
+        joining: Joins the cluster through the seeds.
+        anti_entropy: Exchanges full states.
+        failure_detector: Probes members.
     """
 
     def __init__(
@@ -104,44 +105,44 @@
 
     @property
     def local(self) -> Member:
-        """The member that is this instance."""
+        """This instance as a member."""
         return self._context.local
 
     @property
     def members(self) -> dict[str, Member]:
-        """All members by name, this instance and those that are gone among them."""
+        """All members by name, including this instance and those dead or left."""
         return self._context.table.members
 
     @property
     def is_isolated(self) -> bool:
-        """Whether another process holds its name, or an operator removed it."""
+        """Whether another process holds this name, or an operator removed it."""
         return self._ownership.is_isolated
 
     @property
     def unanswered_probes(self) -> int:
-        """Probes in a row that nobody answered."""
+        """Number of consecutive probes without an ack."""
         return self._context.health.unanswered_probes
 
     @property
     def local_health(self) -> int:
-        """Lifeguard's local health score: 0 where this instance is well."""
+        """Lifeguard's local health score; 0 when healthy."""
         return self._context.health.score
 
     def active_members(self) -> list[Member]:
-        """Return the members that count as running, in order of name.
+        """Return all active members, ordered by name.
 
-        Suspects and this instance are among them.
+        They include suspects and this instance.
         """
         return self._context.table.active()
 
     def digest(self) -> str:
-        """Return a digest of the active processes, the same where views agree."""
+        """Return a digest of the active processes, equal on instances that agree."""
         return self._context.table.digest()
 
-    # Start and end
+    # Lifecycle
 
     def start(self, now_ms: float, seeds: Iterable[str]) -> None:
-        """Join the cluster by the addresses of some instances."""
+        """Start the protocol and join the cluster through `seeds`."""
         self.local.state_since_ms = now_ms
         self._ownership.held_since_ms = now_ms
         self.gossip.add(self.local, self.local.name)
@@ -150,7 +151,7 @@
         self.anti_entropy.start(now_ms)
 
     def leave(self) -> None:
-        """Announce to a few others that this instance ends; ignore everything after."""
+        """Announce to a few members that this instance leaves; ignore later inputs."""
         self.local.state = MemberState.LEFT
         self.local.incarnation += 1
         update = MemberUpdate.of(self.local, self.local.name)
@@ -162,9 +163,9 @@
         self._is_stopped = True
 
     def remove_member(self, now_ms: float, name: str) -> bool:
-        """Hold a member to have left, as an operator says; return whether it is known.
+        """Mark a member as left for an operator; return whether there is one to remove.
 
-        No update brings that process back.
+        Later updates do not bring that process back.
         """
         member = self.members.get(name)
         if member is None or member is self.local:
@@ -176,7 +177,7 @@
     # Inputs
 
     def on_timer(self, now_ms: float, timer: Timer) -> None:
-        """Act on a timer that was set by `MembershipEffects.set_timer`."""
+        """Handle the expiry of a timer set through `MembershipEffects.set_timer`."""
         if self._is_stopped:
             return
         match timer:
@@ -198,25 +199,25 @@
     def on_fallback_probe_result(
         self, now_ms: float, probe: FallbackProbe, result: ProbeResult
     ) -> None:
-        """Act on the result of a probe that `start_fallback_probe` began."""
+        """Handle the result of a probe started through `start_fallback_probe`."""
         if not self._is_stopped:
             self._death_checks.on_probe_result(now_ms, probe, result)
 
     def on_contact(
         self, now_ms: float, name: str, generation: int, address: str
     ) -> None:
-        """Take note that a process has sent any message that is not an old one."""
+        """Record that a process has sent a current message, not a replayed one."""
         self._updates.on_contact(now_ms, name, generation, address)
 
     def apply_updates(self, now_ms: float, updates: Iterable[MemberUpdate]) -> None:
-        """Apply what others report of members."""
+        """Apply updates about members that other instances sent."""
         self._updates.apply_all(now_ms, updates)
 
     def on_message(self, now_ms: float, address: str | None, message: Message) -> None:
-        """Act on a message from `address`, which is None where it came over a stream.
+        """Handle a message; `address` is None if it was received on a stream.
 
         Raises:
-            InvalidMessage: It does not suit this cluster's protocol.
+            InvalidMessageError: It is incompatible with this cluster's settings.
         """
         if self._is_stopped:
             return
@@ -263,7 +264,8 @@
     def _send_ack(self, address: str | None, sequence: int, sender: str) -> None:
         """Answer a ping.
 
-        A sender that counts as suspect or dead here is informed of it, and refutes it.
+        A sender that is suspect or dead here is informed of that, so that it refutes
+        it.
         """
         member = self.members.get(sender)
         is_suspected = (
@@ -275,12 +277,12 @@
         self._context.effects.send(address, Ack(sequence, self.local.name, updates))
 
     def _on_join(self, now_ms: float, joining: MemberUpdate) -> None:
-        """Send all that is known to a process that joins, and take it in."""
+        """Send the full state to a joining process, and add it as a member."""
         if self._ownership.reject_conflicting_claim(joining):
             return
         self.anti_entropy.send_state(joining.address)
         self.apply_updates(now_ms, [joining])
-        # Last of all, that it is taken in: the state may have said otherwise.
+        # Sent last, as the state above may contradict it.
         member = self.members.get(joining.name)
         if member is not None and member.generation == joining.generation:
             self.anti_entropy.send_member(joining.address, member)
--- a/wheathill/peers/membership/messages.py
+++ b/wheathill/peers/membership/messages.py
@@ -1,8 +1,8 @@
-"""The messages of the membership protocol, and their form on the wire.
+"""Messages of the membership protocol and their wire format.
 
-On the wire a message is a list of its kind and its fields, of numbers, text and lists
-only, ready for MessagePack. `encode_message` and `decode_message` are the only places
-that know this form.
+On the wire a message is a list of its kind and its fields, made up of numbers, strings
+and lists so that it can be encoded as MessagePack. Only this module depends on the
+format.
 """
 
 import reprlib
@@ -12,22 +12,21 @@
 
 from wheathill.peers.membership.member import Member, MemberState
 
-# Lookups, as the enum's own conversions cost more than the rest of an update.
+# Lookup tables, as the enum's conversions cost more than the rest of an update.
 _STATES_BY_VALUE = {state.value: state for state in MemberState}
 _VALUES_BY_STATE = {state: state.value for state in MemberState}
 
 
 class InvalidMessageError(ValueError):
-    """A message that is not of the membership protocol."""
+    """A message that violates the membership protocol."""
 
 
-# Not frozen, which would double the cost of the one type made many times a message.
+# Not frozen, which would double the cost of creating one; a message holds many.
 @dataclass(slots=True)
 class MemberUpdate:
-    """What one instance reports of a member; other messages carry it.
+    """The state of a member that one instance reports; carried by other messages.
 
-    `reported_by` is the name of the member that came to this by itself, "" where that
-    is not known.
+    `reported_by` is the name of the member that originated the report, "" if unknown.
     """
 
     state: MemberState
@@ -39,7 +38,7 @@
 
     @classmethod
     def of(cls, member: Member, reported_by: str) -> Self:
-        """Return what this instance knows of `member` now."""
+        """Return an update with the current state of `member`."""
         return cls(
             member.state,
             member.name,
@@ -52,7 +51,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ping:
-    """Probes the receiver. `sequence` is repeated by the `Ack`; 0 asks for none."""
+    """Probes the receiver; the `Ack` repeats `sequence`, and 0 requests no ack."""
 
     sequence: int
     sender: str
@@ -61,7 +60,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Ack:
-    """Answers the ping of this sequence number."""
+    """Acknowledges the ping with this sequence number."""
 
     sequence: int
     sender: str
@@ -70,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class IndirectPing:
-    """SWIM's ping-req: asks the receiver to ping a target in the sender's place."""
+    """SWIM's ping-req: asks the receiver to ping a target on the sender's behalf."""
 
     sequence: int
     sender: str
@@ -81,42 +80,42 @@
 
 @dataclass(slots=True, frozen=True)
 class Nack:
-    """Lifeguard's nack: the helper is well, and has no answer of the target."""
+    """Lifeguard's nack: the helper is responsive, but has no ack of the target."""
 
     sequence: int
 
 
 @dataclass(slots=True, frozen=True)
 class Join:
-    """Asks for all that the receiver knows, and introduces the sender."""
+    """Requests the receiver's full state, and introduces the sender."""
 
     member: MemberUpdate
 
 
 @dataclass(slots=True, frozen=True)
 class StateSync:
-    """A part of all that the sender knows (memberlist's push/pull)."""
+    """A part of the sender's state (memberlist's push/pull)."""
 
     updates: list[MemberUpdate]
 
 
 @dataclass(slots=True, frozen=True)
 class NameConflict:
-    """Answers a `Join` under a name that another process holds, which is `holder`."""
+    """Rejects a `Join` under a name that another process, `holder`, holds."""
 
     holder: MemberUpdate
 
 
 @dataclass(slots=True, frozen=True)
 class DigestRequest:
-    """A digest of each bucket of the sender's members, to exchange what differs."""
+    """Carries a digest per bucket of the sender's members, to find differences."""
 
     digests: list[int]
 
 
 @dataclass(slots=True, frozen=True)
 class StateRequest:
-    """Asks for all members in these buckets."""
+    """Requests the state of all members in these buckets."""
 
     buckets: list[int]
 
@@ -135,7 +134,7 @@
 
 
 def encode_message(message: Message) -> list[Any]:
-    """Return the form of `message` on the wire."""
+    """Return the wire format of `message`."""
     match message:
         case Ping(sequence, sender, updates):
             return ["ping", sequence, sender, _encode_updates(updates)]
@@ -164,13 +163,13 @@
 
 
 def decode_message(fields: object) -> Message:
-    """Return the message with this form on the wire.
+    """Decode a message from its wire format.
 
-    It is checked as a whole, down to the type of each field. Kinds with a single field
-    may be followed by more, which are ignored.
+    The whole message is validated, including the type of each field. Extra fields are
+    ignored for kinds that have a single field.
 
     Raises:
-        InvalidMessageError: It is not of the protocol.
+        InvalidMessageError: The message violates the protocol.
     """
     match fields:
         case ["ping", int(sequence), str(sender), [*updates]]:
@@ -192,7 +191,7 @@
             return DigestRequest(_decode_integers(digests))
         case ["want", [*buckets], *_]:
             return StateRequest(_decode_integers(buckets))
-    raise InvalidMessageError(f"no message of the protocol: {reprlib.repr(fields)}")
+    raise InvalidMessageError(f"unknown or malformed message: {reprlib.repr(fields)}")
 
 
 def _encode_member(update: MemberUpdate) -> list[Any]:
@@ -210,11 +209,11 @@
 
 
 def _decode_member(fields: object) -> MemberUpdate:
-    """Decode a member that is described without a reporter: it counts as its own."""
+    """Decode an update without a reporter; the member counts as its own reporter."""
     match fields:
         case [_, name, _, _, _]:
             return _decode_update([*fields, name])
-    raise InvalidMessageError(f"no member: {reprlib.repr(fields)}")
+    raise InvalidMessageError(f"malformed member: {reprlib.repr(fields)}")
 
 
 def _decode_updates(fields: Sequence[object]) -> list[MemberUpdate]:
@@ -222,9 +221,9 @@
 
 
 def _decode_update(fields: object) -> MemberUpdate:
-    # Not by a pattern, which takes three times as long: there are many in a message.
+    # A pattern match would take three times as long, and a message holds many updates.
     if not isinstance(fields, (list, tuple)) or len(fields) != 6:
-        raise InvalidMessageError(f"no update of a member: {reprlib.repr(fields)}")
+        raise InvalidMessageError(f"malformed update: {reprlib.repr(fields)}")
     state, name, address, incarnation, generation, reported_by = fields
     if not (
         isinstance(state, str)
@@ -235,7 +234,7 @@
         and isinstance(generation, int)
         and isinstance(reported_by, str)
     ):
-        raise InvalidMessageError(f"no update of a member: {reprlib.repr(fields)}")
+        raise InvalidMessageError(f"malformed update: {reprlib.repr(fields)}")
     return MemberUpdate(
         _STATES_BY_VALUE[state], name, address, incarnation, generation, reported_by
     )
@@ -244,5 +243,7 @@
 def _decode_integers(fields: Sequence[object]) -> list[int]:
     integers = [value for value in fields if isinstance(value, int)]
     if len(integers) != len(fields):
-        raise InvalidMessageError(f"not all of them integers: {reprlib.repr(fields)}")
+        raise InvalidMessageError(
+            f"list has values that are not integers: {reprlib.repr(fields)}"
+        )
     return integers
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -1,25 +1,26 @@
-"""What happens where two processes go by one name."""
+"""Resolution of conflicts between processes that use the same name."""
 
 from wheathill.peers.membership.context import MembershipContext
 from wheathill.peers.membership.effects import ProbePurpose
 from wheathill.peers.membership.member import MemberState
 from wheathill.peers.membership.messages import MemberUpdate, NameConflict
 
-MIN_OWNERSHIP_INTERVALS = 10.0  # probe intervals after which a process holds its name
-MAX_DEFENCES = 3  # how often a name that is held is defended against one other process
+MIN_OWNERSHIP_INTERVALS = 10.0  # probe intervals before an instance defends its name
+MAX_DEFENCES = 3  # against one other process
 
 
 class NameOwnership:
-    """Decides whether this instance's name is its own, and rejects others' claims.
+    """Decides whether this instance owns its name, and rejects conflicting claims.
 
-    All members hold to the process with the higher incarnation, and of equal ones to
-    the one with the lower generation.
+    All members prefer the process with the higher incarnation, and of equal ones that
+    with the lower generation.
 
     Attributes:
         is_isolated: Whether another process holds the name, or an operator removed this
-            instance: it probes nobody, and sends nothing of itself but its claim.
-        is_removed: Whether an operator removed it.
-        held_since_ms: Since when it holds its name.
+            instance. An isolated instance probes no member and sends nothing about
+            itself except joins.
+        is_removed: Whether an operator removed this instance.
+        held_since_ms: When this instance acquired its name.
     """
 
     def __init__(self, context: MembershipContext) -> None:
@@ -27,13 +28,14 @@
         self.is_isolated = False
         self.is_removed = False
         self.held_since_ms = 0.0
-        # Generation of the other process -> how often the name was defended against it.
+        # Number of defences by the generation of the other process.
         self._defences: dict[int, int] = {}
 
     def reject_conflicting_claim(self, claim: MemberUpdate) -> bool:
-        """Answer a process that joins under a name that another one holds.
+        """Reject a join under a name that another process holds.
 
-        Returns whether another does: it keeps the name while it is there.
+        Return whether the claim was rejected. The holder keeps the name while it is
+        running.
         """
         known = self._context.table.members.get(claim.name)
         if (
@@ -54,12 +56,12 @@
         holder = MemberUpdate.of(known, reported_by=known.name)
         self._context.effects.send(claim.address, NameConflict(holder))
         if not is_local:
-            # It may have died a moment ago, and its successor be at another address.
+            # The holder may have just died, with its successor at another address.
             self._context.start_fallback_probe(known, ProbePurpose.NAME_CLAIM)
         return True
 
     def on_name_conflict(self, now_ms: float, holder: MemberUpdate) -> None:
-        """Take note that another process is said to hold this instance's name."""
+        """Handle a report that another process holds this instance's name."""
         local = self._context.local
         if holder.name == local.name and holder.generation != local.generation:
             self.resolve_conflict(now_ms, holder)
@@ -67,8 +69,9 @@
     def resolve_conflict(self, now_ms: float, other: MemberUpdate) -> None:
         """Defend the name against another process, or give it up.
 
-        One that has held the name for a while raises its incarnation past the other's,
-        a few times. Where both do, after a partition, the lower generation keeps it.
+        An instance that has held the name for a while raises its incarnation above the
+        other's, a limited number of times. If both do so, as after a partition, the
+        lower generation keeps the name.
         """
         local = self._context.local
         other_rank = (other.incarnation, -other.generation)
@@ -84,27 +87,27 @@
             self._defences[other.generation] = defences + 1
             self._context.raise_incarnation(other.incarnation)
         elif not self.is_isolated:
-            # It keeps asking: the process that holds the name may be gone by then.
+            # Joins are still sent, as the process that holds the name may end later.
             self.is_isolated = True
             self._context.gossip.discard(local)
             self._context.effects.log(
                 f"peers: the name {local.name} is held by {other.address}; "
-                "this instance stays alone"
+                "this instance stays out of the cluster"
             )
 
     def on_name_confirmed(self, now_ms: float) -> None:
-        """Take note that others hold the name to be this instance's."""
+        """Record that other instances attribute the name to this instance."""
         if self.is_isolated and not self.is_removed:
             self.is_isolated = False
             self.held_since_ms = now_ms
             self._context.effects.log(
-                f"peers: the name {self._context.local.name} is this instance's"
+                f"peers: this instance owns the name {self._context.local.name}"
             )
 
     def on_removed(self) -> None:
-        """Take note that an operator removed this instance."""
+        """Record that an operator removed this instance."""
         self.is_isolated = self.is_removed = True
         self._context.effects.log(
-            "peers: an operator took this instance off; "
-            "it comes back with its next start"
+            "peers: an operator removed this instance; "
+            "it rejoins the cluster when restarted"
         )
--- a/wheathill/peers/membership/probe_round.py
+++ b/wheathill/peers/membership/probe_round.py
@@ -5,9 +5,9 @@
 
 
 class ProbeRound:
-    """Each active member in turn, in an order that is drawn anew each round (SWIM).
+    """Selects each active member once per round, in a new random order (SWIM).
 
-    A death is so found within two rounds, and by chance sooner.
+    A death is therefore detected within two rounds, and usually sooner.
     """
 
     def __init__(self, context: MembershipContext) -> None:
@@ -15,7 +15,7 @@
         self._targets: list[Member] = []
 
     def next_target(self) -> Member | None:
-        """Return the member to probe next, None where there is no other."""
+        """Return the next member to probe, or None if there is no other member."""
         while True:
             if not self._targets:
                 self._targets = self._context.table.active_others()
@@ -28,10 +28,10 @@
                 return member
 
     def insert(self, member: Member) -> None:
-        """Add a member at a random place of the round.
+        """Add a member at a random position of the current round.
 
-        At its end those met first would be probed first, and then not for a whole
-        round.
+        If new members were placed last, those discovered first would be probed first,
+        and then not again for a whole round.
         """
         index = int(self._context.rng.random() * (len(self._targets) + 1))
         self._targets.insert(index, member)
--- a/wheathill/peers/membership/refutation.py
+++ b/wheathill/peers/membership/refutation.py
@@ -1,4 +1,4 @@
-"""What an instance does about updates of itself (SWIM's refutation)."""
+"""Handling of updates about this instance itself (SWIM's refutation)."""
 
 from wheathill.peers.membership.context import MembershipContext
 from wheathill.peers.membership.member import MemberState
@@ -7,14 +7,14 @@
 
 
 class Refutation:
-    """Refutes suspicions of this instance, and supersedes its predecessors."""
+    """Refutes suspicions of this instance, and supersedes its previous processes."""
 
     def __init__(self, context: MembershipContext, ownership: NameOwnership) -> None:
         self._context = context
         self._ownership = ownership
 
     def apply(self, now_ms: float, update: MemberUpdate) -> None:
-        """Apply an update about this instance's name."""
+        """Apply an update about this instance's own name."""
         local = self._context.local
         if update.generation != local.generation:
             self._apply_of_other_process(now_ms, update)
@@ -27,15 +27,15 @@
             and update.incarnation >= local.incarnation
             and not self._ownership.is_isolated
         ):
-            # To be suspected is a sign of being slow (Lifeguard).
+            # Being suspected indicates that this instance is slow (Lifeguard).
             self._context.health.worsen()
             self._context.raise_incarnation(update.incarnation)
             self.refute(update.reported_by)
 
     def refute(self, reported_by: str) -> None:
-        """Inform whoever suspects this instance, and a few more, that it is alive.
+        """Send the local state to the reporter of a suspicion and to a few others.
 
-        At once: what rides on probes may come too late.
+        It is sent immediately, as piggybacked updates may arrive too late.
         """
         informed = self._context.sample_others(self._context.config.indirect_checks)
         suspecting = self._context.table.members.get(reported_by)
@@ -53,6 +53,6 @@
         if update.state == MemberState.ALIVE and is_elsewhere:
             self._ownership.resolve_conflict(now_ms, update)
             return
-        # Of the process that had this name before: this one supersedes it.
+        # The update is about a previous process of this name, which is superseded.
         self._ownership.on_name_confirmed(now_ms)
         self._context.raise_incarnation(update.incarnation)
--- a/wheathill/peers/membership/transitions.py
+++ b/wheathill/peers/membership/transitions.py
@@ -1,4 +1,4 @@
-"""Changes of members to alive, dead and left."""
+"""State transitions of members to alive, dead and left."""
 
 from wheathill.peers.membership.context import MembershipContext
 from wheathill.peers.membership.effects import DeathCheckTimer
@@ -8,14 +8,14 @@
 
 
 class Transitions:
-    """Changes the state of members, and lets the cluster and this instance know."""
+    """Changes the state of members, gossips it, and reports it as an effect."""
 
     def __init__(self, context: MembershipContext, probe_round: ProbeRound) -> None:
         self._context = context
         self._probe_round = probe_round
 
     def add_alive(self, now_ms: float, update: MemberUpdate) -> Member:
-        """Take in a member that was not known, as alive, and return it."""
+        """Add an unknown member as alive, and return it."""
         member = self._add(now_ms, update, MemberState.ALIVE)
         self._probe_round.insert(member)
         self._context.gossip.add(member, update.reported_by)
@@ -23,15 +23,15 @@
         return member
 
     def add_dead(self, now_ms: float, update: MemberUpdate) -> None:
-        """Remember a dead member that was not known.
+        """Add an unknown member as dead.
 
-        It is kept so that an old update doesn't bring it back.
+        It is kept so that an outdated update does not bring it back.
         """
         member = self._add(now_ms, update, MemberState.DEAD)
         self._schedule_death_check(now_ms, member)
 
     def mark_alive(self, now_ms: float, member: Member, update: MemberUpdate) -> None:
-        """Hold a known member to be alive, as the process that `update` describes."""
+        """Mark a known member as alive, as the process that `update` describes."""
         previous_state = member.state
         is_other_process = member.generation != update.generation
         member.unconfirmed_since_ms = None
@@ -52,11 +52,11 @@
             self._context.effects.member_changed(member, previous_state)
 
     def mark_dead(self, now_ms: float, member: Member, reported_by: str) -> None:
-        """Declare `member` dead."""
+        """Mark `member` as dead."""
         self._mark_gone(now_ms, member, MemberState.DEAD, reported_by)
 
     def mark_left(self, now_ms: float, member: Member, reported_by: str) -> None:
-        """Hold `member` to have left for good."""
+        """Mark `member` as left, so that further updates about it are ignored."""
         self._mark_gone(now_ms, member, MemberState.LEFT, reported_by)
 
     def _add(self, now_ms: float, update: MemberUpdate, state: MemberState) -> Member:
@@ -86,9 +86,10 @@
         self._context.effects.member_changed(member, previous_state)
 
     def _schedule_death_check(self, now_ms: float, member: Member) -> None:
-        """Have a death that nobody has observed checked within an interval.
+        """Schedule a probe of an unconfirmed death within one probe interval.
 
-        The delay is random, as all others learn of the death at about the same time.
+        The random delay keeps instances, which all learn of the death at about the same
+        time, from probing simultaneously.
         """
         if not member.is_death_confirmed:
             interval_ms = self._context.config.probe_interval_ms
--- a/wheathill/peers/membership/updates.py
+++ b/wheathill/peers/membership/updates.py
@@ -1,4 +1,4 @@
-"""What follows from the updates that other instances send."""
+"""Processing of updates about members from other instances."""
 
 from collections.abc import Iterable
 
@@ -11,16 +11,17 @@
 from wheathill.peers.membership.suspicion import Suspicion
 from wheathill.peers.membership.transitions import Transitions
 
-# Probe intervals for which own contact with a member outweighs others' report of its
-# death: among few members and among many. Each is heard of directly about twice in a
-# round; of seven one was not for five intervals, and was taken for dead.
+# Number of probe intervals for which recent direct contact with a member overrides a
+# report of its death. It grows with the cluster size between these bounds, as a member
+# is heard from directly about twice per probe round: of seven members, one was not
+# heard from for five intervals and was wrongly declared dead.
 MIN_CONTACT_INTERVALS = 5.0
 MAX_CONTACT_INTERVALS = 20.0
 CONTACT_INTERVALS_PER_MEMBER = 2.0
 
 
 class UpdateHandler:
-    """Applies updates to the member table by SWIM's order of precedence."""
+    """Applies updates to the member table according to SWIM's precedence rules."""
 
     def __init__(
         self,
@@ -39,7 +40,7 @@
         self._anti_entropy = anti_entropy
 
     def apply_all(self, now_ms: float, updates: Iterable[MemberUpdate]) -> None:
-        """Apply updates in order, but for those about processes gone for good."""
+        """Apply updates in order, except those about removed processes."""
         table = self._context.table
         for update in updates:
             if table.is_removed(update.name, update.generation):
@@ -58,10 +59,10 @@
     def on_contact(
         self, now_ms: float, name: str, generation: int, address: str
     ) -> None:
-        """Take note that a process has sent a message that is not an old one.
+        """Record that a process has sent a current message, not a replayed one.
 
-        Where it has the name and address of a known member it is that one's successor,
-        whether or not its death was noticed.
+        A process with the name and address of a known member but another generation is
+        the successor of that member, whether or not its death was detected.
         """
         table = self._context.table
         known = table.members.get(name)
@@ -74,8 +75,9 @@
         ):
             return
         if self._context.config.digest_sync:
-            # Members that have not met it hold to its predecessor until its incarnation
-            # is higher; where only differences are sent, nothing else tells it of that.
+            # Other members keep the predecessor until the successor raises its
+            # incarnation above it. With digest sync only differences are exchanged, so
+            # the successor learns of this only from here.
             self._anti_entropy.send_member(address, known)
         table.mark_removed(known)
         successor = MemberUpdate(
@@ -101,11 +103,11 @@
     def _apply_to_other_process(
         self, now_ms: float, known: Member, update: MemberUpdate
     ) -> None:
-        """Let another process under the name of `known` succeed it, or not.
+        """Replace `known` by another process of its name if that takes precedence.
 
-        Generations have no order in time, but a process that is surely gone, or that
-        was succeeded at its address, never counts again. Of two that run the one with
-        the lower generation counts, so that all members agree.
+        Generations have no order in time, but a process that is confirmed dead, or that
+        was replaced at its address, is never accepted again. Of two running processes
+        the one with the lower generation wins, so that all members agree.
         """
         is_ahead = (
             update.incarnation,
@@ -121,8 +123,8 @@
             return
         if known.state == MemberState.ALIVE and known.address != update.address:
             self._context.effects.log(
-                f"peers: {update.name} is at {update.address} now, "
-                f"and was at {known.address}"
+                f"peers: {update.name} is now at {update.address}, "
+                f"previously at {known.address}"
             )
         self._transitions.mark_alive(now_ms, known, update)
 
@@ -168,7 +170,7 @@
         self._transitions.mark_dead(now_ms, known, update.reported_by)
 
     def _contact_window_ms(self) -> float:
-        """Return for how long own contact outweighs a report of death."""
+        """Return for how long direct contact overrides a report of death."""
         intervals = CONTACT_INTERVALS_PER_MEMBER * len(self._context.table.members)
         intervals = max(MIN_CONTACT_INTERVALS, intervals)
         intervals = min(MAX_CONTACT_INTERVALS, intervals)
