--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -20,7 +20,7 @@
     decode_message,
 )
 from wheathill.peers.membership.anti_entropy import (
-    DEATH_CHECKS,
+    DEATH_CHECKS_PER_SYNC,
     MAX_UNCONFIRMED_DEAD,
 )
 from wheathill.peers.membership.effects import SyncTimer
@@ -222,7 +222,7 @@
     cluster.resume("i003")
     cluster.run(10)
     assert cluster.has_converged() and any(
-        "stood still" in line for line in cluster.lines
+        "was stalled" in line for line in cluster.lines
     )
 
 
@@ -326,4 +326,4 @@
     )
     membership.on_timer(1.0, SyncTimer())
     assert list(membership.members) == ["a", *names[5:]]
-    assert len(effects.probes) == DEATH_CHECKS
+    assert len(effects.probes) == DEATH_CHECKS_PER_SYNC
