--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -95,7 +95,7 @@
 
     open = was_established = drained = quiet = True
     full = unread = False
-    waited = 0.0
+    ms_since_receive = 0.0
 
     def copy(self):
         return "handle"
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -598,7 +598,7 @@
         return self.up and not self.over and not self.is_closing
 
     @property
-    def waited(self):
+    def ms_since_receive(self):
         """ms since the last bytes came, read or not."""
         return self.carrier.host.clock.now() - self.came
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -152,7 +152,7 @@
     def waited(self, client):
         """How long its line has lain here unread, which is nothing but where this process stood still."""
         self.stood_still(self.now())
-        return client.wire.waited if self.now() < self.old_until else 0.0
+        return client.wire.ms_since_receive if self.now() < self.old_until else 0.0
 
     def stood_still(self, now):
         """Where a sweep is late by a whole one, what is read now and in a moment has waited as well."""
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -240,7 +240,7 @@
         return is_readable(self._socket)
 
     @property
-    def waited(self) -> float:
+    def ms_since_receive(self) -> float:
         """Milliseconds since bytes last arrived from the network."""
         return last_receive_ago_ms(self._socket)
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -123,7 +123,7 @@
         """Whether received bytes wait to be read."""
 
     @property
-    def waited(self) -> float:
+    def ms_since_receive(self) -> float:
         """The ms since bytes last came from the network."""
 
     @property
