--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -20,7 +20,7 @@
     open = full = False
     drained = True
     ready = list_unread = False
-    unread = False
+    has_unread_bytes = False
 
     def __init__(self, name="", lines=None):
         self.name = name
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -603,7 +603,7 @@
         return self.carrier.host.clock.now() - self.came
 
     @property
-    def unread(self):
+    def has_unread_bytes(self):
         return bool(self.inbox)
 
     @property
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -12,12 +12,12 @@
     Attributes:
         counted: whether it holds a descriptor.
         open: whether it is established and not closed.
-        unread: whether received bytes are waiting to be read.
+        has_unread_bytes: whether received bytes are waiting to be read.
     """
 
     counted: bool
     open: bool
-    unread: bool
+    has_unread_bytes: bool
 
     def send(self, *parts: bytes) -> None:
         """Send bytes."""
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -90,4 +90,4 @@
 
 
 def _has_unread(connection: "AdminConnection") -> bool:
-    return connection.open and connection.unread
+    return connection.open and connection.has_unread_bytes
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -56,7 +56,7 @@
         return [
             client
             for client, since in islice(self.silent.items(), count)
-            if since < late and not client.wire.unread
+            if since < late and not client.wire.has_unread_bytes
         ]
 
     def shut(self, client):
@@ -420,7 +420,7 @@
     def list_unread(self):
         """The list has more to tell that was not read yet: it counts as told already."""
         return any(
-            watch and watch.wire.open and watch.wire.unread
+            watch and watch.wire.open and watch.wire.has_unread_bytes
             for watch in (self.watch, self.beside)
         )
 
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -235,7 +235,7 @@
         )
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether the kernel holds received bytes that were not read yet."""
         return is_readable(self._socket)
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -119,7 +119,7 @@
         """Whether the last byte has left."""
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether received bytes wait to be read."""
 
     @property
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -156,7 +156,7 @@
             or self.door
             and self.door.waiting
             or any(
-                self.handed_over or not client.pings or client.wire.unread
+                self.handed_over or not client.pings or client.wire.has_unread_bytes
                 for client in self.silent
             )
         )
