--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -89,7 +89,12 @@
     def adopt(self, wire, machine):
         rehome(wire, self)
         wire.machine, machine.wire = machine, wire
-        wire.copied, wire.over, wire.held, wire.counted = False, wire.gone, True, True
+        wire.copied, wire.over, wire.held, wire.holds_descriptor = (
+            False,
+            wire.gone,
+            True,
+            True,
+        )
         self.host.clock.soon(self.adopted, wire)
         return wire
 
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -374,7 +374,7 @@
         self.over = False
         self.held = False
         self.copied = False  # another process is to have it
-        self.counted = False
+        self.holds_descriptor = False
         self.refused = False
         self.inbox = deque()  # bytes, or None for the end, that were not read yet
         self.unsent = deque()
@@ -388,8 +388,8 @@
         self.waiting = 0  # things sent that found no way yet
 
     def count(self, on):
-        self.carrier.sockets += on - self.counted
-        self.counted = on
+        self.carrier.sockets += on - self.holds_descriptor
+        self.holds_descriptor = on
 
     # What arrives
 
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -10,12 +10,12 @@
     """The connection that carries one request.
 
     Attributes:
-        counted: whether it holds a descriptor.
+        holds_descriptor: whether it holds a descriptor.
         open: whether it is established and not closed.
         has_unread_bytes: whether received bytes are waiting to be read.
     """
 
-    counted: bool
+    holds_descriptor: bool
     open: bool
     has_unread_bytes: bool
 
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -49,7 +49,9 @@
         fifty clients that connect at once, the one that has sent a request could be
         closed.
         """
-        for request in [each for each in self._requests if not each.wire.counted]:
+        for request in [
+            each for each in self._requests if not each.wire.holds_descriptor
+        ]:
             del self._requests[request]
         if len(self._requests) < self._proxy.limits.max_admin_requests:
             return True
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -38,7 +38,7 @@
         is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
-        counted: whether the transport counts it among its open descriptors.
+        holds_descriptor: whether the transport counts it among its open descriptors.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         self.is_closing = False
         self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
-        self.counted = False
+        self.holds_descriptor = False
         self._is_adopted = False
         self.refused = False
 
@@ -72,7 +72,7 @@
 
     def start_adopted(self, sock: socket.socket) -> None:
         """Start on a socket passed by another process, which is already counted."""
-        self._is_adopted = self.counted = True
+        self._is_adopted = self.holds_descriptor = True
         self._start(self._register(sock))
 
     def _start(self, establish: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -109,8 +109,8 @@
             self._report_lost(False)
 
     def _set_counted(self, on: bool) -> None:
-        self.carrier.sockets += on - self.counted
-        self.counted = on
+        self.carrier.sockets += on - self.holds_descriptor
+        self.holds_descriptor = on
 
     # Called by asyncio
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -94,13 +94,13 @@
         machine: the state machine that is fed.
         full: whether bytes wait to be sent.
         refused: whether the host was there, and nothing listened.
-        counted: whether the transport counts it as one of its descriptors.
+        holds_descriptor: whether the transport counts it as one of its descriptors.
     """
 
     machine: Any
     full: bool
     refused: bool
-    counted: bool
+    holds_descriptor: bool
 
     @property
     def was_established(self) -> bool:
