--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -94,7 +94,7 @@
     """One to a client or a server; what is sent on it is of no interest here."""
 
     open = was_established = drained = quiet = True
-    full = has_unread_bytes = False
+    is_write_blocked = has_unread_bytes = False
     ms_since_receive = 0.0
 
     def copy(self):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -17,7 +17,7 @@
 class Hand:
     """Stands in for the wire, the clock and the door of one machine; writes down what they are asked for."""
 
-    open = full = False
+    open = is_write_blocked = False
     drained = True
     ready = list_unread = False
     has_unread_bytes = False
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -36,7 +36,7 @@
             sess,
             None,
             False,
-            SimpleNamespace(full=False),
+            SimpleNamespace(is_write_blocked=False),
         )
 
 
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -242,7 +242,7 @@
     server.say("UP r1")
     turns.hears(client)
     (carried,) = turns.proxy.clients.values()
-    while not carried.wire.full:
+    while not carried.wire.is_write_blocked:
         server.sock.sendall(b"x" * 998 + b"\r\n")
         turns.turn()
     turns.for_ms(20)
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -153,7 +153,7 @@
         self.address, self.source = address, source
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
         self.wire = None
-        self.full = self.refused = self.over = False
+        self.is_write_blocked = self.refused = self.over = False
         self.latest = {
             True: 0.0,
             False: 0.0,
@@ -248,7 +248,7 @@
         pass  # what is still on its way is told later
 
     def blocked(self, on):
-        self.full = on
+        self.is_write_blocked = on
         self.tell("blocked", on)
 
     def fault(self):
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -367,7 +367,7 @@
         self.peer = None
         self.up = False  # the connection stands
         self.gone = False  # and no longer
-        self.full = False
+        self.is_write_blocked = False
         self.finished = False
         self.ended = False
         self.is_closing = False
@@ -495,8 +495,8 @@
                 self, self.host, self.peer.host, self.peer.arrive, data
             )
         full = bool(self.unsent)
-        if full is not self.full:
-            self.full = full
+        if full is not self.is_write_blocked:
+            self.is_write_blocked = full
             if not self.over and not self.is_closing:
                 self.guard(self.machine.blocked, full)
 
@@ -579,7 +579,7 @@
             and not self.gone
             and not self.finished
             and not self.ended
-            and not self.full
+            and not self.is_write_blocked
             and self.drained
             and not self.inbox
         )
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -326,7 +326,7 @@
             if (
                 client.sess is not None
                 and client.asked is not None
-                and not client.wire.full
+                and not client.wire.is_write_blocked
                 and now - client.asked >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -31,7 +31,7 @@
         machine: the protocol state machine that receives events; `NoMachine` once the
             connection has closed.
         transport: the asyncio transport, once the connection is established.
-        full: whether bytes are waiting in the send buffer.
+        is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
         finished: whether this side has sent end of stream.
         ended: whether the peer has sent end of stream.
@@ -48,7 +48,7 @@
         self.machine = make_machine(self)
         self.transport: Any = None  # asyncio.Transport; Any avoids casts at each call
         self._task: asyncio.Task[None] | None = None
-        self.full = False
+        self.is_write_blocked = False
         self.finished = False
         self.ended = False
         self.is_closing = False
@@ -164,12 +164,12 @@
 
     def pause_writing(self) -> None:
         """Notify the machine that bytes are waiting in the send buffer."""
-        self.full = True
+        self.is_write_blocked = True
         self.guard(self.machine.blocked, True)
 
     def resume_writing(self) -> None:
         """Notify the machine that the send buffer is empty."""
-        self.full = False
+        self.is_write_blocked = False
         self.guard(self.machine.blocked, False)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -230,7 +230,7 @@
             self.open
             and not self.finished
             and not self.ended
-            and not self.full
+            and not self.is_write_blocked
             and self.drained
         )
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -92,13 +92,13 @@
 
     Attributes:
         machine: the state machine that is fed.
-        full: whether bytes wait to be sent.
+        is_write_blocked: whether bytes wait to be sent.
         refused: whether the host was there, and nothing listened.
         holds_descriptor: whether the transport counts it as one of its descriptors.
     """
 
     machine: Any
-    full: bool
+    is_write_blocked: bool
     refused: bool
     holds_descriptor: bool
 
--- a/wheathill/peers/connections.py
+++ b/wheathill/peers/connections.py
@@ -7,11 +7,11 @@
     """A connection of a carrier.
 
     Attributes:
-        full: whether bytes wait to be sent, as the other end does not read.
+        is_write_blocked: whether bytes wait to be sent, as the other end does not read.
         refused: whether the host was there, and nothing listened.
     """
 
-    full: bool
+    is_write_blocked: bool
     refused: bool
 
     def send(self, *parts: bytes) -> None:
--- a/wheathill/peers/streams.py
+++ b/wheathill/peers/streams.py
@@ -182,7 +182,7 @@
             self._send_queued()
 
     def _send_queued(self) -> None:
-        while self._queue and not self.wire.full:
+        while self._queue and not self.wire.is_write_blocked:
             queued = self._queue.popleft()
             self._queued_bytes -= queued.frame_size
             self._metrics.bytes_sent += queued.frame_size
@@ -191,7 +191,7 @@
                     self._receiver_generation, queued.payload
                 )
             )
-        is_waiting = bool(self._queue) or self.wire.full
+        is_waiting = bool(self._queue) or self.wire.is_write_blocked
         self.set_timer(STALL_TIMEOUT_MS if is_waiting else IDLE_TIMEOUT_MS, self.end)
 
     def blocked(self, on: bool) -> None:
