--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -97,7 +97,7 @@
     is_write_blocked = has_unread_bytes = False
     ms_since_receive = 0.0
 
-    def copy(self):
+    def duplicate(self):
         return "handle"
 
     def abort(self, reset=False):
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -584,7 +584,7 @@
             and not self.inbox
         )
 
-    def copy(self):
+    def duplicate(self):
         self.copied = True
         self.carrier.sockets += 1
         return self
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -361,9 +361,9 @@
     def hand_over(self, sess, client):
         """Descriptors of both its connections, which this process lets go of; none where it has none left."""
         try:
-            handles = [client.wire.copy()]
+            handles = [client.wire.duplicate()]
             try:
-                handles.append(client.dial.wire.copy())
+                handles.append(client.dial.wire.duplicate())
             except OSError:
                 self.carrier.close_handles(handles)
                 raise
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -275,7 +275,7 @@
             else:
                 self.transport.resume_reading()
 
-    def copy(self) -> int:
+    def duplicate(self) -> int:
         """Return a duplicate descriptor, to be passed to another process.
 
         If the connection was quiet, this side can then be aborted without the peer
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -136,7 +136,7 @@
     def hold(self, on: bool) -> None:
         """Pause or resume reading."""
 
-    def copy(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
+    def duplicate(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
         """Return what another process needs to have the connection; raises OSError."""
 
     def finish(self) -> None:
@@ -244,7 +244,7 @@
     ) -> DatagramSocket:
         """Bind a socket for datagrams; raises OSError."""
 
-    def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
+    def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `duplicate` gave
         """Take over a connection that another process has passed."""
 
     def close_handles(self, handles: Sequence[Any]) -> None:
