--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -106,7 +106,7 @@
     def ignore(self, *_):
         pass
 
-    send = hold = finish = close_gracefully = ignore
+    send = set_paused = finish = close_gracefully = ignore
 
 
 class UnixConnection:
@@ -187,7 +187,7 @@
         self.transport.reaches = beside
         self.proxy = Proxy(node, self.transport, Clock(), self.note)
         self.proxy.door = types.SimpleNamespace(
-            hold=lambda on: None, close=lambda: None, waiting=False
+            set_paused=lambda on: None, close=lambda: None, waiting=False
         )
         UpgradeCoordinator(
             self.proxy, self.transport, self.proxy.clock, self.note
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -341,7 +341,9 @@
     monkeypatch.setattr(
         AdminServer, "make_room", lambda server: True
     )  # nobody makes room
-    monkeypatch.setattr(AdminRequest, "connected", lambda call: call.wire.hold(True))
+    monkeypatch.setattr(
+        AdminRequest, "connected", lambda call: call.wire.set_paused(True)
+    )
     calls = play(scripts.read("experiments/callers.toml")).breaches
     assert any("an operator's call" in breach.what for breach in calls)
 
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -106,12 +106,12 @@
 
 def held_reader_blocks_its_writer():
     pair = Pair().run(10)
-    pair.far.wire.hold(True)
+    pair.far.wire.set_paused(True)
     for _ in range(5):
         pair.near.wire.send(b"x" * 100_000)
     pair.run(20)
     pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
-    pair.far.wire.hold(False)
+    pair.far.wire.set_paused(False)
     pair.run(20)
     pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
     return pair.lines
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -54,7 +54,7 @@
     def accepts(self):
         return self.on and self.carrier.host.alive and not self.carrier.host.paused
 
-    def hold(self, on):
+    def set_paused(self, on):
         self.on = not on
         self.held.look()
 
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -514,7 +514,7 @@
     def close_gracefully(self):
         if not self.open:
             return self.abort()
-        self.hold(False)
+        self.set_paused(False)
         self.finish()
         self.is_closing = True
         if self.gone:
@@ -566,7 +566,7 @@
             self.over = self.gone = True
             self.reset_peer()
 
-    def hold(self, on):
+    def set_paused(self, on):
         if self.open and not self.gone:
             self.held = on
             if not on and self.inbox:
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -290,7 +290,7 @@
         self.silent = True
         for door in self.doors:
             # With a full backlog the system drops what asks for a connection, as if nobody were there.
-            door.hold(True)
+            door.set_paused(True)
             door.sock.listen(0)
             for _ in range(3):
                 jam = socket.socket()
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -94,8 +94,8 @@
     def adopted(self):
         """Nothing is read until both sides are here: it could not be passed on."""
         if self.wire.open and self.dial.wire.open:
-            self.wire.hold(False)
-            self.dial.wire.hold(False)
+            self.wire.set_paused(False)
+            self.dial.wire.set_paused(False)
 
     @property
     def repeats(self):
@@ -129,7 +129,7 @@
 
     def blocked(self, on):
         if self.up:
-            self.dial.wire.hold(on)
+            self.dial.wire.set_paused(on)
 
     def ended(self):
         self.owner.hung_up(self)
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -267,7 +267,7 @@
         if self.open and not self.finished:
             self.transport.writelines(parts)
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
         if self.open and not self.transport.is_closing():
             if on:
@@ -312,7 +312,7 @@
         if not self.open:
             self.abort()
             return
-        self.hold(False)
+        self.set_paused(False)
         self.finish()
         self.is_closing = True
         if self.carrier.free < self.carrier.limits.reserved_sockets:
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -133,7 +133,7 @@
     def send(self, *parts: bytes) -> None:
         """Send bytes, now or as soon as the peer reads."""
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
 
     def duplicate(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
@@ -174,7 +174,7 @@
     def waiting(self) -> bool:
         """Whether somebody is on the way in."""
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Accept nobody for now, or go on."""
 
     def close(self) -> None:
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -24,8 +24,8 @@
     """Protocol state machine of one connection.
 
     The connection calls it on each event. It uses only the connection's `send`,
-    `finish`, `close_gracefully`, `abort` and `hold`, and reports results to its owner.
-    It has at most one timer.
+    `finish`, `close_gracefully`, `abort` and `set_paused`, and reports results to its
+    owner. It has at most one timer.
 
     Attributes:
         owner: the object that results are reported to.
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -162,7 +162,7 @@
         if not on:
             self.line_left()
         if self.up:
-            self.client.wire.hold(on)
+            self.client.wire.set_paused(on)
 
     def ended(self):
         if not self.up:
--- a/wheathill/net/server_socket.py
+++ b/wheathill/net/server_socket.py
@@ -43,9 +43,9 @@
         self._is_backing_off = False  # paused only for `accept_pause_ms`
         # Accepted connections whose machine was not notified yet, in order.
         self._starting: dict[Connection, None] = {}
-        self.hold(False)
+        self.set_paused(False)
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume accepting; has no effect on a closed socket.
 
         While paused, the kernel still completes handshakes into the backlog.
@@ -63,7 +63,7 @@
 
     def close(self) -> None:
         """Stop accepting and close the socket."""
-        self.hold(True)
+        self.set_paused(True)
         self.sock.close()
 
     @property
@@ -99,8 +99,8 @@
         )
 
     def _back_off(self) -> None:
-        self.hold(True)
+        self.set_paused(True)
         self._is_backing_off = True
         self._resume_timer = self._carrier.loop.call_later(
-            self._carrier.limits.accept_pause_ms / 1000, self.hold, False
+            self._carrier.limits.accept_pause_ms / 1000, self.set_paused, False
         )
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -97,7 +97,7 @@
     def adopt(self, descriptor: int, machine: ProtocolMachine) -> Connection:
         """Take over a connection whose descriptor another process has passed.
 
-        Reading is paused until `hold(False)`.
+        Reading is paused until `set_paused(False)`.
         """
         connection = machine.wire = Connection(self, lambda _: machine)
         connection.start_adopted(socket.socket(fileno=descriptor))
