--- a/tests/golden_proxy.py
+++ b/tests/golden_proxy.py
@@ -109,7 +109,7 @@
 
     def finish(self) -> None:
         """Ends sending."""
-        self.wire.finish()
+        self.wire.send_eof()
 
     def reset(self) -> None:
         """Breaks the connection."""
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -106,7 +106,7 @@
     def ignore(self, *_):
         pass
 
-    send = set_paused = finish = close_gracefully = ignore
+    send = set_paused = send_eof = close_gracefully = ignore
 
 
 class UnixConnection:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,7 +94,7 @@
         if dial.up and dial.between_lines:
             lines.append("-- between lines")
     dial.ended()
-    return [line for line in lines if "client send" not in line and "heard" not in line]
+    return [line for line in lines if "client send " not in line and "heard" not in line]
 
 
 def move_waits():
@@ -139,7 +139,7 @@
 
     wire.transport.write_eof = write_eof
     wire.transport.is_closing = lambda: False
-    wire.finish()
+    wire.send_eof()
     wire.connection_lost(None)
     return lines
 
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -96,10 +96,10 @@
     pair = Pair().run(10)
     pair.near.wire.send(b"hello", b" there")
     pair.run(5)
-    pair.near.wire.finish()
+    pair.near.wire.send_eof()
     pair.run(5)
     pair.far.wire.send(b"after your end")
-    pair.far.wire.finish()
+    pair.far.wire.send_eof()
     pair.run(5)
     return pair.lines
 
@@ -177,7 +177,7 @@
     pair.far.wire.close_gracefully()
     pair.near.wire.send(b"still talking")
     pair.run(5)
-    pair.near.wire.finish()
+    pair.near.wire.send_eof()
     pair.run(2000)
     pair.lines.append(
         f"sockets {pair.one.carrier.sockets} and {pair.other.carrier.sockets}"
--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -230,7 +230,7 @@
             return self.person.over("gave up")
         self.record.note("left", sess=self.name, how="changed its mind")
         self.quit()
-        self.wire.finish()
+        self.wire.send_eof()
         self.set_timer(2000.0, self.wire.abort)
         self.person.over("gave up")
 
@@ -294,7 +294,7 @@
         self.record.note("left", sess=self.name, how="lived")
         self.over = True
         self.timer.cancel()
-        self.wire.finish()
+        self.wire.send_eof()
         self.set_timer(2000.0, self.wire.abort)
         self.person.over("lived")
 
@@ -319,7 +319,7 @@
     def end(self, how, come_back_after=None):
         self.quit()
         self.final = True
-        self.wire.finish()
+        self.wire.send_eof()
         self.set_timer(2000.0, self.wire.abort)
         self.person.over(how, come_back_after)
 
--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -210,7 +210,7 @@
                     return self.leave()
                 self.wire.send(b"a line", CRLF)
             elif self.way in ("by_finishing", "by_looking"):
-                return self.wire.finish()
+                return self.wire.send_eof()
 
     def leave(self):
         self.wire.abort(reset=True)
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -500,7 +500,7 @@
             if not self.over and not self.is_closing:
                 self.guard(self.machine.blocked, full)
 
-    def finish(self):
+    def send_eof(self):
         if self.open and not self.finished:
             self.finished = True
             if self.ended:
@@ -515,7 +515,7 @@
         if not self.open:
             return self.abort()
         self.set_paused(False)
-        self.finish()
+        self.send_eof()
         self.is_closing = True
         if self.gone:
             return
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -241,7 +241,7 @@
         if self.dead or half.other.wire is None:
             return
         if data is None:
-            return half.other.wire.finish()
+            return half.other.wire.send_eof()
         if way.then and half.passed >= 0:
             room = way.after - half.passed
             if len(data) >= room:
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -216,8 +216,8 @@
     def send(self, *parts):
         self.tap.pass_on(False, self.wire.send, *parts)
 
-    def finish(self):
-        self.tap.pass_on(False, self.wire.finish)
+    def send_eof(self):
+        self.tap.pass_on(False, self.wire.send_eof)
 
     def close_gracefully(self):
         self.tap.pass_on(False, self.wire.close_gracefully)
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -107,8 +107,8 @@
         self.held_out = [(self.wire.send, data[cut.first :])]
         self.host.clock.after(cut.wait, self.go_on, cut, "held_out")
 
-    def finish(self):
-        self.pass_out(self.wire.finish)
+    def send_eof(self):
+        self.pass_out(self.wire.send_eof)
 
     def close_gracefully(self):
         self.pass_out(self.wire.close_gracefully)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -134,7 +134,7 @@
     def ended(self):
         self.owner.hung_up(self)
         if self.up:
-            self.dial.wire.finish()
+            self.dial.wire.send_eof()
             self.dial.set_timer(self.limits.linger_ms, self.dial.close)
         else:
             # A session needs both directions, so this one is over, and still gets its answer.
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -288,7 +288,7 @@
         self.carrier.sockets += 1
         return descriptor
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
         if not self.open or self.finished or self.transport.is_closing():
             return
@@ -313,7 +313,7 @@
             self.abort()
             return
         self.set_paused(False)
-        self.finish()
+        self.send_eof()
         self.is_closing = True
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             self.transport.close()
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -139,7 +139,7 @@
     def duplicate(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
         """Return what another process needs to have the connection; raises OSError."""
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send no more; what the peer sends is still received."""
 
     def close_gracefully(self) -> None:
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -24,7 +24,7 @@
     """Protocol state machine of one connection.
 
     The connection calls it on each event. It uses only the connection's `send`,
-    `finish`, `close_gracefully`, `abort` and `set_paused`, and reports results to its
+    `send_eof`, `close_gracefully`, `abort` and `set_paused`, and reports results to its
     owner. It has at most one timer.
 
     Attributes:
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -168,7 +168,7 @@
         if not self.up:
             return self.give_up(self.broken)
         self.tell_over(self.outcome)
-        self.client.wire.finish()
+        self.client.wire.send_eof()
         self.set_timer(self.limits.linger_ms, self.close)
 
     @property
