--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -56,7 +56,7 @@
         return [
             client
             for client, since in islice(self.silent.items(), count)
-            if since < late and not client.wire.unread
+            if since < late and not client.wire.has_unread_bytes
         ]
 
     def shut(self, client):
@@ -152,7 +152,7 @@
     def waited(self, client):
         """How long its line has lain here unread, which is nothing but where this process stood still."""
         self.stood_still(self.now())
-        return client.wire.waited if self.now() < self.old_until else 0.0
+        return client.wire.ms_since_receive if self.now() < self.old_until else 0.0
 
     def stood_still(self, now):
         """Where a sweep is late by a whole one, what is read now and in a moment has waited as well."""
@@ -326,7 +326,7 @@
             if (
                 client.sess is not None
                 and client.asked is not None
-                and not client.wire.full
+                and not client.wire.is_write_blocked
                 and now - client.asked >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
@@ -361,9 +361,9 @@
     def hand_over(self, sess, client):
         """Descriptors of both its connections, which this process lets go of; none where it has none left."""
         try:
-            handles = [client.wire.copy()]
+            handles = [client.wire.duplicate()]
             try:
-                handles.append(client.dial.wire.copy())
+                handles.append(client.dial.wire.duplicate())
             except OSError:
                 self.carrier.close_handles(handles)
                 raise
@@ -420,7 +420,7 @@
     def list_unread(self):
         """The list has more to tell that was not read yet: it counts as told already."""
         return any(
-            watch and watch.wire.open and watch.wire.unread
+            watch and watch.wire.open and watch.wire.has_unread_bytes
             for watch in (self.watch, self.beside)
         )
 
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -94,8 +94,8 @@
     def adopted(self):
         """Nothing is read until both sides are here: it could not be passed on."""
         if self.wire.open and self.dial.wire.open:
-            self.wire.hold(False)
-            self.dial.wire.hold(False)
+            self.wire.set_paused(False)
+            self.dial.wire.set_paused(False)
 
     @property
     def repeats(self):
@@ -129,12 +129,12 @@
 
     def blocked(self, on):
         if self.up:
-            self.dial.wire.hold(on)
+            self.dial.wire.set_paused(on)
 
     def ended(self):
         self.owner.hung_up(self)
         if self.up:
-            self.dial.wire.finish()
+            self.dial.wire.send_eof()
             self.dial.set_timer(self.limits.linger_ms, self.dial.close)
         else:
             # A session needs both directions, so this one is over, and still gets its answer.
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -31,14 +31,14 @@
         machine: the protocol state machine that receives events; `NoMachine` once the
             connection has closed.
         transport: the asyncio transport, once the connection is established.
-        full: whether bytes are waiting in the send buffer.
+        is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
         finished: whether this side has sent end of stream.
         ended: whether the peer has sent end of stream.
         is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
-        counted: whether the transport counts it among its open descriptors.
+        holds_descriptor: whether the transport counts it among its open descriptors.
     """
 
     def __init__(
@@ -48,13 +48,13 @@
         self.machine = make_machine(self)
         self.transport: Any = None  # asyncio.Transport; Any avoids casts at each call
         self._task: asyncio.Task[None] | None = None
-        self.full = False
+        self.is_write_blocked = False
         self.finished = False
         self.ended = False
         self.is_closing = False
         self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
-        self.counted = False
+        self.holds_descriptor = False
         self._is_adopted = False
         self.refused = False
 
@@ -72,7 +72,7 @@
 
     def start_adopted(self, sock: socket.socket) -> None:
         """Start on a socket passed by another process, which is already counted."""
-        self._is_adopted = self.counted = True
+        self._is_adopted = self.holds_descriptor = True
         self._start(self._register(sock))
 
     def _start(self, establish: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -109,8 +109,8 @@
             self._report_lost(False)
 
     def _set_counted(self, on: bool) -> None:
-        self.carrier.sockets += on - self.counted
-        self.counted = on
+        self.carrier.sockets += on - self.holds_descriptor
+        self.holds_descriptor = on
 
     # Called by asyncio
 
@@ -164,12 +164,12 @@
 
     def pause_writing(self) -> None:
         """Notify the machine that bytes are waiting in the send buffer."""
-        self.full = True
+        self.is_write_blocked = True
         self.guard(self.machine.blocked, True)
 
     def resume_writing(self) -> None:
         """Notify the machine that the send buffer is empty."""
-        self.full = False
+        self.is_write_blocked = False
         self.guard(self.machine.blocked, False)
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -230,17 +230,17 @@
             self.open
             and not self.finished
             and not self.ended
-            and not self.full
+            and not self.is_write_blocked
             and self.drained
         )
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether the kernel holds received bytes that were not read yet."""
         return is_readable(self._socket)
 
     @property
-    def waited(self) -> float:
+    def ms_since_receive(self) -> float:
         """Milliseconds since bytes last arrived from the network."""
         return last_receive_ago_ms(self._socket)
 
@@ -267,7 +267,7 @@
         if self.open and not self.finished:
             self.transport.writelines(parts)
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
         if self.open and not self.transport.is_closing():
             if on:
@@ -275,7 +275,7 @@
             else:
                 self.transport.resume_reading()
 
-    def copy(self) -> int:
+    def duplicate(self) -> int:
         """Return a duplicate descriptor, to be passed to another process.
 
         If the connection was quiet, this side can then be aborted without the peer
@@ -288,7 +288,7 @@
         self.carrier.sockets += 1
         return descriptor
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
         if not self.open or self.finished or self.transport.is_closing():
             return
@@ -312,8 +312,8 @@
         if not self.open:
             self.abort()
             return
-        self.hold(False)
-        self.finish()
+        self.set_paused(False)
+        self.send_eof()
         self.is_closing = True
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             self.transport.close()
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -92,15 +92,15 @@
 
     Attributes:
         machine: the state machine that is fed.
-        full: whether bytes wait to be sent.
+        is_write_blocked: whether bytes wait to be sent.
         refused: whether the host was there, and nothing listened.
-        counted: whether the transport counts it as one of its descriptors.
+        holds_descriptor: whether the transport counts it as one of its descriptors.
     """
 
     machine: Any
-    full: bool
+    is_write_blocked: bool
     refused: bool
-    counted: bool
+    holds_descriptor: bool
 
     @property
     def was_established(self) -> bool:
@@ -119,11 +119,11 @@
         """Whether the last byte has left."""
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether received bytes wait to be read."""
 
     @property
-    def waited(self) -> float:
+    def ms_since_receive(self) -> float:
         """The ms since bytes last came from the network."""
 
     @property
@@ -133,13 +133,13 @@
     def send(self, *parts: bytes) -> None:
         """Send bytes, now or as soon as the peer reads."""
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
 
-    def copy(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
+    def duplicate(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
         """Return what another process needs to have the connection; raises OSError."""
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send no more; what the peer sends is still received."""
 
     def close_gracefully(self) -> None:
@@ -174,7 +174,7 @@
     def waiting(self) -> bool:
         """Whether somebody is on the way in."""
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Accept nobody for now, or go on."""
 
     def close(self) -> None:
@@ -244,7 +244,7 @@
     ) -> DatagramSocket:
         """Bind a socket for datagrams; raises OSError."""
 
-    def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
+    def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `duplicate` gave
         """Take over a connection that another process has passed."""
 
     def close_handles(self, handles: Sequence[Any]) -> None:
