--- a/wheathill/policy/outlier_detection.py
+++ b/wheathill/policy/outlier_detection.py
@@ -153,20 +153,22 @@
         for attempt in self.recent_attempts:
             if attempt.at_ms > since_ms:
                 results.setdefault(attempt.server, []).append(attempt.succeeded)
-        failing = sum(2 * sum(each) <= len(each) for each in results.values())
-        attempts = sum(len(each) for each in results.values())
-        succeeded = sum(sum(each) for each in results.values())
+        failing_servers = sum(
+            2 * sum(outcomes) <= len(outcomes) for outcomes in results.values()
+        )
+        attempts = sum(len(outcomes) for outcomes in results.values())
+        succeeded = sum(sum(outcomes) for outcomes in results.values())
         return (
-            failing >= MIN_FAILING_SERVERS
-            and 2 * failing >= len(results)
+            failing_servers >= MIN_FAILING_SERVERS
+            and 2 * failing_servers >= len(results)
             and 2 * succeeded <= attempts
         )
 
 
 def _trial_wait_ms(failures_ms: list[float]) -> float:
     """Return the delay between the last failure and the next trial."""
-    separate = 1 + sum(
+    separate_failures = 1 + sum(
         later_ms - earlier_ms > FAILURE_INTERVAL_MS
         for earlier_ms, later_ms in zip(failures_ms, failures_ms[1:], strict=False)
     )
-    return FAILURE_INTERVAL_MS * 2 ** (separate + 1)
+    return FAILURE_INTERVAL_MS * 2 ** (separate_failures + 1)
--- a/wheathill/policy/slow_start.py
+++ b/wheathill/policy/slow_start.py
@@ -68,8 +68,8 @@
         """
         age_ms = max(0.0, now_ms - (server.started_ms or 0.0))
         window = age_ms / self._window_ms + self.proxy_index / self.proxy_count
-        turn = (self.proxy_index + int(window)) * GOLDEN_RATIO
-        return (turn + server.hash_draws[0] / HASH_DRAW_RANGE) % 1.0
+        rotation = (self.proxy_index + int(window)) * GOLDEN_RATIO
+        return (rotation + server.hash_draws[0] / HASH_DRAW_RANGE) % 1.0
 
     def allows(self, now_ms: float, server: Server) -> bool:
         """Return whether slow start permits an attempt at a server."""
@@ -83,9 +83,9 @@
         ]
         whole, fraction = divmod(permitted, 1.0)
         threshold = self._rotation_threshold(permitted, fraction)
-        has_turn = self.rotation_position(now_ms, server) < threshold
+        has_extra_attempt = self.rotation_position(now_ms, server) < threshold
         return (
-            len(server.warmup_attempt_times_ms) < whole + has_turn
+            len(server.warmup_attempt_times_ms) < whole + has_extra_attempt
             and now_ms >= self.process_started_ms + self._window_ms
         )
 
