--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -139,8 +139,8 @@
     def write_eof():
         raise OSError(107, "Transport endpoint is not connected")
 
-    wire.transport.write_eof = write_eof
-    wire.transport.is_closing = lambda: False
+    wire.asyncio_transport.write_eof = write_eof
+    wire.asyncio_transport.is_closing = lambda: False
     wire.send_eof()
     wire.connection_lost(None)
     return lines
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -205,7 +205,7 @@
             self.carry(True, self.put, b"".join(parts))
 
     def put(self, data):
-        if self.wire.open and not self.wire.transport.is_closing():
+        if self.wire.open and not self.wire.asyncio_transport.is_closing():
             self.wire.send(data)
 
     def abort(self, reset=False):
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -193,7 +193,7 @@
         relay.streams[self] = None
 
     def connected(self):
-        host = self.wire.transport.get_extra_info("peername")[0]
+        host = self.wire.asyncio_transport.get_extra_info("peername")[0]
         self.one = self.relay.name_of(host)
         if self.one is None:
             return self.end(True)
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -30,7 +30,7 @@
         carrier: the transport that this connection belongs to.
         machine: the protocol state machine that receives events; `NoMachine` once the
             connection has closed.
-        transport: the asyncio transport, once the connection is established.
+        asyncio_transport: the asyncio transport, once the connection is established.
         is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
         finished: whether this side has sent end of stream.
@@ -46,7 +46,9 @@
     ) -> None:
         self.carrier = carrier
         self.machine = make_machine(self)
-        self.transport: Any = None  # asyncio.Transport; Any avoids casts at each call
+        self.asyncio_transport: Any = (
+            None  # asyncio.Transport; Any avoids casts at each call
+        )
         self._task: asyncio.Task[None] | None = None
         self.is_write_blocked = False
         self.finished = False
@@ -84,7 +86,7 @@
         # A finished task references its exception, whose traceback frames reference
         # this connection; drop it to avoid a reference cycle.
         self._task = None
-        if self.transport is None:
+        if self.asyncio_transport is None:
             self._release_machine()
 
     async def _register(self, sock: socket.socket) -> None:
@@ -114,9 +116,9 @@
 
     # Called by asyncio
 
-    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `transport`
+    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `asyncio_transport`
         """Notify the machine, unless it has aborted the connection attempt."""
-        self.transport = transport
+        self.asyncio_transport = transport
         self._set_counted(True)
         if self.over:
             transport.abort()
@@ -146,7 +148,7 @@
         # the connection and lose the last line sent, but only up to a limit.
         self._discarded_bytes += nbytes
         if self._discarded_bytes > self.carrier.limits.max_buffered_bytes:
-            self.transport.pause_reading()
+            self.asyncio_transport.pause_reading()
 
     def eof_received(self) -> bool:
         """Notify the machine once; return whether the transport stays open.
@@ -192,11 +194,11 @@
         """
         machine, self.machine = self.machine, NoMachine
         machine.release()
-        attributes = vars(self.transport) if self.transport else {}
+        attributes = vars(self.asyncio_transport) if self.asyncio_transport else {}
         for name in [
             name
             for name, value in attributes.items()
-            if getattr(value, "__self__", None) is self.transport
+            if getattr(value, "__self__", None) is self.asyncio_transport
         ]:
             del attributes[name]
 
@@ -205,12 +207,14 @@
     @property
     def was_established(self) -> bool:
         """Whether the connection was ever established."""
-        return self.transport is not None
+        return self.asyncio_transport is not None
 
     @property
     def open(self) -> bool:
         """Whether it is established and neither lost, aborted nor closed."""
-        return self.transport is not None and not self.over and not self.is_closing
+        return (
+            self.asyncio_transport is not None and not self.over and not self.is_closing
+        )
 
     @property
     def drained(self) -> bool:
@@ -219,8 +223,8 @@
         A failed transport has an empty buffer too, so it is checked for closing.
         """
         return (
-            not self.transport.is_closing()
-            and not self.transport.get_write_buffer_size()
+            not self.asyncio_transport.is_closing()
+            and not self.asyncio_transport.get_write_buffer_size()
         )
 
     @property
@@ -250,7 +254,11 @@
 
         The kernel keeps sending what it has accepted, even after this side closes.
         """
-        buffered = self.transport.get_write_buffer_size() if self.transport else 0
+        buffered = (
+            self.asyncio_transport.get_write_buffer_size()
+            if self.asyncio_transport
+            else 0
+        )
         try:
             return buffered and buffered + kernel_unsent_bytes(self._socket)
         except OSError:
@@ -258,22 +266,22 @@
 
     @property
     def _socket(self) -> socket.socket:
-        return self.transport.get_extra_info("socket")
+        return self.asyncio_transport.get_extra_info("socket")
 
     # Called by the machine
 
     def send(self, *parts: bytes) -> None:
         """Send bytes, or buffer them until the peer reads."""
         if self.open and not self.finished:
-            self.transport.writelines(parts)
+            self.asyncio_transport.writelines(parts)
 
     def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
-        if self.open and not self.transport.is_closing():
+        if self.open and not self.asyncio_transport.is_closing():
             if on:
-                self.transport.pause_reading()
+                self.asyncio_transport.pause_reading()
             else:
-                self.transport.resume_reading()
+                self.asyncio_transport.resume_reading()
 
     def duplicate(self) -> int:
         """Return a duplicate descriptor, to be passed to another process.
@@ -290,17 +298,17 @@
 
     def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
-        if not self.open or self.finished or self.transport.is_closing():
+        if not self.open or self.finished or self.asyncio_transport.is_closing():
             return
         self.finished = True
         if self.ended:
-            self.transport.close()
+            self.asyncio_transport.close()
             return
         try:
-            self.transport.write_eof()
+            self.asyncio_transport.write_eof()
         except OSError:
             # The peer has reset the connection, and the loop has not noticed yet.
-            self.transport.abort()
+            self.asyncio_transport.abort()
 
     def close_gracefully(self) -> None:
         """Close gracefully; the machine gets no further events.
@@ -316,7 +324,7 @@
         self.send_eof()
         self.is_closing = True
         if self.carrier.free < self.carrier.limits.reserved_sockets:
-            self.transport.close()
+            self.asyncio_transport.close()
             return
         self.carrier.closing_connections[self] = None
         self._linger(math.inf)
@@ -332,21 +340,21 @@
                 self.carrier.limits.linger_ms / 1000, self._linger, unsent
             )
         else:
-            self.transport.abort()
+            self.asyncio_transport.abort()
 
     def abort(self, reset: bool = False) -> None:
         """Close immediately and discard unsent bytes; `reset` forces a TCP reset."""
         if self.over:
             return
         self.over = True
-        if self.transport is None:
+        if self.asyncio_transport is None:
             if self._task:
                 self._task.cancel()
             self._set_counted(False)
             return
         if reset:
             reset_on_close(self._socket)
-        self.transport.abort()
+        self.asyncio_transport.abort()
         # asyncio closes the socket in the next loop iteration, which is before anything
         # started from now on needs a descriptor.
         self._set_counted(False)
--- a/wheathill/net/datagram_socket.py
+++ b/wheathill/net/datagram_socket.py
@@ -24,7 +24,7 @@
     Attributes:
         carrier: the transport that this socket belongs to.
         machine: receives each datagram with the sender's host and port.
-        transport: the asyncio transport, once the loop has registered the socket.
+        asyncio_transport: the asyncio transport, once the loop has registered the socket.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         """
         self.carrier = carrier
         self.machine = machine
-        self.transport: Any = None
+        self.asyncio_transport: Any = None
         self._queued: deque[tuple[bytes, tuple[str, int]]] = deque(
             maxlen=MAX_QUEUED_DATAGRAMS
         )
@@ -58,7 +58,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Send the datagrams that were queued before the loop had the socket."""
-        self.transport = transport
+        self.asyncio_transport = transport
         for data, address in self._queued:
             self.send(data, address)
 
@@ -71,12 +71,12 @@
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
         """Send a datagram, or drop it if the socket's send buffer is full."""
-        if self.transport is None:
+        if self.asyncio_transport is None:
             self._queued.append((data, address))
-        elif not self.transport.get_write_buffer_size():
-            self.transport.sendto(data, address)
+        elif not self.asyncio_transport.get_write_buffer_size():
+            self.asyncio_transport.sendto(data, address)
 
     def close(self) -> None:
         """Close the socket."""
-        if self.transport is not None:
-            self.transport.close()
+        if self.asyncio_transport is not None:
+            self.asyncio_transport.close()
