--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self.sent, self.closed = b"", False
-        self.carrier = self
+        self.transport = self
         self.limits = None
 
     def send(self, *parts: bytes) -> None:
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -113,7 +113,7 @@
     """One to another process: keeps what is sent."""
 
     def __init__(self, carrier):
-        self.carrier, self.over, self.sent = carrier, False, []
+        self.transport, self.over, self.sent = carrier, False, []
 
     def send(self, data, handles=()):
         if not self.over:
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -60,11 +60,11 @@
     """A Unix socket to another process, which passes bytes and descriptors.
 
     Attributes:
-        carrier: the transport that it belongs to.
+        transport: the transport that it belongs to.
         machine: the end of the handover that it feeds.
     """
 
-    carrier: Transport
+    transport: Transport
     machine: Any
 
     def send(self, data: bytes, handles: Sequence[Handle] = ()) -> None:
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -133,7 +133,7 @@
             self.is_over = True
             self.timer.cancel()
             self.wire.close()
-            self.wire.carrier.close_handles(self._received_handles)
+            self.wire.transport.close_handles(self._received_handles)
             self._received_handles = []
             self.on_over(reason)
 
@@ -149,7 +149,7 @@
             try:
                 self._adopt_session(fields, pair)
             except ValueError as error:
-                self.wire.carrier.close_handles(pair)
+                self.wire.transport.close_handles(pair)
                 self._coordinator.log_event(LogEvent.HANDOVER_ERROR, what=str(error))
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
--- a/wheathill/handover/receiver.py
+++ b/wheathill/handover/receiver.py
@@ -69,7 +69,7 @@
             case messages.SESSIONS:
                 self._on_sessions(value)
             case messages.DESCRIPTORS_HELD:
-                self.wire.carrier.previous_process_sockets = DescriptorsHeld.decode(
+                self.wire.transport.previous_process_sockets = DescriptorsHeld.decode(
                     value
                 ).count
             case messages.MAINTENANCE:
@@ -100,5 +100,5 @@
 
     def on_over(self, reason: str) -> None:
         """Take back what the old process held of the descriptors."""
-        self.wire.carrier.previous_process_sockets = 0
+        self.wire.transport.previous_process_sockets = 0
         self._coordinator.on_receiver_over(self, reason)
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -149,7 +149,7 @@
     """To the machine a `net.connection.Connection`; to the real wire a machine."""
 
     def __init__(self, carrier, machine, address, source):
-        self.carrier, self.shape, self.machine = carrier, carrier.shape, machine
+        self.transport, self.shape, self.machine = carrier, carrier.shape, machine
         self.address, self.source = address, source
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
         self.wire = None
@@ -181,7 +181,7 @@
 
     def dial(self):
         if not self.over:
-            self.wire = self.carrier.inner.connect(self, self.address, self.source)
+            self.wire = self.transport.inner.connect(self, self.address, self.source)
 
     # Ways
 
@@ -228,7 +228,7 @@
 
     def leave(self):
         self.over = True
-        self.carrier.wires.pop(self, None)
+        self.transport.wires.pop(self, None)
 
     # From the real wire
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -64,7 +64,7 @@
 
 def rehome(wire, carrier):
     wire.host.wires.pop(wire, None)
-    wire.carrier, wire.host, wire.life = carrier, carrier.host, carrier.host.life
+    wire.transport, wire.host, wire.life = carrier, carrier.host, carrier.host.life
     wire.host.wires[wire] = None
 
 
@@ -140,25 +140,25 @@
 
 class VirtualPost(FaultIsolation):
     def __init__(self, carrier):
-        self.carrier = carrier
+        self.transport = carrier
         self.over = False
         carrier.host.posts.append(self)
 
     def send(self, data, handles=()):
         if not self.over:
-            self.peer.carrier.host.clock.soon(self.peer.arrive, data, list(handles))
+            self.peer.transport.host.clock.soon(self.peer.arrive, data, list(handles))
 
     def arrive(self, data, handles):
-        self.carrier.sockets += len(handles)
+        self.transport.sockets += len(handles)
         if self.over:
-            self.carrier.close_handles(handles)
+            self.transport.close_handles(handles)
         else:
             self.guard(self.machine.received, data, handles)
 
     def close(self):
         if not self.over:
             self.over = True
-            self.peer.carrier.host.clock.soon(self.peer.lose)
+            self.peer.transport.host.clock.soon(self.peer.lose)
 
     def lose(self):
         if not self.over:
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -154,7 +154,7 @@
     """What the driver's is on sockets: of one process, on its host's only address for datagrams."""
 
     def __init__(self, carrier, machine, address):
-        self.carrier, self.machine, self.address = carrier, machine, address
+        self.transport, self.machine, self.address = carrier, machine, address
         self.host, self.life = carrier.host, carrier.host.life
         self.host.net.mail[self.host.name] = self
         self.host.net.hosts_by_address[address] = self.host
@@ -360,7 +360,7 @@
     WINDOW = 262_144
 
     def __init__(self, carrier, machine):
-        self.carrier = carrier
+        self.transport = carrier
         self.host = carrier.host
         self.life = carrier.host.life
         self.machine = machine
@@ -388,7 +388,7 @@
         self.waiting = 0  # things sent that found no way yet
 
     def count(self, on):
-        self.carrier.sockets += on - self.holds_descriptor
+        self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
     # What arrives
@@ -519,10 +519,10 @@
         self.is_closing = True
         if self.gone:
             return
-        if self.carrier.free < self.carrier.limits.reserved_sockets:
+        if self.transport.free < self.transport.limits.reserved_sockets:
             return self.close()
-        self.carrier.closing_connections[self] = None
-        self.host.clock.after(self.carrier.limits.linger_ms, self.close)
+        self.transport.closing_connections[self] = None
+        self.host.clock.after(self.transport.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
         if self.over:
@@ -553,7 +553,7 @@
         self.inbox.clear()
         self.unsent.clear()
         self.host.wires.pop(self, None)
-        self.carrier.closing_connections.pop(self, None)
+        self.transport.closing_connections.pop(self, None)
         self.count(False)
 
     def reset_peer(self):
@@ -586,7 +586,7 @@
 
     def duplicate(self):
         self.copied = True
-        self.carrier.sockets += 1
+        self.transport.sockets += 1
         return self
 
     @property
@@ -600,7 +600,7 @@
     @property
     def ms_since_receive(self):
         """ms since the last bytes came, read or not."""
-        return self.carrier.host.clock.now() - self.came
+        return self.transport.host.clock.now() - self.came
 
     @property
     def has_unread_bytes(self):
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -27,7 +27,7 @@
     """A TCP connection that was opened, accepted, or passed by another process.
 
     Attributes:
-        carrier: the transport that this connection belongs to.
+        transport: the transport that this connection belongs to.
         machine: the protocol state machine that receives events; `NoMachine` once the
             connection has closed.
         asyncio_transport: the asyncio transport, once the connection is established.
@@ -42,9 +42,9 @@
     """
 
     def __init__(
-        self, carrier: SocketTransport, make_machine: Callable[[Connection], Any]
+        self, transport: SocketTransport, make_machine: Callable[[Connection], Any]
     ) -> None:
-        self.carrier = carrier
+        self.transport = transport
         self.machine = make_machine(self)
         self.asyncio_transport: Any = (
             None  # asyncio.Transport; Any avoids casts at each call
@@ -78,7 +78,7 @@
         self._start(self._register(sock))
 
     def _start(self, establish: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self._task = self.carrier.loop.create_task(establish)
+        task = self._task = self.transport.loop.create_task(establish)
         task.add_done_callback(self._on_started)
         return task
 
@@ -91,7 +91,7 @@
 
     async def _register(self, sock: socket.socket) -> None:
         try:
-            await self.carrier.loop.connect_accepted_socket(lambda: self, sock)
+            await self.transport.loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
             sock.close()
             self._set_counted(False)
@@ -102,7 +102,7 @@
         while self.machine.is_connect_postponed:
             await asyncio.sleep(0)
         try:
-            await self.carrier.loop.create_connection(
+            await self.transport.loop.create_connection(
                 lambda: self, *address, local_addr=(source, 0) if source else None
             )
         except OSError as error:
@@ -111,7 +111,7 @@
             self._report_lost(False)
 
     def _set_counted(self, on: bool) -> None:
-        self.carrier.sockets += on - self.holds_descriptor
+        self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
     # Called by asyncio
@@ -127,7 +127,7 @@
         # byte has been handed to the kernel.
         transport.set_write_buffer_limits(high=0)
         enable_keep_alive(
-            transport.get_extra_info("socket"), self.carrier.limits.keepalive_idle_ms
+            transport.get_extra_info("socket"), self.transport.limits.keepalive_idle_ms
         )
         if self._is_adopted:
             transport.pause_reading()
@@ -137,17 +137,17 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the receive buffer that all connections share."""
-        return self.carrier.buffer
+        return self.transport.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         """Pass received bytes to the machine."""
         if not self.is_closing:
-            self.guard(self.machine.received, self.carrier.buffer[:nbytes])
+            self.guard(self.machine.received, self.transport.buffer[:nbytes])
             return
         # After the machine has closed, keep reading so that unread bytes do not reset
         # the connection and lose the last line sent, but only up to a limit.
         self._discarded_bytes += nbytes
-        if self._discarded_bytes > self.carrier.limits.max_buffered_bytes:
+        if self._discarded_bytes > self.transport.limits.max_buffered_bytes:
             self.asyncio_transport.pause_reading()
 
     def eof_received(self) -> bool:
@@ -176,7 +176,7 @@
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the machine, unless it has closed the connection, and release it."""
-        self.carrier.closing_connections.pop(self, None)
+        self.transport.closing_connections.pop(self, None)
         self._set_counted(False)
         self._report_lost(error is not None)
         self._release_machine()
@@ -293,7 +293,7 @@
             OSError: the descriptor can't be duplicated.
         """
         descriptor = os.dup(self._socket.fileno())
-        self.carrier.sockets += 1
+        self.transport.sockets += 1
         return descriptor
 
     def send_eof(self) -> None:
@@ -323,10 +323,10 @@
         self.set_paused(False)
         self.send_eof()
         self.is_closing = True
-        if self.carrier.free < self.carrier.limits.reserved_sockets:
+        if self.transport.free < self.transport.limits.reserved_sockets:
             self.asyncio_transport.close()
             return
-        self.carrier.closing_connections[self] = None
+        self.transport.closing_connections[self] = None
         self._linger(math.inf)
 
     def _linger(self, unsent_before: float) -> None:
@@ -336,8 +336,8 @@
         """
         unsent = self.unsent_bytes
         if unsent_before is math.inf or 0 < unsent < unsent_before:
-            self.carrier.loop.call_later(
-                self.carrier.limits.linger_ms / 1000, self._linger, unsent
+            self.transport.loop.call_later(
+                self.transport.limits.linger_ms / 1000, self._linger, unsent
             )
         else:
             self.asyncio_transport.abort()
--- a/wheathill/net/datagram_socket.py
+++ b/wheathill/net/datagram_socket.py
@@ -22,14 +22,14 @@
     """A UDP socket; a datagram that can't be sent immediately is dropped.
 
     Attributes:
-        carrier: the transport that this socket belongs to.
+        transport: the transport that this socket belongs to.
         machine: receives each datagram with the sender's host and port.
-        asyncio_transport: the asyncio transport, once the loop has registered the socket.
+        asyncio_transport: asyncio's transport, once the loop has registered the socket.
     """
 
     def __init__(
         self,
-        carrier: SocketTransport,
+        transport: SocketTransport,
         machine: Any,  # noqa: ANN401 - any object with a `received` method
         address: tuple[str, int],
     ) -> None:
@@ -38,7 +38,7 @@
         Raises:
             OSError: the address can't be bound.
         """
-        self.carrier = carrier
+        self.transport = transport
         self.machine = machine
         self.asyncio_transport: Any = None
         self._queued: deque[tuple[bytes, tuple[str, int]]] = deque(
@@ -52,8 +52,8 @@
             raise
         sock.setblocking(False)
         # The event loop holds only weak references to tasks, so keep a strong one.
-        self._task = carrier.loop.create_task(
-            carrier.loop.create_datagram_endpoint(lambda: self, sock=sock)
+        self._task = transport.loop.create_task(
+            transport.loop.create_datagram_endpoint(lambda: self, sock=sock)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
--- a/wheathill/net/fault_isolation.py
+++ b/wheathill/net/fault_isolation.py
@@ -17,11 +17,11 @@
     Connections on sockets and simulated connections of the lab share it.
 
     Attributes:
-        carrier: the transport, whose log is written to.
+        transport: the transport, whose log is written to.
         machine: the protocol state machine that is called.
     """
 
-    carrier: Any
+    transport: Any
     machine: Any
 
     def guard(self, call: Callable[..., object], *args: object) -> None:
@@ -32,7 +32,7 @@
         try:
             call(*args)
         except Exception as error:
-            log_fault(self.carrier.log, call, error)
+            log_fault(self.transport.log, call, error)
             self.machine.fault()
 
 
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -153,11 +153,11 @@
     """A connection to another process, which passes bytes and descriptors.
 
     Attributes:
-        carrier: the transport that it belongs to.
+        transport: the transport that it belongs to.
         machine: the state machine that is fed.
     """
 
-    carrier: Any
+    transport: Any
     machine: Any
 
     def send(self, data: bytes, handles: Sequence[Any] = ()) -> None:
--- a/wheathill/net/server_socket.py
+++ b/wheathill/net/server_socket.py
@@ -28,14 +28,14 @@
 
     def __init__(
         self,
-        carrier: SocketTransport,
+        transport: SocketTransport,
         make_machine: Callable[[Connection], Any],
         sock: socket.socket,
         has_room: Callable[[], bool],
     ) -> None:
         """Start accepting on a listening socket as long as `has_room` returns true."""
         self.sock = sock
-        self._carrier = carrier
+        self._transport = transport
         self._make_machine = make_machine
         self._has_room = has_room
         self._resume_timer: asyncio.TimerHandle | None = None
@@ -52,7 +52,7 @@
         """
         if self.sock.fileno() < 0:
             return
-        loop = self._carrier.loop
+        loop = self._transport.loop
         self._is_paused, self._is_backing_off = on, False
         if self._resume_timer:
             self._resume_timer.cancel()
@@ -75,7 +75,7 @@
         return self.sock.fileno() >= 0 and is_accepting and is_readable(self.sock)
 
     def _accept(self) -> None:
-        for _ in range(self._carrier.limits.accepts_per_turn):
+        for _ in range(self._transport.limits.accepts_per_turn):
             if not self._has_room():
                 self._back_off()
                 return
@@ -84,7 +84,7 @@
             except (BlockingIOError, ConnectionAbortedError):
                 return
             except OSError as error:
-                self._carrier.log(
+                self._transport.log(
                     LogEvent.INTERNAL_ERROR, where="accept", what=repr(error)
                 )
                 self._back_off()
@@ -92,7 +92,7 @@
             self._start(accepted)
 
     def _start(self, accepted: socket.socket) -> None:
-        connection = Connection(self._carrier, self._make_machine)
+        connection = Connection(self._transport, self._make_machine)
         self._starting[connection] = None
         connection.start_accepted(accepted).add_done_callback(
             lambda _: self._starting.pop(connection)
@@ -101,6 +101,6 @@
     def _back_off(self) -> None:
         self.set_paused(True)
         self._is_backing_off = True
-        self._resume_timer = self._carrier.loop.call_later(
-            self._carrier.limits.accept_pause_ms / 1000, self.set_paused, False
+        self._resume_timer = self._transport.loop.call_later(
+            self._transport.limits.accept_pause_ms / 1000, self.set_paused, False
         )
--- a/wheathill/net/unix_connection.py
+++ b/wheathill/net/unix_connection.py
@@ -57,13 +57,13 @@
 
     def __init__(
         self,
-        carrier: SocketTransport,
+        transport: SocketTransport,
         directory: str | None,
         name: str,
         make_machine: Callable[[UnixConnection], Any],
     ) -> None:
         """Start listening; raises OSError."""
-        self._carrier = carrier
+        self._transport = transport
         self._make_machine = make_machine
         self._sock = _create_unix_socket()
         try:
@@ -72,7 +72,7 @@
         except OSError:
             self._sock.close()
             raise
-        carrier.loop.add_reader(self._sock, self._accept)
+        transport.loop.add_reader(self._sock, self._accept)
 
     def _bind(self, temporary_path: str, path: str) -> None:
         if os.path.lexists(temporary_path):
@@ -88,11 +88,11 @@
         except OSError:
             return
         sock.setblocking(False)
-        UnixConnection(self._carrier, sock, self._make_machine)
+        UnixConnection(self._transport, sock, self._make_machine)
 
     def close(self) -> None:
         """Stop accepting and close the socket."""
-        self._carrier.loop.remove_reader(self._sock)
+        self._transport.loop.remove_reader(self._sock)
         self._sock.close()
 
 
@@ -100,18 +100,18 @@
     """A connection to another process that passes bytes and descriptors.
 
     Attributes:
-        carrier: the transport that this connection belongs to.
+        transport: the transport that this connection belongs to.
         machine: the protocol state machine that receives events.
     """
 
     def __init__(
         self,
-        carrier: SocketTransport,
+        transport: SocketTransport,
         sock: socket.socket,
         make_machine: Callable[[UnixConnection], Any],
     ) -> None:
         """Start on a connected socket; close it if the peer runs as another user."""
-        self.carrier = carrier
+        self.transport = transport
         self._sock = sock
         self._unsent: deque[tuple[bytes, list[int]]] = deque()
         self._is_closed = False
@@ -119,7 +119,7 @@
         if peer_user(sock) != os.geteuid():
             self.close()
             return
-        carrier.loop.add_reader(sock, self._read)
+        transport.loop.add_reader(sock, self._read)
         self.guard(self.machine.connected)
 
     def _read(self) -> None:
@@ -127,9 +127,9 @@
             message = receive_message(self._sock)
         except (BlockingIOError, InterruptedError):
             return
-        self.carrier.sockets += len(message.descriptors)
+        self.transport.sockets += len(message.descriptors)
         if message.is_truncated or not message.data:
-            self.carrier.close_handles(message.descriptors)
+            self.transport.close_handles(message.descriptors)
             self.close()
             self.guard(self.machine.lost, False)
         else:
@@ -147,7 +147,7 @@
             try:
                 sent = send_message(self._sock, data, descriptors)
             except (BlockingIOError, InterruptedError):
-                self.carrier.loop.add_writer(self._sock, self._write)
+                self.transport.loop.add_writer(self._sock, self._write)
                 return
             except OSError:
                 # The reader sees the same error and notifies the machine.
@@ -157,19 +157,19 @@
                 self._unsent.popleft()
             else:
                 self._unsent[0] = data[sent:], []
-        self.carrier.loop.remove_writer(self._sock)
+        self.transport.loop.remove_writer(self._sock)
 
     def close(self) -> None:
         """Close the connection; the machine is not notified."""
         if not self._is_closed:
             self._is_closed = True
-            self.carrier.loop.remove_reader(self._sock)
-            self.carrier.loop.remove_writer(self._sock)
+            self.transport.loop.remove_reader(self._sock)
+            self.transport.loop.remove_writer(self._sock)
             self._sock.close()
 
 
 def connect_unix(
-    carrier: SocketTransport,
+    transport: SocketTransport,
     directory: str | None,
     name: str,
     make_machine: Callable[[UnixConnection], Any],
@@ -182,7 +182,7 @@
     except OSError:
         sock.close()
         raise
-    return UnixConnection(carrier, sock, make_machine)
+    return UnixConnection(transport, sock, make_machine)
 
 
 def _create_unix_socket() -> socket.socket:
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -45,7 +45,7 @@
 
         Descriptors, which a Unix connection may carry, are closed.
         """
-        self.wire.carrier.close_handles(handles)
+        self.wire.transport.close_handles(handles)
         self._received += data
         line, line_end, _ = self._received.partition(b"\n")
         if line_end:
