--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -81,22 +81,22 @@
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(partial(_log_internal_error, log))
     clock = Clock(loop)
-    carrier = Transport(loop, node.limits, log)
-    proxy = Proxy(node, carrier, clock, log)
+    transport = Transport(loop, node.limits, log)
+    proxy = Proxy(node, transport, clock, log)
     stopped = asyncio.Event()
     loop.add_signal_handler(signal.SIGHUP, _reload, proxy, log, read_config)
     loop.add_signal_handler(signal.SIGTERM, _stop, proxy, stopped)
     loop.add_signal_handler(signal.SIGINT, _stop, proxy, stopped)
     if node.peers:
-        _start_peers(proxy, carrier, clock, log)
+        _start_peers(proxy, transport, clock, log)
     if node.admin_address:
-        _open_admin_endpoint(proxy, carrier, node.admin_address, log)
-    _listen_for_clients(proxy, carrier, log)
+        _open_admin_endpoint(proxy, transport, node.admin_address, log)
+    _listen_for_clients(proxy, transport, log)
     if node.listen_fd is not None and node.state_directory:
         # Imported only if there may be a process to take over from.
         from wheathill.handover.coordinator import UpgradeCoordinator
 
-        UpgradeCoordinator(proxy, carrier, clock, log).begin()
+        UpgradeCoordinator(proxy, transport, clock, log).begin()
     else:
         proxy.start()
     # As in `run`, only the proxy keeps the endpoint list.
@@ -114,7 +114,9 @@
     )
 
 
-def _start_peers(proxy: Proxy, carrier: Transport, clock: Clock, log: WriteLog) -> None:
+def _start_peers(
+    proxy: Proxy, transport: Transport, clock: Clock, log: WriteLog
+) -> None:
     """Join the cluster.
 
     Two processes with the same member name must never be mistaken for each other, even
@@ -129,7 +131,7 @@
     try:
         proxy.peers = create_peer_service(
             node.peers,
-            PeerEnvironment(proxy, carrier, clock, log),
+            PeerEnvironment(proxy, transport, clock, log),
             generation,
             node.policy.proxy_count,
         )
@@ -138,13 +140,13 @@
             raise ConfigurationError(f"peers: {error}") from None
         # The process being replaced holds the address until it exits, so retry.
         retry_after_ms = node.peers.probe_interval_ms
-        clock.after(retry_after_ms, _start_peers, proxy, carrier, clock, log)
+        clock.after(retry_after_ms, _start_peers, proxy, transport, clock, log)
     else:
         clock.soon(proxy.peers.start)
 
 
 def _open_admin_endpoint(
-    proxy: Proxy, carrier: Transport, address: tuple[str, int], log: WriteLog
+    proxy: Proxy, transport: Transport, address: tuple[str, int], log: WriteLog
 ) -> None:
     # Imported only if the admin endpoint is enabled.
     from wheathill.net.admin.server import AdminServer
@@ -152,21 +154,21 @@
     server = AdminServer(proxy)
     if proxy.peers:
         server.add_route("GET", "/peers", proxy.peers.status.table)
-    _listen(carrier, "admin_addr", server.accept, address, server.make_room)
+    _listen(transport, "admin_addr", server.accept, address, server.make_room)
     log(LogEvent.ADMIN_LISTENING, at=_address_text(address))
 
 
-def _listen_for_clients(proxy: Proxy, carrier: Transport, log: WriteLog) -> None:
+def _listen_for_clients(proxy: Proxy, transport: Transport, log: WriteLog) -> None:
     node = proxy.node
     address, inherited = node.listen_address, node.listen_fd
     proxy.door = _listen(
-        carrier, "listen", proxy.client, address, proxy.room, inherited
+        transport, "listen", proxy.client, address, proxy.room, inherited
     )
     log(LogEvent.LISTENING, at=_address_text(address), inherited=inherited is not None)
 
 
 def _listen(
-    carrier: Transport,
+    transport: Transport,
     key: str,
     accept: Callable[..., Any],
     address: tuple[str, int],
@@ -175,7 +177,7 @@
 ) -> Any:  # noqa: ANN401 - the transport's type
     """Return a listening socket; `key` is the setting named in error messages."""
     try:
-        return carrier.listen(accept, address, has_room, inherited)
+        return transport.listen(accept, address, has_room, inherited)
     except OSError as error:
         raise ConfigurationError(f"{key}: {error}") from None
 
