--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,7 +94,9 @@
         if dial.up and dial.between_lines:
             lines.append("-- between lines")
     dial.ended()
-    return [line for line in lines if "client send " not in line and "heard" not in line]
+    return [
+        line for line in lines if "client send " not in line and "heard" not in line
+    ]
 
 
 def move_waits():
@@ -137,8 +139,8 @@
     def write_eof():
         raise OSError(107, "Transport endpoint is not connected")
 
-    wire.transport.write_eof = write_eof
-    wire.transport.is_closing = lambda: False
+    wire.asyncio_transport.write_eof = write_eof
+    wire.asyncio_transport.is_closing = lambda: False
     wire.send_eof()
     wire.connection_lost(None)
     return lines
