--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -176,7 +176,7 @@
         self.transport = Transport(node.limits)
         self.transport.reaches = beside
         self.proxy = Proxy(node, self.transport, Clock(), self.note)
-        self.proxy.door = types.SimpleNamespace(
+        self.proxy.listening_socket = types.SimpleNamespace(
             hold=lambda on: None, close=lambda: None, waiting=False
         )
         UpgradeCoordinator(
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -71,7 +71,7 @@
         node = self.node()
         self.carrier = Transport(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
-        self.proxy.door = self.carrier.listen(
+        self.proxy.listening_socket = self.carrier.listen(
             self.proxy.client, node.listen_address, self.proxy.room
         )
         self.proxy.start()
@@ -87,7 +87,7 @@
         return self
 
     def __exit__(self, *_):
-        self.proxy.door.close()
+        self.proxy.listening_socket.close()
         self.proxy.leave_watch()
         while tasks := asyncio.all_tasks(self.loop):
             for task in tasks:
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -157,7 +157,7 @@
 def _listen_for_clients(proxy: Proxy, carrier: Transport, log: WriteLog) -> None:
     node = proxy.node
     address, inherited = node.listen_address, node.listen_fd
-    proxy.door = _listen(
+    proxy.listening_socket = _listen(
         carrier, "listen", proxy.client, address, proxy.room, inherited
     )
     log(LogEvent.LISTENING, at=_address_text(address), inherited=inherited is not None)
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -42,7 +42,7 @@
         self._slow_start_since_ms: float | None = None
         self._free_retries: float | None = None
         proxy.upgrade = self
-        proxy.door.hold(True)
+        proxy.listening_socket.hold(True)
 
     # The new process
 
@@ -99,7 +99,7 @@
         self._await_successor()
         self._proxy.start(with_state)
         if self._proxy.stopping is None:
-            self._proxy.door.hold(False)
+            self._proxy.listening_socket.hold(False)
             self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
     def _await_successor(self) -> None:
@@ -124,7 +124,7 @@
     def on_state_requested(self, sender: HandoverSender) -> None:
         """Let nobody in any more."""
         self._sender = sender
-        self._proxy.door.hold(True)
+        self._proxy.listening_socket.hold(True)
 
     def on_state_sent(self) -> None:
         """Give away what may go to warming servers, and what retries are left.
@@ -161,7 +161,7 @@
         self._take_budgets_back()
         self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
         if self._proxy.stopping is None:
-            self._proxy.door.hold(False)
+            self._proxy.listening_socket.hold(False)
             if self._server_socket is None:
                 self._await_successor()
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -188,7 +188,9 @@
         self.proxy = self.world.make_proxy(
             node, carrier, self.host.clock, self.log, self.world.decisions
         )
-        self.proxy.door = carrier.open_door(self.proxy.client, self.proxy.room)
+        self.proxy.listening_socket = carrier.open_door(
+            self.proxy.client, self.proxy.room
+        )
         self.open_to_operators(carrier)
         UpgradeCoordinator(self.proxy, carrier, self.host.clock, self.log).begin()
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -21,7 +21,7 @@
     def __init__(self, node, carrier, clock, log, decisions=Balancer):
         self.carrier = carrier
         self.metrics = ProxyMetrics()
-        self.door = None  # where clients are taken in
+        self.listening_socket = None  # where clients are taken in
         self.upgrade = None  # where another process may take over, or has
         self.handed_over = False
         self.peers = None  # other instances, where they are known
@@ -111,9 +111,9 @@
             )
             self.stop_last = self.stopping + most
             self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
-            if self.node.listen_fd is not None and self.door:
+            if self.node.listen_fd is not None and self.listening_socket:
                 # Others listen on the same socket: whoever waits there is theirs.
-                self.door.close()
+                self.listening_socket.close()
             self.clock.after(
                 self.limits.sweep_interval_ms
                 if self.handed_over
@@ -153,8 +153,8 @@
         return bool(
             self.clients
             or self.early
-            or self.door
-            and self.door.waiting
+            or self.listening_socket
+            and self.listening_socket.waiting
             or any(
                 self.handed_over or not client.pings or client.wire.unread
                 for client in self.silent
