--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -52,7 +52,7 @@
             second.tell_over = lambda outcome: None
             second.address = self.addresses[other]
             second.start(
-                self.carrier.connect(second, second.address),
+                self.transport.connect(second, second.address),
                 time_out,
                 self.limits.connect_timeout_ms,
             )
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -48,7 +48,7 @@
     def spare(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
         one: who may be most may take least."""
-        return self.carrier.free > -self.limits.reserved_sockets * eighths / 8
+        return self.transport.free > -self.limits.reserved_sockets * eighths / 8
 
     def asking_nothing(self, count):
         """Of so many that have sent no line, the oldest."""
@@ -68,15 +68,15 @@
         """Whether a session may be dialled for. What only rests makes room for it: links on which no probe is out,
         then clients that ask for nothing. What is under way without being a session, probes that are out and clients that
         have only just come, holds spare descriptors: sessions have the others, whoever took them first."""
-        if self.carrier.free <= 0:
+        if self.transport.free <= 0:
             for link in [link for link in self.links.values() if not link.asked][
-                : 1 - self.carrier.free
+                : 1 - self.transport.free
             ]:
                 link.end(None)
-        if self.carrier.free <= 0:
-            for client in self.asking_nothing(1 - self.carrier.free):
+        if self.transport.free <= 0:
+            for client in self.asking_nothing(1 - self.transport.free):
                 self.shut(client)
-        return self.carrier.free + len(self.links) + len(
+        return self.transport.free + len(self.links) + len(
             self.silent
         ) > 0 and self.spare(DIALS)
 
@@ -365,7 +365,7 @@
             try:
                 handles.append(client.dial.wire.copy())
             except OSError:
-                self.carrier.drop(handles)
+                self.transport.drop(handles)
                 raise
         except OSError:
             return []
@@ -401,7 +401,7 @@
         self.metrics.add_listeners([sess.listener.name])
         self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
-            self.carrier.adopt(handle, machine)
+            self.transport.adopt(handle, machine)
 
     # Dials
 
@@ -411,7 +411,7 @@
             client.sess.attempts[-1].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
         dial.start(
-            self.carrier.connect(dial, dial.address),
+            self.transport.connect(dial, dial.address),
             time_out,
             self.limits.connect_timeout_ms,
         )
@@ -556,7 +556,7 @@
         if link is None:
             if (
                 len(self.links) >= self.limits.max_probe_connections
-                or self.carrier.free <= 0
+                or self.transport.free <= 0
             ):
                 self.close_link()
             if not self.spare(PROBES):
@@ -573,7 +573,7 @@
 
     def new_link(self, server):
         link = ProbeLink(server, self, self.limits, self.clock)
-        link.wire = self.carrier.connect(link, self.addresses[server])
+        link.wire = self.transport.connect(link, self.addresses[server])
         return link
 
     def probe_again(self, server, until):
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -19,7 +19,7 @@
 
 class Proxy(Carried, Told):
     def __init__(self, node, carrier, clock, log, decisions=Balancer):
-        self.carrier = carrier
+        self.transport = carrier
         self.metrics = ProxyMetrics()
         self.listening_socket = None  # where clients are taken in
         self.upgrade = None  # where another process may take over, or has
@@ -164,7 +164,7 @@
     def see_off(self, stopped, until):
         """The last answers and MOVE lines are on their way: the end follows them, as closing with bytes unread or
         unsent would cut them off, but not later than the time in which this proxy may be killed."""
-        now, parting = self.now(), list(self.carrier.parting)
+        now, parting = self.now(), list(self.transport.parting)
         if parting and (
             now < until
             or now < self.stop_last + self.limits.shutdown_linger_ms
@@ -208,7 +208,7 @@
             "sessions": len(self.clients),
             "up": sum(client.up for client in self.clients.values()),
             "placed": sum(len(server.sessions) for server in self.servers.values()),
-            "sockets": self.carrier.sockets,
+            "sockets": self.transport.sockets,
             "servers": len(self.balancer.endpoint_list.servers),
             "left_out": self.left_out(self.now()),
             "doubted": {
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -20,7 +20,7 @@
 
     def take(self, node):
         self.node = node
-        self.limits = self.carrier.limits = node.limits
+        self.limits = self.transport.limits = node.limits
         self.listeners = {listener.name: listener for listener in node.listeners}
         self.metrics.add_listeners(self.listeners)
         self.tenants = {name: place for place, name in enumerate(node.tenants)}
@@ -115,7 +115,7 @@
         watch = Watch(
             self.node.discovery_address[0], self.seen, self, self.limits, self.clock
         )
-        watch.start(self.carrier.connect(watch, self.node.discovery_address))
+        watch.start(self.transport.connect(watch, self.node.discovery_address))
         return watch
 
     def ask_beside(self, watch):
