--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -417,7 +417,7 @@
     names = [[f"{release}-{number}" for number in range(8000)] for release in "ab"]
     proxy = large(names[0])
     proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
-    assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.names)
+    assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.known_names)
     proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
     assert names[0][0] not in {
         server.name for server in proxy.balancer.endpoint_list.servers
@@ -428,7 +428,7 @@
             list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
             UpdateKind.SNAPSHOT,
         )
-    assert len(proxy.names) == 8000 + proxy.limits.max_unlisted_names
+    assert len(proxy.known_names) == 8000 + proxy.limits.max_unlisted_names
 
 
 class Counted(dict):
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -93,7 +93,7 @@
         proxy.servers.update(self.servers)
         proxy.addresses.update(self.addresses)
         proxy.ids.update(dict.fromkeys(self.session_ids))
-        proxy.names.update(dict.fromkeys(self.server_names))
+        proxy.known_names.update(dict.fromkeys(self.server_names))
         self._apply_endpoint_list(proxy)
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -34,7 +34,7 @@
         moved_keys=_collect_key_routes(balancer.slot_table.moved_keys, indexes),
         exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
         session_ids=list(proxy.ids),
-        server_names=list(proxy.names),
+        server_names=list(proxy.known_names),
         decisions=collect_decisions(
             balancer, indexes, proxy.seen, proxy.node.discovery_address
         ),
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -31,7 +31,7 @@
     ready: bool
     handed_over: bool  # whether another process has taken over
     stopping: float | None  # since when, in ms
-    names: Container[str]  # of all servers that were ever listed
+    known_names: Container[str]  # of all servers that were ever listed
 
     def now(self) -> float:
         """Return the monotonic time in ms."""
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -76,9 +76,9 @@
         raise HttpError(503, "starting")
 
     def _set_maintenance(self, out: bool, name: str) -> dict[str, Any]:
-        if not self._proxy.names:
+        if not self._proxy.known_names:
             raise HttpError(503, "starting")
-        if name not in self._proxy.names:
+        if name not in self._proxy.known_names:
             raise HttpError(404, f"{name!r} was never listed here")
         try:
             is_kept = self._proxy.set_maintenance(name, out)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -35,7 +35,7 @@
         self.log_event = log
         self.zones = {name: place for place, name in enumerate(node.zones)}
         self.servers = {}  # by name
-        self.names = {}  # of all that were ever listed, the longest unlisted first
+        self.known_names = {}  # of all that were ever listed, the longest unlisted first
         self.addresses = {}  # Server -> (host, port)
         self.clients = {}  # Session -> Client, in order of arrival
         self.asking = {}  # clients with a line that waits for an answer, the longest waiting first
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -85,7 +85,7 @@
             return
         try:
             for name, since in store.load(self.limits.max_unlisted_names).items():
-                self.names[name] = None
+                self.known_names[name] = None
                 self.balancer.endpoint_list.maintenance_since_ms.setdefault(
                     name, self.clock.from_wall(since)
                 )
@@ -244,14 +244,17 @@
     def note_told(self, entries, kind, version):
         for entry in entries:
             name = entry.server.name
-            self.names.pop(name, None)
-            self.names[name] = (
+            self.known_names.pop(name, None)
+            self.known_names[name] = (
                 None if entry.phase is Phase.READY else (version, entry.started_ms)
             )
         if kind is UpdateKind.SNAPSHOT:
             for server in self.servers.values():
-                if server.phase is Phase.GONE and self.names.get(server.name) is None:
-                    self.names[server.name] = version, server.started_ms
+                if (
+                    server.phase is Phase.GONE
+                    and self.known_names.get(server.name) is None
+                ):
+                    self.known_names[server.name] = version, server.started_ms
 
     def forget_gone(self):
         """Names may be new with every release: those that left would add up. One that comes back is new."""
@@ -269,15 +272,17 @@
                 if self.peers:
                     self.peers.forget_server(name)
         # Of those listed the list is the bound; of the others the oldest go, unless they are out.
-        over = len(self.names) - len(self.servers) - self.limits.max_unlisted_names
+        over = (
+            len(self.known_names) - len(self.servers) - self.limits.max_unlisted_names
+        )
         gone = (
             old
-            for old in self.names
+            for old in self.known_names
             if old not in self.servers
             and old not in self.balancer.endpoint_list.maintenance_since_ms
         )
         for old in list(islice(gone, max(0, over))):
-            del self.names[old]
+            del self.known_names[old]
 
     def on_peer_update(self, server, phase, born):
         """Others were told of a drain, that it is over, or of a new start, which this proxy's list doesn't say."""
@@ -317,7 +322,7 @@
             listed = self.peers.record_list_entry(name, phase, born)
             phase, born = listed.phase, listed.process_start_ms
         started = self.clock.from_wall(born) if born else None
-        left, since = self.names.get(name) or (None, None)
+        left, since = self.known_names.get(name) or (None, None)
         if (
             phase is Phase.READY
             and None not in (left, version)
