--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -65,7 +65,9 @@
 
     def over(self, *peers):
         """All that the proxy held for them is closed, whatever the peers do."""
-        self.turns.until(lambda: not self.proxy.clients and not self.proxy.silent)
+        self.turns.until(
+            lambda: not self.proxy.clients and not self.proxy.silent_clients
+        )
         for peer in peers:
             peer.sock.close()
         self.turns.until(
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -679,9 +679,9 @@
         full_of_sessions(turns)
         for _ in range(8):
             turns.client()
-        turns.until(lambda: len(turns.proxy.silent) >= 5)
-        turns.proxy.silent.update(
-            dict.fromkeys(turns.proxy.silent, turns.proxy.now() + 60_000)
+        turns.until(lambda: len(turns.proxy.silent_clients) >= 5)
+        turns.proxy.silent_clients.update(
+            dict.fromkeys(turns.proxy.silent_clients, turns.proxy.now() + 60_000)
         )  # none is shut for age
         assert turns.carrier.free <= 0
         assert dialled_then(turns) == "UP r1"
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -30,7 +30,7 @@
         return Client(wire, self, self.limits, self.clock)
 
     def came(self, client):
-        self.silent[client] = self.now()
+        self.silent_clients[client] = self.now()
 
     def room(self):
         """Whether one more client may be taken in. Who connects without asking for anything holds a sixth of
@@ -43,7 +43,9 @@
         return self.fits()
 
     def fits(self):
-        return len(self.silent) < self.limits.max_sockets // 6 and self.spare(NEWCOMERS)
+        return len(self.silent_clients) < self.limits.max_sockets // 6 and self.spare(
+            NEWCOMERS
+        )
 
     def spare(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
@@ -55,12 +57,12 @@
         late = self.now() - self.limits.min_silence_to_evict_ms
         return [
             client
-            for client, since in islice(self.silent.items(), count)
+            for client, since in islice(self.silent_clients.items(), count)
             if since < late and not client.wire.unread
         ]
 
     def shut(self, client):
-        del self.silent[client]
+        del self.silent_clients[client]
         client.timer.cancel()
         client.wire.abort()
 
@@ -77,12 +79,12 @@
             for client in self.asking_nothing(1 - self.transport.free):
                 self.shut(client)
         return self.transport.free + len(self.links) + len(
-            self.silent
+            self.silent_clients
         ) > 0 and self.spare(DIALS)
 
     def opened(self, client, came=None):
         """`came`: when its line did, where that was a while ago."""
-        self.silent.pop(client, None)
+        self.silent_clients.pop(client, None)
         head, now = client.head, self.now()
         came = now - self.waited(client) if came is None else came
         listener = self.listeners.get(head.values.get("c"))
@@ -235,7 +237,7 @@
         client.answer(line)
 
     def bad_client(self, client, why):
-        self.silent.pop(client, None)
+        self.silent_clients.pop(client, None)
         self.metrics.count("bad")
         # They come by hundreds, at full speed: most are only counted.
         now = self.now()
@@ -250,7 +252,7 @@
         self.answer(client, b"ERR")
 
     def hung_up(self, client):
-        self.silent.pop(client, None)
+        self.silent_clients.pop(client, None)
         if self.early:
             self.early.pop(client, None)
         sess = client.sess
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -39,7 +39,7 @@
         self.addresses = {}  # Server -> (host, port)
         self.clients = {}  # Session -> Client, in order of arrival
         self.asking = {}  # clients with a line that waits for an answer, the longest waiting first
-        self.silent = {}  # clients that have sent no line yet, oldest first
+        self.silent_clients = {}  # clients that have sent no line yet, oldest first
         # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
         self.ids = OrderedDict()
         self.links = {}  # Server -> ProbeLink, the longest unused first
@@ -157,7 +157,7 @@
             and self.listening_socket.waiting
             or any(
                 self.handed_over or not client.pings or client.wire.unread
-                for client in self.silent
+                for client in self.silent_clients
             )
         )
 
