--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -273,7 +273,7 @@
             RecordedAttempt(69_900.25, servers["b"], False),
         ]
     )
-    proxy.ids.update({"id-over": None, "id ü": None})
+    proxy.session_ids.update({"id-over": None, "id ü": None})
     proxy.clock.time = 70_100.0
 
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -257,7 +257,7 @@
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
         sess.accepted_ms = 70_000.0
         old.balancer.on_session_handed_over(70_000.0, sess, old.servers["a"])
-        old.ids[f"id {number}"] = sess
+        old.session_ids[f"id {number}"] = sess
     old.balancer.load_estimator.record_sample(70_000.0, old.servers["a"], [0.5])
     old.balancer.outlier_detector.record_attempt(70_000.0, old.servers["a"], False)
     table = old.balancer.slot_table
@@ -370,9 +370,9 @@
 def test_the_ids_of_all_sessions_that_fit_go_over():
     """As many as the descriptors of one process allow, open ones and as many that are over."""
     old, new = (large(sockets=100_200) for _ in range(2))
-    old.ids.update({f"id {number}": None for number in range(100_000)})
+    old.session_ids.update({f"id {number}": None for number in range(100_000)})
     apply_state(new, state_messages(old))
-    assert list(new.ids) == list(old.ids)
+    assert list(new.session_ids) == list(old.session_ids)
 
 
 def test_thousands_of_servers_go_over_in_messages_that_are_taken():
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -399,7 +399,7 @@
         turns.watched("a", "b")
         held = [turns.open(f"k{number}") for number in range(5)]
         turns.until(lambda: len(turns.proxy.clients) == 5)
-        turns.lines.append(f"known: {sorted(turns.proxy.ids)}")
+        turns.lines.append(f"known: {sorted(turns.proxy.session_ids)}")
         thief = turns.open("k4", name="thief")
         turns.hears(thief)
         del held
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -44,7 +44,9 @@
     """Sessions that stand, as far as the ids and the sweep know them."""
     sessions = [Session(Listener("any"), f"k{number}", 0.0) for number in range(OPEN)]
     proxy.clients = Looked({sess: Stand(sess) for sess in sessions})
-    proxy.ids.update({f"id{number}": sess for number, sess in enumerate(sessions)})
+    proxy.session_ids.update(
+        {f"id{number}": sess for number, sess in enumerate(sessions)}
+    )
     return sessions
 
 
@@ -59,7 +61,7 @@
             proxy.clients.looks = 0
             proxy.note_id(OpenRequest(b"OPEN new%d k c=any" % number), sess)
             assert proxy.clients.looks <= 2
-        assert len(proxy.ids) == OPEN + 5  # all are open, and none is forgotten
+        assert len(proxy.session_ids) == OPEN + 5  # all are open, and none is forgotten
         # Those that are over go first, and are never more than the open ones.
         for number in range(2 * OPEN):
             proxy.note_id(
@@ -67,8 +69,8 @@
                 Session(Listener("any"), "k", 0.0),
             )
         assert (
-            all(f"id{number}" in proxy.ids for number in range(OPEN))
-            and len(proxy.ids) <= 2 * OPEN + 10
+            all(f"id{number}" in proxy.session_ids for number in range(OPEN))
+            and len(proxy.session_ids) <= 2 * OPEN + 10
         )
         proxy.clients = {}
 
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -92,7 +92,7 @@
         """Fill a proxy that has just been made; nothing here fails."""
         proxy.servers.update(self.servers)
         proxy.addresses.update(self.addresses)
-        proxy.ids.update(dict.fromkeys(self.session_ids))
+        proxy.session_ids.update(dict.fromkeys(self.session_ids))
         proxy.known_names.update(dict.fromkeys(self.server_names))
         self._apply_endpoint_list(proxy)
         self._apply_slots(proxy)
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -33,7 +33,7 @@
         slots=collect_slot_table(balancer.slot_table, indexes),
         moved_keys=_collect_key_routes(balancer.slot_table.moved_keys, indexes),
         exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
-        session_ids=list(proxy.ids),
+        session_ids=list(proxy.session_ids),
         server_names=list(proxy.known_names),
         decisions=collect_decisions(
             balancer, indexes, proxy.seen, proxy.node.discovery_address
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -39,7 +39,7 @@
     sess = Session(listener, f"k{number}", 0.0)
     client = here.clients[sess] = Client(None, here, here.limits, here.clock)
     client.sess = sess
-    here.ids[f"id{number}"] = sess
+    here.session_ids[f"id{number}"] = sess
     return sess
 
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -169,17 +169,21 @@
     def note_id(self, head, sess):
         """Ids are new with every connection: one that was seen belongs to another client, and servers answer
         its second session with ERR. Packets that come through this proxy again are the exception."""
-        if head.id in self.ids and not sess.mid_flow and "at" not in head.values:
+        if (
+            head.id in self.session_ids
+            and not sess.mid_flow
+            and "at" not in head.values
+        ):
             raise ProtocolError("the id of another session")
-        self.ids[head.id] = sess
+        self.session_ids[head.id] = sess
         # Those that are open stay, and may be far more than the limit. Two looks for each that comes keep those that
         # are over fewer than the open ones and the limit; as many as there are above it took seconds for each client.
-        for _ in range(2 if len(self.ids) > self.limits.max_session_ids else 0):
-            oldest, held = next(iter(self.ids.items()))
+        for _ in range(2 if len(self.session_ids) > self.limits.max_session_ids else 0):
+            oldest, held = next(iter(self.session_ids.items()))
             if held is sess or held in self.clients:
-                self.ids.move_to_end(oldest)
+                self.session_ids.move_to_end(oldest)
             else:
-                del self.ids[oldest]
+                del self.session_ids[oldest]
 
     def late(self, client):
         """The decisions have missed a deadline, which only a fault can do, or this process stood still: the client
@@ -272,7 +276,7 @@
         sess.candidates = (
             None  # a generator that holds its session: a cycle, and of no use any more
         )
-        self.ids[client.head.id] = None
+        self.session_ids[client.head.id] = None
         self.metrics.count(how)
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
@@ -399,7 +403,7 @@
         client.up = dial.up = dial.sent = True
         dial.rest = rest
         self.clients[sess] = client
-        self.ids[head.id] = sess
+        self.session_ids[head.id] = sess
         self.metrics.add_listeners([sess.listener.name])
         self.balancer.on_session_handed_over(self.now(), sess, dial.server)
         for machine, handle in zip((client, dial), handles):
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -41,7 +41,7 @@
         self.asking = {}  # clients with a line that waits for an answer, the longest waiting first
         self.silent_clients = {}  # clients that have sent no line yet, oldest first
         # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
-        self.ids = OrderedDict()
+        self.session_ids = OrderedDict()
         self.links = {}  # Server -> ProbeLink, the longest unused first
         self.seen = 0  # version of the list
         self.watch = None
