--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -393,9 +393,9 @@
             if reset or answer == "reset":
                 at.reset()
             elif answer is None:
-                turns.until(lambda: not turns.proxy.links)
+                turns.until(lambda: not turns.proxy.probe_connections)
             turns.for_ms(10)
-            for link in list(turns.proxy.links.values()):
+            for link in list(turns.proxy.probe_connections.values()):
                 link.end(None)
             at.sock.close()
             turns.until(lambda: not turns.carrier.sockets)
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -353,7 +353,7 @@
             link = turns.taken()
             turns.hears(link)
             link.say("PONG x0=0.2")
-            turns.until(lambda: not turns.proxy.links[server].asked)
+            turns.until(lambda: not turns.proxy.probe_connections[server].asked)
             server.probe_sent_ms = turns.proxy.now()
             turns.proxy.send_probe(server)
             getattr(link, ends)()
@@ -363,7 +363,7 @@
             again.say("PONG x0=0.3")
             turns.until(lambda: server.probe_sent_ms is None)
             turns.lines.append(f"answered: {server.load_samples[-1][1]}")
-            turns.proxy.links[server].end(None)
+            turns.proxy.probe_connections[server].end(None)
             again.finish()
         # One that never answered is another thing.
         turns.proxy.send_probe(server)
@@ -460,7 +460,7 @@
         other = turns.taken("b" if name == "a" else "a")
         turns.lines.append(f"asked elsewhere: {turns.hears(other)}")
         turns.lines.append(
-            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
+            f"links: {len(turns.proxy.probe_connections)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
         )
         del client
         return turns.lines[-2:]
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -620,7 +620,9 @@
             turns.hears(link)
             link.say("PONG x0=0.1")
             turns.until(
-                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
+                lambda name=name: (
+                    not turns.proxy.probe_connections[turns.proxy.servers[name]].asked
+                )
             )
         assert turns.carrier.free <= 7
         for number in range(10):
@@ -643,7 +645,7 @@
             server = turns.taken()
         server.say("UP r1")
         turns.hears(client)
-        while turns.carrier.free <= 1 and turns.proxy.links:
+        while turns.carrier.free <= 1 and turns.proxy.probe_connections:
             turns.proxy.close_link()  # which the next one's dial would do
     left = turns.carrier.free
     client.sock.close()
@@ -668,7 +670,7 @@
             turns.proxy.send_probe(server)
         turns.turn(2)
         assert turns.carrier.free <= 0 and all(
-            link.asked for link in turns.proxy.links.values()
+            link.asked for link in turns.proxy.probe_connections.values()
         )
         assert dialled_then(turns) == "UP r1"
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -71,14 +71,14 @@
         then clients that ask for nothing. What is under way without being a session, probes that are out and clients that
         have only just come, holds spare descriptors: sessions have the others, whoever took them first."""
         if self.transport.free <= 0:
-            for link in [link for link in self.links.values() if not link.asked][
-                : 1 - self.transport.free
-            ]:
+            for link in [
+                link for link in self.probe_connections.values() if not link.asked
+            ][: 1 - self.transport.free]:
                 link.end(None)
         if self.transport.free <= 0:
             for client in self.asking_nothing(1 - self.transport.free):
                 self.shut(client)
-        return self.transport.free + len(self.links) + len(
+        return self.transport.free + len(self.probe_connections) + len(
             self.silent_clients
         ) > 0 and self.spare(DIALS)
 
@@ -558,17 +558,17 @@
 
     def send_probe(self, server):
         self.metrics.count("probes")
-        link = self.links.pop(server, None)
+        link = self.probe_connections.pop(server, None)
         if link is None:
             if (
-                len(self.links) >= self.limits.max_probe_connections
+                len(self.probe_connections) >= self.limits.max_probe_connections
                 or self.transport.free <= 0
             ):
                 self.close_link()
             if not self.spare(PROBES):
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
-        self.links[server] = link
+        self.probe_connections[server] = link
         link.ask(self.now() + self.limits.probe_timeout_ms)
 
     def no_probe(self, server):
@@ -586,7 +586,7 @@
         """Its link was closed for idleness in the moment in which it was asked, which tells nothing of the server."""
         if server in self.addresses:
             self.metrics.count("probes")
-            link = self.links[server] = self.new_link(server)
+            link = self.probe_connections[server] = self.new_link(server)
             link.ask(until)
         else:
             self.balancer.on_probe_result(
@@ -594,13 +594,13 @@
             )
 
     def close_link(self):
-        for link in list(self.links.values()):
+        for link in list(self.probe_connections.values()):
             if not link.asked:
                 return link.end(None)
 
     def link_over(self, link):
-        if self.links.get(link.server) is link:
-            del self.links[link.server]
+        if self.probe_connections.get(link.server) is link:
+            del self.probe_connections[link.server]
 
     def probed(self, link, outcome, text):
         figures = parse_load_report(text, self.node.report_fields)
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -217,8 +217,8 @@
         self.note_told(entries, kind, version)
         for server in moved:
             # Nothing is held against one that has another address now. Later: whoever waits for the answer is dialled.
-            if server in self.links:
-                self.links[server].end(AttemptOutcome.AT_CAPACITY)
+            if server in self.probe_connections:
+                self.probe_connections[server].end(AttemptOutcome.AT_CAPACITY)
         self.forget_gone()
         if kind is not UpdateKind.CACHED:
             if self.watch_why is not None:
@@ -265,8 +265,8 @@
                 and server not in ready
                 and not server.sessions
             ):
-                if server in self.links:
-                    self.links[server].end(AttemptOutcome.RESET)
+                if server in self.probe_connections:
+                    self.probe_connections[server].end(AttemptOutcome.RESET)
                 del self.servers[name]
                 self.addresses.pop(server, None)
                 if self.peers:
