--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -274,7 +274,7 @@
     assert took(new, parts) == parts
     assert (
         not new.balancer.endpoint_list.may_attempt(70_000.0, new.servers["d"], False)
-        and new.seen == 7
+        and new.list_version == 7
     )
     before = encoded_state(third)
     for at, part in enumerate(
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -38,14 +38,14 @@
                 for name in "ab"
             ),
         )
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(
             f"two drains in a chunk, without a line's end: {ready(turns)}"
         )
         text = json.dumps(turns.list("a", whole=False), indent=None) + "\n"
         for piece in (text[:40], text[40:41], text[41:]):
             turns.chunk(watch, piece)
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"one over three chunks: {ready(turns)}")
         return turns.lines
 
@@ -106,7 +106,7 @@
         turns.chunk(
             watch, json.dumps(turns.list("b", whole=False, health="draining")) + "\n"
         )
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"read at last: ready {ready(turns)}")
         return turns.lines
 
@@ -146,7 +146,7 @@
         table.update = update
         turns.head(watch)
         turns.chunk(watch, json.dumps(found) + "\n")
-        turns.until(lambda: turns.proxy.seen == found["seq"])
+        turns.until(lambda: turns.proxy.list_version == found["seq"])
         turns.lines.append(
             f"slots of {sorted({server.name for server in table.current})}, ready {ready(turns)}"
         )
@@ -204,7 +204,7 @@
             f"one of the two is left: {turns.proxy.beside is None}, {told}"
         )
         turns.lines.append(
-            f"its version: {turns.proxy.seen in (turns.seq, turns.seq - 1)}"
+            f"its version: {turns.proxy.list_version in (turns.seq, turns.seq - 1)}"
         )
         return turns.lines
 
@@ -242,10 +242,10 @@
         turns.head(watch)
         older["hosts"][1]["born_ms"] = int(time.time() * 1000)
         turns.chunk(watch, json.dumps(older) + "\n")
-        turns.until(lambda: turns.proxy.seen == older["seq"])
+        turns.until(lambda: turns.proxy.list_version == older["seq"])
         turns.lines.append(f"older, but that b has started anew: ready {ready(turns)}")
         turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"newer: ready {ready(turns)}")
         return turns.lines
 
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -99,7 +99,7 @@
         self._apply_estimates(proxy)
         # Versions count at one address.
         if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
-            proxy.seen = self.decisions.list_version
+            proxy.list_version = self.decisions.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
         endpoint_list = proxy.balancer.endpoint_list
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -36,7 +36,7 @@
         session_ids=list(proxy.session_ids),
         server_names=list(proxy.known_names),
         decisions=collect_decisions(
-            balancer, indexes, proxy.seen, proxy.node.discovery_address
+            balancer, indexes, proxy.list_version, proxy.node.discovery_address
         ),
     )
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -43,7 +43,7 @@
         # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
         self.session_ids = OrderedDict()
         self.probe_connections = {}  # Server -> ProbeLink, the longest unused first
-        self.seen = 0  # version of the list
+        self.list_version = 0  # version of the list
         self.watch = None
         self.beside = None  # another, asked while the first has not answered
         self.next_watch = None  # the alarm that opens it again, or one beside it
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -39,7 +39,7 @@
             self.listed(node.initial_endpoints, UpdateKind.SNAPSHOT)
         elif node.discovery_address != old.discovery_address:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
-            self.seen = 0
+            self.list_version = 0
             self.open_watch()
 
     # Servers in maintenance
@@ -113,7 +113,11 @@
 
     def ask_list(self):
         watch = Watch(
-            self.node.discovery_address[0], self.seen, self, self.limits, self.clock
+            self.node.discovery_address[0],
+            self.list_version,
+            self,
+            self.limits,
+            self.clock,
         )
         watch.start(self.transport.connect(watch, self.node.discovery_address))
         return watch
@@ -229,7 +233,7 @@
         if unread and kind is not UpdateKind.CACHED and self.watch:
             self.find_out(self.watch)
         elif version is not None and not self.gap and not unread:
-            self.seen, self.gaps = version, 0
+            self.list_version, self.gaps = version, 0
 
     def find_out(self, watch):
         """What could not be read is asked for again, from before it; again and again, but ever more seldom, as it
