--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -201,7 +201,7 @@
         turns.for_ms(20)
         told = [event for event, _ in turns.logged if event == LogEvent.PROTOCOL_ERROR]
         turns.lines.append(
-            f"one of the two is left: {turns.proxy.beside is None}, {told}"
+            f"one of the two is left: {turns.proxy.hedge_watch is None}, {told}"
         )
         turns.lines.append(
             f"its version: {turns.proxy.list_version in (turns.seq, turns.seq - 1)}"
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -427,7 +427,7 @@
         """The list has more to tell that was not read yet: it counts as told already."""
         return any(
             watch and watch.wire.open and watch.wire.unread
-            for watch in (self.watch, self.beside)
+            for watch in (self.watch, self.hedge_watch)
         )
 
     def may_send(self, dial):
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -45,7 +45,7 @@
         self.probe_connections = {}  # Server -> ProbeLink, the longest unused first
         self.list_version = 0  # version of the list
         self.watch = None
-        self.beside = None  # another, asked while the first has not answered
+        self.hedge_watch = None  # another, asked while the first has not answered
         self.next_watch = None  # the alarm that opens it again, or one beside it
         self.asked_at = 0.0  # when it was opened
         self.gap = False  # an entry of the list could not be read: no version is noted
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -127,34 +127,34 @@
         return counts as told at once; a slow answer is waited for all the same. So a second one is asked beside the
         first, again and again: whichever answers first is the watch."""
         if watch is self.watch and not watch.answered:
-            if self.beside:
-                self.beside.leave()
-                self.beside = None
+            if self.hedge_watch:
+                self.hedge_watch.leave()
+                self.hedge_watch = None
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
             if self.now() - watch.came >= self.limits.watch_hedge_delay_ms:
-                self.beside = self.ask_list()
+                self.hedge_watch = self.ask_list()
             self.next_watch = self.clock.after(
                 self.limits.watch_hedge_delay_ms, self.ask_beside, watch
             )
 
     def watch_answered(self, watch):
-        other = self.watch if watch is self.beside else self.beside
+        other = self.watch if watch is self.hedge_watch else self.hedge_watch
         if other:
             other.leave()
-        self.watch, self.beside = watch, None
+        self.watch, self.hedge_watch = watch, None
         self.next_watch.cancel()
 
     def leave_watch(self):
         if self.next_watch:
             self.next_watch.cancel()
-        for watch in (self.watch, self.beside):
+        for watch in (self.watch, self.hedge_watch):
             if watch:
                 watch.leave()
-        self.watch = self.beside = None
+        self.watch = self.hedge_watch = None
 
     def watch_over(self, watch, why):
-        if watch is self.beside:
-            self.beside = None
+        if watch is self.hedge_watch:
+            self.hedge_watch = None
         if watch is not self.watch:
             return
         if why != self.watch_why:
