--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -151,7 +151,7 @@
 def lists(count, text):
     """A list as it comes over the watch, in pieces of the receive buffer."""
     here, loop = proxy()
-    here.next_watch = here.clock.after(1e6, int)
+    here.watch_timer = here.clock.after(1e6, int)
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
     pieces = [
@@ -177,7 +177,7 @@
     found["change_bytes"] = len(drains)
     found["change_ms"] = (timed(take, [drains]) + timed(take, [back])) / 2
     watch.timer.cancel()
-    here.next_watch.cancel()
+    here.watch_timer.cancel()
     loop.close()
     return found
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -46,7 +46,7 @@
         self.list_version = 0  # version of the list
         self.watch = None
         self.hedge_watch = None  # another, asked while the first has not answered
-        self.next_watch = None  # the alarm that opens it again, or one beside it
+        self.watch_timer = None  # the alarm that opens it again, or one beside it
         self.asked_at = 0.0  # when it was opened
         self.gap = False  # an entry of the list could not be read: no version is noted
         self.gaps = 0  # how often in a row
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -107,7 +107,7 @@
         self.gap = False
         self.asked_at = self.now()
         self.watch = self.ask_list()
-        self.next_watch = self.clock.after(
+        self.watch_timer = self.clock.after(
             self.limits.watch_hedge_delay_ms, self.ask_beside, self.watch
         )
 
@@ -133,7 +133,7 @@
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
             if self.now() - watch.came >= self.limits.watch_hedge_delay_ms:
                 self.hedge_watch = self.ask_list()
-            self.next_watch = self.clock.after(
+            self.watch_timer = self.clock.after(
                 self.limits.watch_hedge_delay_ms, self.ask_beside, watch
             )
 
@@ -142,11 +142,11 @@
         if other:
             other.leave()
         self.watch, self.hedge_watch = watch, None
-        self.next_watch.cancel()
+        self.watch_timer.cancel()
 
     def leave_watch(self):
-        if self.next_watch:
-            self.next_watch.cancel()
+        if self.watch_timer:
+            self.watch_timer.cancel()
         for watch in (self.watch, self.hedge_watch):
             if watch:
                 watch.leave()
@@ -168,12 +168,12 @@
                 self.limits.max_watch_backoff_ms,
                 self.limits.watch_backoff_ms * 2.0 ** min(self.list_failures, 5),
             )
-            self.next_watch = self.clock.after(
+            self.watch_timer = self.clock.after(
                 wait * self.balancer.uniform(0.5, 1.0), self.open_watch
             )
             return
         # At once after one that had lasted: what the agent has meanwhile counts as told.
-        self.next_watch = self.clock.at(
+        self.watch_timer = self.clock.at(
             max(self.now(), self.asked_at + self.limits.min_watch_interval_ms),
             self.open_watch,
         )
