--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -377,10 +377,10 @@
     """Nothing of it was sent: refused."""
     with Turns() as turns:
         client = turns.open()
-        turns.until(lambda: turns.proxy.early)
-        next(iter(turns.proxy.early)).fault()
+        turns.until(lambda: turns.proxy.early_clients)
+        next(iter(turns.proxy.early_clients)).fault()
         turns.hears(client)
-        turns.lines.append(f"still waits: {len(turns.proxy.early)}")
+        turns.lines.append(f"still waits: {len(turns.proxy.early_clients)}")
         return turns.lines
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -363,7 +363,7 @@
 
 def before_the_first_list(turns, how):
     client = turns.open()
-    turns.until(lambda: turns.proxy.early)
+    turns.until(lambda: turns.proxy.early_clients)
     watch, _ = turns.watch()
     turns.head(watch)
     turns.chunk(watch, json.dumps(turns.list("a", "b")) + "\n")
@@ -373,7 +373,7 @@
 
 def as_its_time_to_wait_for_the_list_ends(turns, how):
     client = turns.open(d=400)
-    turns.until(lambda: turns.proxy.early)
+    turns.until(lambda: turns.proxy.early_clients)
     leave(client, how)
     held(turns)
 
@@ -433,7 +433,7 @@
     with Turns(settings=PROBED if probed else None) as turns:
         when(turns, how)
         turns.for_ms(60)
-        assert not turns.proxy.clients and not turns.proxy.early
+        assert not turns.proxy.clients and not turns.proxy.early_clients
         assert begun(turns) == 0
 
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -99,9 +99,9 @@
         tenant = head.values.get("t")
         if tenant is not None and self.tenants and tenant not in self.tenants:
             raise ProtocolError("t names no tenant")
-        if self.early is not None:
+        if self.early_clients is not None:
             # What discovery's agent knows counts as told from the first moment, and the known list may be old.
-            self.early[client] = came
+            self.early_clients[client] = came
             return client.set_timer(left / 4, client.wire.guard, self.let_in, client)
         sess = Session(
             listener=listener,
@@ -131,16 +131,16 @@
 
     def let_in(self, client):
         """Its time does not allow to wait for the first list any longer."""
-        if self.early and client in self.early:
-            early, self.early = self.early, None
+        if self.early_clients and client in self.early_clients:
+            early, self.early_clients = self.early_clients, None
             try:
                 self.come_in(client, early.pop(client))
             finally:
-                self.early = early
+                self.early_clients = early
 
     def first_list_over(self):
         """It has come, or is waited for no longer: who came before it is let in."""
-        early, self.early = self.early, None
+        early, self.early_clients = self.early_clients, None
         for client, came in (early or {}).items():
             client.timer.cancel()
             client.wire.guard(self.come_in, client, came)
@@ -216,7 +216,7 @@
         refused = (
             may_reject(sess)
             if sess is not None
-            else bool(self.early and client in self.early)
+            else bool(self.early_clients and client in self.early_clients)
         )
         self.hung_up(client)
         self.answer(client, self.come_back(client.listener) if refused else b"ERR")
@@ -257,8 +257,8 @@
 
     def hung_up(self, client):
         self.silent_clients.pop(client, None)
-        if self.early:
-            self.early.pop(client, None)
+        if self.early_clients:
+            self.early_clients.pop(client, None)
         sess = client.sess
         if client.dial and not client.up and not client.dial.over:
             client.dial.over = True
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -50,7 +50,7 @@
         self.asked_at = 0.0  # when it was opened
         self.gap = False  # an entry of the list could not be read: no version is noted
         self.gaps = 0  # how often in a row
-        self.early = {}  # clients whose line came before the first list -> when
+        self.early_clients = {}  # clients whose line came before the first list -> when
         self.watch_why = None  # it ended last time, and nothing came since
         self.list_failures = 0  # calls for the list in a row
         self.ready = False
@@ -152,7 +152,7 @@
         read. Who has sent PING only looks whether this proxy is there. One that was taken over from waits for them all."""
         return bool(
             self.clients
-            or self.early
+            or self.early_clients
             or self.listening_socket
             and self.listening_socket.waiting
             or any(
