--- a/tests/test_rare_stops.py
+++ b/tests/test_rare_stops.py
@@ -28,7 +28,9 @@
         got, _ = read_slowly(turns, client, 1, 1 << 20)
         turns.lines.append(f"last come {got[-9:]}")
         turns.until(lambda: ended)
-        turns.lines.append(f"in time: {ended[0] - turns.proxy.stopping < 4700}")
+        turns.lines.append(
+            f"in time: {ended[0] - turns.proxy.stopping_since_ms < 4700}"
+        )
         return turns.lines
 
 
@@ -38,7 +40,9 @@
         ended = []
         turns.proxy.stop(lambda: ended.append(turns.proxy.now()))
         turns.until(lambda: ended)
-        turns.lines.append(f"in time: {ended[0] - turns.proxy.stopping < 1200}")
+        turns.lines.append(
+            f"in time: {ended[0] - turns.proxy.stopping_since_ms < 1200}"
+        )
         return turns.lines
 
 
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -98,7 +98,7 @@
     def _serve(self, with_state: bool) -> None:
         self._await_successor()
         self._proxy.start(with_state)
-        if self._proxy.stopping is None:
+        if self._proxy.stopping_since_ms is None:
             self._proxy.listening_socket.hold(False)
             self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
@@ -160,7 +160,7 @@
         self._proxy.handed_over = False
         self._take_budgets_back()
         self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
-        if self._proxy.stopping is None:
+        if self._proxy.stopping_since_ms is None:
             self._proxy.listening_socket.hold(False)
             if self._server_socket is None:
                 self._await_successor()
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -30,7 +30,7 @@
     clock: Any
     ready: bool
     handed_over: bool  # whether another process has taken over
-    stopping: float | None  # since when, in ms
+    stopping_since_ms: float | None  # since when, in ms
     known_names: Container[str]  # of all servers that were ever listed
 
     def now(self) -> float:
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -69,7 +69,7 @@
         proxy = self._proxy
         if proxy.ready and not proxy.handed_over:
             return {"status": "ready"}
-        if proxy.stopping is not None:
+        if proxy.stopping_since_ms is not None:
             raise HttpError(503, "stopping")
         if proxy.handed_over:
             raise HttpError(503, "handed over to another process")
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -54,7 +54,7 @@
         self.watch_why = None  # it ended last time, and nothing came since
         self.list_failures = 0  # calls for the list in a row
         self.ready = False
-        self.stopping = None  # since when
+        self.stopping_since_ms = None  # since when
         self.stop_last = 0.0  # when those that are left are sent away
         self.bad_since = self.bad_logged = 0
         self.balancer = decisions(self, random.Random(node.seed), node.policy)
@@ -92,14 +92,14 @@
 
     def get_ready(self):
         self.first_list_over()
-        if not self.ready and self.stopping is None:
+        if not self.ready and self.stopping_since_ms is None:
             self.ready = True
             self.log_event(LogEvent.READY, servers=len(self.servers))
 
     def stop(self, stopped):
         """Newcomers still come for a while and are served; `stopped` is called when all is done."""
-        if self.stopping is None:
-            self.stopping = self.now()
+        if self.stopping_since_ms is None:
+            self.stopping_since_ms = self.now()
             self.ready = False
             # Where packets pass through, what is open goes on at other proxies once this one is killed, but
             # breaks if it ends by itself: all its clients then came back at once, and were refused.
@@ -109,7 +109,7 @@
                 if self.node.migrates_at_shutdown
                 else self.limits.passthrough_shutdown_ms
             )
-            self.stop_last = self.stopping + most
+            self.stop_last = self.stopping_since_ms + most
             self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
             if self.node.listen_fd is not None and self.listening_socket:
                 # Others listen on the same socket: whoever waits there is theirs.
@@ -124,7 +124,7 @@
                 stopped,
             )
             if not self.handed_over:
-                self.balancer.on_stop(self.stopping, False)
+                self.balancer.on_stop(self.stopping_since_ms, False)
 
     def wait_for_end(self, stopped):
         now = self.now()
