--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -41,7 +41,7 @@
         # Budgets that were given away, to be taken back if the handover is undone.
         self._slow_start_since_ms: float | None = None
         self._free_retries: float | None = None
-        proxy.upgrade = self
+        proxy.handover_coordinator = self
         proxy.listening_socket.hold(True)
 
     # The new process
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -22,7 +22,7 @@
         self.transport = carrier
         self.metrics = ProxyMetrics()
         self.listening_socket = None  # where clients are taken in
-        self.upgrade = None  # where another process may take over, or has
+        self.handover_coordinator = None  # where another process may take over, or has
         self.handed_over = False
         self.peers = None  # other instances, where they are known
         self.swept = self.worst_delay = (
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -75,8 +75,8 @@
             out=len(held),
         )
         self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
-        if self.upgrade:
-            self.upgrade.forward_maintenance(name, out, forwarded_by)
+        if self.handover_coordinator:
+            self.handover_coordinator.forward_maintenance(name, out, forwarded_by)
         return store is not None
 
     def load_maintenance(self):
