--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -316,7 +316,7 @@
             unusable = [
                 server
                 for server in seat.proxy.balancer.endpoint_list.servers
-                if server.name in seat.proxy.left_out(world.clock.now())
+                if server.name in seat.proxy.excluded_servers(world.clock.now())
             ]
             assert figures["members_unavailable"] >= len(unusable)
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -191,7 +191,7 @@
         listed = [
             server for server in self.servers.values() if server.phase is not Phase.GONE
         ]
-        left_out = self.left_out(self.now())
+        left_out = self.excluded_servers(self.now())
         return {
             **self.metrics.for_operators(),
             "pending": len(self.clients),
@@ -210,7 +210,7 @@
             "placed": sum(len(server.sessions) for server in self.servers.values()),
             "sockets": self.transport.sockets,
             "servers": len(self.balancer.endpoint_list.servers),
-            "left_out": self.left_out(self.now()),
+            "left_out": self.excluded_servers(self.now()),
             "doubted": {
                 server.name: round(server.report_correction, 2)
                 for server in self.balancer.endpoint_list.servers
@@ -220,7 +220,7 @@
             **({"peers": self.peers.status.metrics()} if self.peers else {}),
         }
 
-    def left_out(self, now):
+    def excluded_servers(self, now):
         """The ready servers that nothing new goes to, by name, and why."""
         balancer = self.balancer
         servers = list(balancer.endpoint_list.servers)
