--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -282,7 +282,7 @@
     proxy = process.proxy
     for key, values, server, asked, answered in SESSIONS:
         proxy.clock.time += 10.5
-        client = proxy.client(Connection())
+        client = proxy.create_client(Connection())
         client.connected()
         client.received(f"OPEN id-{key} {key} {values},at={server}\r\n".encode())
         proxy.clock.time += 1.25
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -26,7 +26,7 @@
 
     # Clients
 
-    def client(self, wire):
+    def create_client(self, wire):
         return Client(wire, self, self.limits, self.clock)
 
     def came(self, client):
