--- a/tests/turns.py
+++ b/tests/turns.py
@@ -72,7 +72,7 @@
         self.carrier = Transport(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
         self.proxy.listening_socket = self.carrier.listen(
-            self.proxy.create_client, node.listen_address, self.proxy.room
+            self.proxy.create_client, node.listen_address, self.proxy.has_room
         )
         self.proxy.start()
 
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -158,7 +158,7 @@
     node = proxy.node
     address, inherited = node.listen_address, node.listen_fd
     proxy.listening_socket = _listen(
-        carrier, "listen", proxy.create_client, address, proxy.room, inherited
+        carrier, "listen", proxy.create_client, address, proxy.has_room, inherited
     )
     log(LogEvent.LISTENING, at=_address_text(address), inherited=inherited is not None)
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -189,7 +189,7 @@
             node, carrier, self.host.clock, self.log, self.world.decisions
         )
         self.proxy.listening_socket = carrier.open_door(
-            self.proxy.create_client, self.proxy.room
+            self.proxy.create_client, self.proxy.has_room
         )
         self.open_to_operators(carrier)
         UpgradeCoordinator(self.proxy, carrier, self.host.clock, self.log).begin()
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -54,7 +54,7 @@
         )
         if self.told:
             self.join(node, carrier)
-        carrier.listen(self.proxy.create_client, self.where, self.proxy.room)
+        carrier.listen(self.proxy.create_client, self.where, self.proxy.has_room)
         self.open_to_operators(carrier)
         self.proxy.start()
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -32,7 +32,7 @@
     def came(self, client):
         self.silent_clients[client] = self.now()
 
-    def room(self):
+    def has_room(self):
         """Whether one more client may be taken in. Who connects without asking for anything holds a sixth of
         the descriptors at most, as sessions take two each and need the rest: the oldest make room. A line
         that has come and was not read yet is asked for."""
