--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -601,7 +601,7 @@
         for _ in range(120):
             turns.client()
             turns.turn(2)
-        assert not turns.proxy.spare(NEWCOMERS)
+        assert not turns.proxy.has_spare_descriptors(NEWCOMERS)
         server.say("BUSY")
         server = turns.taken()
         turns.hears(server)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -43,11 +43,11 @@
         return self.fits()
 
     def fits(self):
-        return len(self.silent_clients) < self.limits.max_sockets // 6 and self.spare(
-            NEWCOMERS
-        )
+        return len(
+            self.silent_clients
+        ) < self.limits.max_sockets // 6 and self.has_spare_descriptors(NEWCOMERS)
 
-    def spare(self, eighths):
+    def has_spare_descriptors(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
         one: who may be most may take least."""
         return self.transport.free > -self.limits.reserved_sockets * eighths / 8
@@ -80,7 +80,7 @@
                 self.shut(client)
         return self.transport.free + len(self.probe_connections) + len(
             self.silent_clients
-        ) > 0 and self.spare(DIALS)
+        ) > 0 and self.has_spare_descriptors(DIALS)
 
     def opened(self, client, came=None):
         """`came`: when its line did, where that was a while ago."""
@@ -511,7 +511,7 @@
         client = self.clients[session]
         if len(session.attempts) > 1:
             self.metrics.count("further dials")
-        if not self.spare(DIALS):
+        if not self.has_spare_descriptors(DIALS):
             self.clock.soon(self.no_socket, session, session.attempts[-1])
         else:
             self.connect(client, server, timeout_ms)
@@ -565,7 +565,7 @@
                 or self.transport.free <= 0
             ):
                 self.close_link()
-            if not self.spare(PROBES):
+            if not self.has_spare_descriptors(PROBES):
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
         self.probe_connections[server] = link
