--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,7 +21,7 @@
 from turns import Turns
 from wheathill.log_events import LogEvent
 from wheathill.model import UpdateKind
-from wheathill.net.carried import NEWCOMERS
+from wheathill.net.carried import ACCEPT_EIGHTHS
 
 pytestmark = pytest.mark.processes
 
@@ -601,7 +601,7 @@
         for _ in range(120):
             turns.client()
             turns.turn(2)
-        assert not turns.proxy.has_spare_descriptors(NEWCOMERS)
+        assert not turns.proxy.has_spare_descriptors(ACCEPT_EIGHTHS)
         server.say("BUSY")
         server = turns.taken()
         turns.hears(server)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -14,7 +14,7 @@
 
 # Of the spare descriptors, in eighths: so far newcomers are taken in, those taken in are dialled for, and servers are
 # asked. The rest is for discovery, the operators' door and files.
-NEWCOMERS, DIALS, PROBES = 3, 4, 5
+ACCEPT_EIGHTHS, DIALS, PROBES = 3, 4, 5
 
 
 def busy(come_back_after):
@@ -45,7 +45,7 @@
     def fits(self):
         return len(
             self.silent_clients
-        ) < self.limits.max_sockets // 6 and self.has_spare_descriptors(NEWCOMERS)
+        ) < self.limits.max_sockets // 6 and self.has_spare_descriptors(ACCEPT_EIGHTHS)
 
     def has_spare_descriptors(self, eighths):
         """Whether so many eighths of the spare descriptors are not all taken. Each use stops sooner than the next
