--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -82,9 +82,9 @@
         super().__init__(*args)
         self.number = count(1)
 
-    def opened(self, client, came=None):
+    def on_open_request(self, client, came=None):
         if next(self.number) % 40:
-            super().opened(client, came)
+            super().on_open_request(client, came)
 
 
 class CutsOff(Proxy):
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -82,7 +82,7 @@
             self.silent_clients
         ) > 0 and self.has_spare_descriptors(DIALS)
 
-    def opened(self, client, came=None):
+    def on_open_request(self, client, came=None):
         """`came`: when its line did, where that was a while ago."""
         self.silent_clients.pop(client, None)
         head, now = client.head, self.now()
@@ -147,7 +147,7 @@
 
     def come_in(self, client, came):
         try:
-            self.opened(client, came)
+            self.on_open_request(client, came)
         except ProtocolError as wrong:
             self.bad_client(client, str(wrong))
 
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -54,7 +54,7 @@
                         raise ProtocolError("more than a line at once")
                     self.head = head
                     self.timer.cancel()
-                    self.owner.opened(self)
+                    self.owner.on_open_request(self)
         except ProtocolError as wrong:
             self.owner.bad_client(self, str(wrong))
 
