--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -59,12 +59,12 @@
             sess = Session(Listener("any"), f"new{number}", 0.0)
             proxy.clients[sess] = Stand(sess)
             proxy.clients.looks = 0
-            proxy.note_id(OpenRequest(b"OPEN new%d k c=any" % number), sess)
+            proxy.record_session_id(OpenRequest(b"OPEN new%d k c=any" % number), sess)
             assert proxy.clients.looks <= 2
         assert len(proxy.session_ids) == OPEN + 5  # all are open, and none is forgotten
         # Those that are over go first, and are never more than the open ones.
         for number in range(2 * OPEN):
-            proxy.note_id(
+            proxy.record_session_id(
                 OpenRequest(b"OPEN over%d k c=any" % number),
                 Session(Listener("any"), "k", 0.0),
             )
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -49,7 +49,7 @@
     while done < MOST and time.process_time() - begun < FOR:
         sess = Session(listener, "k", 0.0)
         here.clients[sess] = None
-        here.note_id(OpenRequest(b"OPEN new%d k c=any" % done), sess)
+        here.record_session_id(OpenRequest(b"OPEN new%d k c=any" % done), sess)
         done += 1
     return 1000 * (time.process_time() - begun) / done
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -114,7 +114,7 @@
             returning=head.flag("again"),
             is_client_retry=head.flag("r"),
         )
-        self.note_id(head, sess)
+        self.record_session_id(head, sess)
         if not self.make_room():
             self.metrics.count("no sockets")
             self.answer(client, self.come_back(listener))
@@ -166,7 +166,7 @@
         client.timer.cancel()
         client.wire.abort()
 
-    def note_id(self, head, sess):
+    def record_session_id(self, head, sess):
         """Ids are new with every connection: one that was seen belongs to another client, and servers answer
         its second session with ERR. Packets that come through this proxy again are the exception."""
         if (
