--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -88,7 +88,7 @@
         )
         client = next(iter(dict(proxy.clients).values()))
         client.asked = proxy.now() - 700.0
-        proxy.asks(client)
+        proxy.on_request_forwarded(client)
         proxy.sweep()
         assert [sess for sess, _ in told] == [client.sess] and told[0][1] >= 700.0
         proxy.message_took(client, 0.0)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -301,7 +301,7 @@
     def heard(self, server):
         self.balancer.on_server_activity(self.now(), server)
 
-    def asks(self, client):
+    def on_request_forwarded(self, client):
         """A line of it went to its server."""
         if client.sess is not None:
             self.asking[client] = None
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -77,7 +77,7 @@
         # Half a line asks for nothing yet.
         if self.asked is None and b"\n" in data:
             self.asked = self.clock.now()
-            self.owner.asks(self)
+            self.owner.on_request_forwarded(self)
         self.dial.wire.send(data)
 
     @property
