--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -91,7 +91,7 @@
         proxy.on_request_forwarded(client)
         proxy.sweep()
         assert [sess for sess, _ in told] == [client.sess] and told[0][1] >= 700.0
-        proxy.message_took(client, 0.0)
+        proxy.on_message_answered(client, 0.0)
         proxy.sweep()
         assert len(told) == 1
         proxy.clients = {}
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -306,7 +306,7 @@
         if client.sess is not None:
             self.asking[client] = None
 
-    def message_took(self, client, spent):
+    def on_message_answered(self, client, spent):
         self.asking.pop(client, None)
         if client.sess is not None and spent > client.sess.listener.message_target_ms:
             self.metrics.count("late messages")
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -109,7 +109,7 @@
         """The server has sent a line back."""
         if self.asked is not None:
             asked, self.asked = self.asked, None
-            self.owner.message_took(self, self.clock.now() - asked)
+            self.owner.on_message_answered(self, self.clock.now() - asked)
 
     def answer(self, *parts):
         """The final answer of a session that is not up; nothing goes out after it."""
