--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -148,7 +148,7 @@
         for server in (
             self.proxy.servers.values()
         ):  # which keeps one such session until it says something
-            self.proxy.heard(server)
+            self.proxy.on_server_data(server)
 
     def handed_over(self):
         client, server = self.up()
@@ -186,10 +186,10 @@
 
     def a_fault_while_up(self):
         client, server = self.up()
-        heard, self.proxy.heard = self.proxy.heard, raise_one
+        heard, self.proxy.on_server_data = self.proxy.on_server_data, raise_one
         server.say("a line")
         self.turns.hears(client)
-        self.proxy.heard = heard
+        self.proxy.on_server_data = heard
         self.over(client, server)
 
     # Of one that was not
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -94,7 +94,11 @@
         if dial.up and dial.between_lines:
             lines.append("-- between lines")
     dial.ended()
-    return [line for line in lines if "client send" not in line and "heard" not in line]
+    return [
+        line
+        for line in lines
+        if "client send" not in line and "on_server_data" not in line
+    ]
 
 
 def move_waits():
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -298,7 +298,7 @@
         )
         return client
 
-    def heard(self, server):
+    def on_server_data(self, server):
         self.balancer.on_server_activity(self.now(), server)
 
     def on_request_forwarded(self, client):
@@ -460,7 +460,7 @@
             return self.late(client)
         self.metrics.count_result(client.listener, "completed")
         client.serve(dial, line)
-        self.heard(dial.server)
+        self.on_server_data(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
             self.balancer.on_session_accepted(now, sess)
@@ -605,5 +605,5 @@
     def probed(self, link, outcome, text):
         figures = parse_load_report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
-            self.heard(link.server)
+            self.on_server_data(link.server)
         self.balancer.on_probe_result(self.now(), link.server, outcome, figures)
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -134,7 +134,7 @@
 
     def pass_on(self, data):
         self.client.wire.send(data)
-        self.owner.heard(self.server)
+        self.owner.on_server_data(self.server)
         *lines, self.rest = (self.rest + data).split(CRLF)
         for line in lines:
             self.read(line)
