--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -153,7 +153,7 @@
     def handed_over(self):
         client, server = self.up()
         ((sess, machine),) = self.proxy.clients.items()
-        handles = self.proxy.hand_over(sess, machine)
+        handles = self.proxy.hand_over_session(sess, machine)
         del sess, machine
         self.turns.turn(3)
         self.turns.carrier.drop(handles)
@@ -163,7 +163,7 @@
         client, server = self.up()
         ((sess, machine),) = self.proxy.clients.items()
         fields = encode_session(collect_session(machine))
-        handles = self.proxy.hand_over(sess, machine)
+        handles = self.proxy.hand_over_session(sess, machine)
         del sess, machine
         record = decode_session(fields)
         sess = build_session(record, self.proxy.listeners)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -446,7 +446,7 @@
     proxy.clients = Counted(
         {number: types.SimpleNamespace(quiet=number % 5 != 0) for number in range(1000)}
     )
-    proxy.hand_over = lambda sess, client: [sess, -sess]
+    proxy.hand_over_session = lambda sess, client: [sess, -sess]
     sent = []
     sender = HandoverSender(Hand("wire", []), proxy, None)
     sender.wire.carrier = types.SimpleNamespace(sockets=0)
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -156,7 +156,7 @@
             islice(self._quiet(), self.limits.handover_batch_size)
         ):
             fields = encode_session(collect_session(client))
-            pair = self._proxy.hand_over(session, client)
+            pair = self._proxy.hand_over_session(session, client)
             if pair:
                 batch.append(fields)
                 handles += pair
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -364,7 +364,7 @@
 
     # Sessions of another process of this proxy, and for it
 
-    def hand_over(self, sess, client):
+    def hand_over_session(self, sess, client):
         """Descriptors of both its connections, which this process lets go of; none where it has none left."""
         try:
             handles = [client.wire.copy()]
