--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -167,7 +167,7 @@
         del sess, machine
         record = decode_session(fields)
         sess = build_session(record, self.proxy.listeners)
-        self.proxy.carry(
+        self.proxy.adopt_session(
             record.open_line,
             sess,
             handles,
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -154,7 +154,7 @@
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
         record = decode_session(fields)
-        self._proxy.carry(
+        self._proxy.adopt_session(
             record.open_line,
             build_session(record, self._proxy.listeners),
             handles,
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -384,7 +384,7 @@
         self.balancer.on_client_left(self.now(), sess)
         return handles
 
-    def carry(self, line, sess, handles, came, asked, server, rest):
+    def adopt_session(self, line, sess, handles, came, asked, server, rest):
         """Goes on where the other process stopped. Raises ValueError with nothing taken."""
         if server not in self.servers:
             raise ValueError(f"a session at {server!r}, which is not known")
