--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,7 +19,7 @@
 
     open = full = False
     drained = True
-    ready = list_unread = False
+    ready = has_unread_list = False
     unread = False
 
     def __init__(self, name="", lines=None):
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -423,7 +423,7 @@
         )
 
     @property
-    def list_unread(self):
+    def has_unread_list(self):
         """The list has more to tell that was not read yet: it counts as told already."""
         return any(
             watch and watch.wire.open and watch.wire.unread
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -44,7 +44,7 @@
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
         return not self.over and (
-            self.owner.list_unread or client.open and client.unread
+            self.owner.has_unread_list or client.open and client.unread
         )
 
     def connected(self):
