--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -446,7 +446,7 @@
         sess.attempts[-1].may_have_executed = may
         return may
 
-    def dial_sent(self, dial):
+    def on_request_sent(self, dial):
         self.metrics.count("dials sent")
 
     def dial_up(self, dial, line):
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -67,7 +67,7 @@
     def line_left(self):
         if not self.sent:
             self.sent = True
-            self.owner.dial_sent(self)
+            self.owner.on_request_sent(self)
 
     def overdue(self):
         self.give_up(
