--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -286,11 +286,11 @@
         self.over(client)
 
     def a_fault_before_up(self):
-        said, self.proxy.dial_up = self.proxy.dial_up, raise_one
+        said, self.proxy.on_attempt_accepted = self.proxy.on_attempt_accepted, raise_one
         client, server = self.dialled()
         server.say("UP r")
         self.turns.hears(client)
-        self.proxy.dial_up = said
+        self.proxy.on_attempt_accepted = said
         self.over(client, server)
 
 
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -152,8 +152,8 @@
         super().__init__(*args)
         self.number = count(1)
 
-    def dial_up(self, dial, line):
-        super().dial_up(dial, line)
+    def on_attempt_accepted(self, dial, line):
+        super().on_attempt_accepted(dial, line)
         if not next(self.number) % 50:
             raise RuntimeError("on purpose")
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -449,7 +449,7 @@
     def on_request_sent(self, dial):
         self.metrics.count("dials sent")
 
-    def dial_up(self, dial, line):
+    def on_attempt_accepted(self, dial, line):
         client, sess, now = dial.client, dial.client.sess, self.now()
         if (
             sess in self.clients
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -106,7 +106,7 @@
         if word == b"UP" and self.sent:
             self.timer.cancel()
             self.up = True
-            self.owner.dial_up(self, line + CRLF)
+            self.owner.on_attempt_accepted(self, line + CRLF)
             if self.lines.unconsumed:
                 self.pass_on(self.lines.unconsumed)
             return
