--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -468,7 +468,7 @@
             self.clients[sess] = client
             self.balancer.on_session_taken_over(now, sess, dial.server)
 
-    def dial_over(self, dial, outcome):
+    def on_attempt_ended(self, dial, outcome):
         client, now = dial.client, self.now()
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
         sess = client.sess if client.dial is dial else None
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -83,7 +83,7 @@
         self.timer.cancel()
         if not self.over:
             self.over = True
-            self.owner.dial_over(self, outcome)
+            self.owner.on_attempt_ended(self, outcome)
 
     def received(self, data):
         if self.up:
