--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -500,7 +500,7 @@
             LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
         )
 
-    def reported(self, server, text):
+    def on_load_report(self, server, text):
         figures = parse_load_report(text, self.node.report_fields)
         if figures:
             self.balancer.on_load_report(self.now(), server, figures)
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -110,7 +110,7 @@
             if self.lines.unconsumed:
                 self.pass_on(self.lines.unconsumed)
             return
-        self.owner.reported(self.server, rest)
+        self.owner.on_load_report(self.server, rest)
         if word not in FIRST_WORDS:
             self.owner.odd_answer(self, line)
         outcome = FIRST_WORDS.get(word, AttemptOutcome.ERROR)
@@ -152,7 +152,7 @@
         self.client.answered()
         if word in LAST_WORDS:
             self.outcome = LAST_WORDS[word]
-            self.owner.reported(self.server, rest)
+            self.owner.on_load_report(self.server, rest)
 
     @property
     def between_lines(self):
