--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -312,7 +312,7 @@
             self.metrics.count("late messages")
             self.balancer.on_message_latency(self.now(), client.sess, spent)
 
-    def load_told(self, client, text):
+    def on_load_declared(self, client, text):
         try:
             load = float(text)
         except ValueError:
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -147,7 +147,7 @@
     def read(self, line):
         word, _, rest = line.partition(b" ")
         if word == b"LOAD":
-            self.owner.load_told(self.client, rest)
+            self.owner.on_load_declared(self.client, rest)
             return
         self.client.answered()
         if word in LAST_WORDS:
