--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -332,7 +332,7 @@
         server.say("BUSY")
         second = turns.taken()
         turns.hears(second)
-        turns.proxy.no_socket(sess, stale)
+        turns.proxy.fail_without_descriptor(sess, stale)
         turns.for_ms(20)
         turns.lines.append(f"a third dial: {turns.dialled()}")
         second.say("UP r2")
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -512,11 +512,11 @@
         if len(session.attempts) > 1:
             self.metrics.count("further dials")
         if not self.has_spare_descriptors(DIALS):
-            self.clock.soon(self.no_socket, session, session.attempts[-1])
+            self.clock.soon(self.fail_without_descriptor, session, session.attempts[-1])
         else:
             self.connect(client, server, timeout_ms)
 
-    def no_socket(self, sess, dial):
+    def fail_without_descriptor(self, sess, dial):
         """Of that very dial: another one may be out by now."""
         if sess in self.clients and sess.attempts[-1] is dial:
             self.balancer.on_outcome(
