--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -90,7 +90,7 @@
 class CutsOff(Proxy):
     """Moves clients without telling them."""
 
-    def move_client(self, client):
+    def migrate_client(self, client):
         client.wire.abort(reset=True)
         client.lost(True)
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -532,9 +532,9 @@
     def migrate(self, session):
         client = self.clients.get(session)
         if client is not None and client.up and not client.moving:
-            self.move_client(client)
+            self.migrate_client(client)
 
-    def move_client(self, client):
+    def migrate_client(self, client):
         if client.move():
             client.dial.over = True
             sess = client.sess
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -142,7 +142,7 @@
             # No line of the protocol: only whether it has ended still matters.
             self.rest = self.rest[-1:]
         if self.client.moving:
-            self.owner.move_client(self.client)
+            self.owner.migrate_client(self.client)
 
     def read(self, line):
         word, _, rest = line.partition(b" ")
