--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -646,7 +646,7 @@
         server.say("UP r1")
         turns.hears(client)
         while turns.carrier.free <= 1 and turns.proxy.probe_connections:
-            turns.proxy.close_link()  # which the next one's dial would do
+            turns.proxy.close_idle_probe_connection()  # which the next one's dial would do
     left = turns.carrier.free
     client.sock.close()
     turns.until(lambda: turns.carrier.free == left + 2)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -564,7 +564,7 @@
                 len(self.probe_connections) >= self.limits.max_probe_connections
                 or self.transport.free <= 0
             ):
-                self.close_link()
+                self.close_idle_probe_connection()
             if not self.has_spare_descriptors(PROBES):
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
@@ -593,7 +593,7 @@
                 self.now(), server, AttemptOutcome.RESET, None
             )
 
-    def close_link(self):
+    def close_idle_probe_connection(self):
         for link in list(self.probe_connections.values()):
             if not link.asked:
                 return link.end(None)
