--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -412,7 +412,7 @@
         else {}
     )
     with Turns(limits={"min_watch_interval_ms": 20.0, **patience}) as turns:
-        turns.proxy.leave_watch()
+        turns.proxy.close_watch()
 
         def answer():
             turns.proxy.open_watch()
@@ -433,7 +433,7 @@
             if ends == "closed":
                 watch.sock.close()
             turns.for_ms(100)
-            turns.proxy.leave_watch()
+            turns.proxy.close_watch()
             watch.sock.close()
             turns.watches.clear()
             while turns.discovery_waits():
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -88,7 +88,7 @@
 
     def __exit__(self, *_):
         self.proxy.listening_socket.close()
-        self.proxy.leave_watch()
+        self.proxy.close_watch()
         while tasks := asyncio.all_tasks(self.loop):
             for task in tasks:
                 task.cancel()
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -35,7 +35,7 @@
             LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
         )
         if node.discovery_address is None:
-            self.leave_watch()
+            self.close_watch()
             self.listed(node.initial_endpoints, UpdateKind.SNAPSHOT)
         elif node.discovery_address != old.discovery_address:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
@@ -103,7 +103,7 @@
 
     def open_watch(self):
         """Asks anew, from the version of which all took effect."""
-        self.leave_watch()
+        self.close_watch()
         self.gap = False
         self.asked_at = self.now()
         self.watch = self.ask_list()
@@ -144,7 +144,7 @@
         self.watch, self.hedge_watch = watch, None
         self.watch_timer.cancel()
 
-    def leave_watch(self):
+    def close_watch(self):
         if self.watch_timer:
             self.watch_timer.cancel()
         for watch in (self.watch, self.hedge_watch):
@@ -160,7 +160,7 @@
         if why != self.watch_why:
             self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
         self.watch_why = why
-        self.leave_watch()
+        self.close_watch()
         if self.limits.watch_backoff_ms:
             # Every proxy meets its failure at once, and calls that come together again keep it down.
             self.list_failures = 0 if watch.answered else self.list_failures + 1
