--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -192,7 +192,7 @@
         self.quiet_from_now()
         if not self.answered:
             self.answered = True
-            self.owner.watch_answered(self)
+            self.owner.on_watch_answered(self)
         if not found:
             return
         try:
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -137,7 +137,7 @@
                 self.limits.watch_hedge_delay_ms, self.ask_beside, watch
             )
 
-    def watch_answered(self, watch):
+    def on_watch_answered(self, watch):
         other = self.watch if watch is self.hedge_watch else self.hedge_watch
         if other:
             other.leave()
