--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -213,7 +213,7 @@
     def end(self, why):
         if not self.left_for_good:
             self.leave()
-            self.owner.watch_over(self, why)
+            self.owner.on_watch_ended(self, why)
 
     def leave(self):
         """Nothing that still comes is told, and `door` opens no other for it."""
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -152,7 +152,7 @@
                 watch.leave()
         self.watch = self.hedge_watch = None
 
-    def watch_over(self, watch, why):
+    def on_watch_ended(self, watch, why):
         if watch is self.hedge_watch:
             self.hedge_watch = None
         if watch is not self.watch:
