--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -202,7 +202,7 @@
 def fill_state(process):
     """The one place that names parts of the decisions: something unlike in every field that goes over."""
     proxy = process.proxy
-    proxy.listed(
+    proxy.on_endpoint_list(
         {
             "seq": 7,
             "whole": True,
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -231,7 +231,7 @@
     )
     old, new, third = balanced(node), balanced(node), balanced(node)
     old.clock.from_wall = lambda wall: wall
-    old.listed(
+    old.on_endpoint_list(
         {
             "seq": 7,
             "hosts": [
@@ -311,7 +311,7 @@
     proxy = balanced(node)
     proxy.clock.from_wall = lambda wall: wall
     if servers:
-        proxy.listed(list_of(servers), UpdateKind.SNAPSHOT)
+        proxy.on_endpoint_list(list_of(servers), UpdateKind.SNAPSHOT)
     return proxy
 
 
@@ -416,15 +416,15 @@
     """Their drains are remembered against an agent that is behind, beside as many that are listed."""
     names = [[f"{release}-{number}" for number in range(8000)] for release in "ab"]
     proxy = large(names[0])
-    proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
+    proxy.on_endpoint_list(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
     assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.known_names)
-    proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
+    proxy.on_endpoint_list(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
     assert names[0][0] not in {
         server.name for server in proxy.balancer.endpoint_list.servers
     }
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
-        proxy.listed(
+        proxy.on_endpoint_list(
             list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
             UpdateKind.SNAPSHOT,
         )
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -126,7 +126,7 @@
     whole = {"seq": 1, "whole": True, "hosts": [host(place) for place in range(count)]}
     text = orjson.dumps(whole)
     del whole
-    here.listed(orjson.loads(text))
+    here.on_endpoint_list(orjson.loads(text))
     found["list_bytes_held_a_server"] = (
         tracemalloc.get_traced_memory()[0] - before
     ) / count
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -199,7 +199,7 @@
             told = orjson.loads(found)
         except ValueError as wrong:
             raise ProtocolError(f"not a list: {wrong}") from None
-        self.owner.listed(told)
+        self.owner.on_endpoint_list(told)
 
     def ended(self):
         self.end("ended")
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -73,7 +73,7 @@
             replace(self.node, initial_endpoints={}),
         )
         if known and not taken:
-            self.listed(
+            self.on_endpoint_list(
                 known,
                 UpdateKind.CACHED
                 if self.node.discovery_address
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -36,7 +36,7 @@
         )
         if node.discovery_address is None:
             self.close_watch()
-            self.listed(node.initial_endpoints, UpdateKind.SNAPSHOT)
+            self.on_endpoint_list(node.initial_endpoints, UpdateKind.SNAPSHOT)
         elif node.discovery_address != old.discovery_address:
             # Versions count at one address; asked for from the first, the new one tells all that has changed.
             self.list_version = 0
@@ -189,7 +189,7 @@
     def followed(self):
         self.balancer.on_endpoint_update(self.now(), UpdateKind.DELTA, [])
 
-    def listed(self, found, kind=None):
+    def on_endpoint_list(self, found, kind=None):
         """The version is noted last, once all of the list is in force: asked again from it, discovery would not
         repeat what failed here or could not be read, a drain among it."""
         if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
