--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -61,8 +61,8 @@
 class DialsDrained(Proxy):
     """Takes a server that drains for a ready one."""
 
-    def entry(self, *args):
-        entry = super().entry(*args)
+    def parse_entry(self, *args):
+        entry = super().parse_entry(*args)
         if entry.phase is Phase.DRAINING:
             return replace(entry, phase=Phase.READY)
         return entry
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -199,7 +199,7 @@
         entries, moved, unread = [], [], 0
         for host in found["hosts"]:
             try:
-                entries.append(self.entry(host, version, moved))
+                entries.append(self.parse_entry(host, version, moved))
             except (AttributeError, KeyError, TypeError, ValueError) as wrong:
                 self.log_event(
                     LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
@@ -303,7 +303,7 @@
                 [EndpointEntry(server, phase, server.weight, started)],
             )
 
-    def entry(self, host, version, moved):
+    def parse_entry(self, host, version, moved):
         """Raises AttributeError, KeyError, TypeError or ValueError, with nothing changed, where it can't be read."""
         name, phase, born = (
             host["host"],
