--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -193,7 +193,7 @@
     client.connected()
     for _ in range(25):
         client.received(b"PING\r\n")
-        if "door bad_client" in lines[-1]:
+        if "door on_client_error" in lines[-1]:
             return [
                 f"{lines[-1]} after {sum('client send' in line for line in lines)} answers"
             ]
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -149,7 +149,7 @@
         try:
             self.on_open_request(client, came)
         except ProtocolError as wrong:
-            self.bad_client(client, str(wrong))
+            self.on_client_error(client, str(wrong))
 
     def waited(self, client):
         """How long its line has lain here unread, which is nothing but where this process stood still."""
@@ -240,7 +240,7 @@
             )
         client.answer(line)
 
-    def bad_client(self, client, why):
+    def on_client_error(self, client, why):
         self.silent_clients.pop(client, None)
         self.metrics.count("bad")
         # They come by hundreds, at full speed: most are only counted.
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -56,16 +56,16 @@
                     self.timer.cancel()
                     self.owner.on_open_request(self)
         except ProtocolError as wrong:
-            self.owner.bad_client(self, str(wrong))
+            self.owner.on_client_error(self, str(wrong))
 
     def too_early(self):
         """A client waits for UP. What comes sooner was meant for a proxy, like hundreds of commands at
         once, and must not reach a server; its session ends with it."""
         self.owner.hung_up(self)
-        self.owner.bad_client(self, "more than a line before UP")
+        self.owner.on_client_error(self, "more than a line before UP")
 
     def no_line(self):
-        self.owner.bad_client(self, "no line in time")
+        self.owner.on_client_error(self, "no line in time")
 
     def serve(self, dial, line):
         """The server's UP line and what came along with it."""
