--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 from wheathill.net.discovery import Watch
 from wheathill.net.load_report import parse_load_report
 from wheathill.net.open_request import OpenRequest
-from wheathill.net.server import Dialled
+from wheathill.net.server import ServerAttempt
 from wheathill.net.transport import Transport
 
 
@@ -65,7 +65,7 @@
     )
     client.connected()
     client.received(b"OPEN id k d=9,c=any\r\n")
-    dial = client.dial = Dialled(
+    dial = client.dial = ServerAttempt(
         client, Server("a"), Hand("door", lines), LIMITS, Hand("clock", lines)
     )
     dial.start(Hand("server", lines), 1000.0, 100.0)
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -6,7 +6,7 @@
 from wheathill.model import Phase
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.proxy import Proxy
-from wheathill.net.server import Dialled
+from wheathill.net.server import ServerAttempt
 
 
 class AnswersTwice(Proxy):
@@ -48,7 +48,7 @@
             None,
         )
         if other is not None:
-            second = Dialled(client, other, self, self.limits, self.clock)
+            second = ServerAttempt(client, other, self, self.limits, self.clock)
             second.tell_over = lambda outcome: None
             second.address = self.addresses[other]
             second.start(
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -9,7 +9,7 @@
 from wheathill.net.errors import ProtocolError
 from wheathill.net.load_report import parse_load_report
 from wheathill.net.open_request import OpenRequest
-from wheathill.net.server import Dialled, ProbeLink
+from wheathill.net.server import ServerAttempt, ProbeLink
 from wheathill.policy.retry_rules import may_reject, may_retry
 
 # Of the spare descriptors, in eighths: so far newcomers are taken in, those taken in are dialled for, and servers are
@@ -393,7 +393,7 @@
         except ProtocolError as wrong:
             raise ValueError(str(wrong)) from None
         client = Client(None, self, self.limits, self.clock)
-        client.dial = dial = Dialled(
+        client.dial = dial = ServerAttempt(
             client, self.servers[server], self, self.limits, self.clock
         )
         client.head, client.listener, client.sess = head, sess.listener, sess
@@ -412,7 +412,9 @@
     # Dials
 
     def connect(self, client, server, time_out):
-        client.dial = dial = Dialled(client, server, self, self.limits, self.clock)
+        client.dial = dial = ServerAttempt(
+            client, server, self, self.limits, self.clock
+        )
         if client.sess.attempts:
             client.sess.attempts[-1].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -14,7 +14,7 @@
 LAST_WORDS = {b"BYE": AttemptOutcome.COMPLETED, b"MOVE": AttemptOutcome.CANCELLED}
 
 
-class Dialled(ProtocolMachine):
+class ServerAttempt(ProtocolMachine):
     """One dial for a client. Tells `door` once how it came up, and once how it ended."""
 
     def __init__(self, client, server, door, limits, clock):
