--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -26,7 +26,7 @@
 from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
 from wheathill.net.garbage import keep_collections_short
-from wheathill.net.server import ServerAttempt, ProbeLink
+from wheathill.net.server import ServerAttempt, ProbeConnection
 
 pytestmark = pytest.mark.processes
 
@@ -329,7 +329,15 @@
         gc.enable()
 
 
-KINDS = (Connection, Client, ServerAttempt, ProbeLink, Watch, AdminRequest, Session)
+KINDS = (
+    Connection,
+    Client,
+    ServerAttempt,
+    ProbeConnection,
+    Watch,
+    AdminRequest,
+    Session,
+)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
     "linger_ms": 60.0,
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -9,7 +9,7 @@
 from wheathill.net.errors import ProtocolError
 from wheathill.net.load_report import parse_load_report
 from wheathill.net.open_request import OpenRequest
-from wheathill.net.server import ServerAttempt, ProbeLink
+from wheathill.net.server import ServerAttempt, ProbeConnection
 from wheathill.policy.retry_rules import may_reject, may_retry
 
 # Of the spare descriptors, in eighths: so far newcomers are taken in, those taken in are dialled for, and servers are
@@ -580,7 +580,7 @@
         )
 
     def new_link(self, server):
-        link = ProbeLink(server, self, self.limits, self.clock)
+        link = ProbeConnection(server, self, self.limits, self.clock)
         link.wire = self.transport.connect(link, self.addresses[server])
         return link
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -42,7 +42,7 @@
         self.silent_clients = {}  # clients that have sent no line yet, oldest first
         # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
         self.session_ids = OrderedDict()
-        self.probe_connections = {}  # Server -> ProbeLink, the longest unused first
+        self.probe_connections = {}  # Server -> ProbeConnection, the longest unused first
         self.list_version = 0  # version of the list
         self.watch = None
         self.hedge_watch = None  # another, asked while the first has not answered
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -204,7 +204,7 @@
         self.tell_over(AttemptOutcome.ERROR)
 
 
-class ProbeLink(ProtocolMachine):
+class ProbeConnection(ProtocolMachine):
     """Asks one server for its load, again and again over one connection."""
 
     def __init__(self, server, door, limits, clock):
