--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -131,7 +131,7 @@
     """Return the record of a client's session, which must be up and quiet."""
     session, attempt = client.sess, client.dial
     return SessionRecord(
-        open_line=client.head.line,
+        open_line=client.open_request.line,
         listener_name=session.listener.name,
         key=session.key,
         tenant=session.tenant,
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -85,7 +85,7 @@
     def on_open_request(self, client, came=None):
         """`came`: when its line did, where that was a while ago."""
         self.silent_clients.pop(client, None)
-        head, now = client.head, self.now()
+        head, now = client.open_request, self.now()
         came = now - self.waited(client) if came is None else came
         listener = self.listeners.get(head.values.get("c"))
         if listener is None:
@@ -276,7 +276,7 @@
         sess.candidates = (
             None  # a generator that holds its session: a cycle, and of no use any more
         )
-        self.session_ids[client.head.id] = None
+        self.session_ids[client.open_request.id] = None
         self.metrics.count(how)
         now = self.now()
         lasted = None if sess.accepted_ms is None else round(now - sess.accepted_ms)
@@ -350,7 +350,7 @@
     def stand(self, client, sess):
         """Up again at the server that holds it, however often that takes within the time given. The list
         that names it may still be on its way."""
-        name, now = client.head.values["at"], self.now()
+        name, now = client.open_request.values["at"], self.now()
         if client.sess is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
@@ -396,7 +396,7 @@
         client.dial = dial = ServerAttempt(
             client, self.servers[server], self, self.limits, self.clock
         )
-        client.head, client.listener, client.sess = head, sess.listener, sess
+        client.open_request, client.listener, client.sess = head, sess.listener, sess
         client.came, client.asked = came, asked
         if asked is not None:
             self.asking[client] = None
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -11,7 +11,7 @@
     def __init__(self, wire, door, limits, clock):
         super().__init__(door, limits, clock)
         self.wire = wire
-        self.head = None
+        self.open_request = None
         self.listener = None  # that its head names
         self.sess = None
         self.came = None
@@ -29,7 +29,7 @@
     def received(self, data):
         if self.up:
             self.pass_on(bytes(data))
-        elif self.head is not None:
+        elif self.open_request is not None:
             self.too_early()
         else:
             self.lines.feed(data)
@@ -37,7 +37,10 @@
 
     def read_head(self):
         try:
-            while self.head is None and (line := self.lines.next_line()) is not None:
+            while (
+                self.open_request is None
+                and (line := self.lines.next_line()) is not None
+            ):
                 if line == b"PING":
                     self.pings += 1
                     allowed = (
@@ -52,7 +55,7 @@
                     head = OpenRequest(line)
                     if self.lines.unconsumed:
                         raise ProtocolError("more than a line at once")
-                    self.head = head
+                    self.open_request = head
                     self.timer.cancel()
                     self.owner.on_open_request(self)
         except ProtocolError as wrong:
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -57,7 +57,7 @@
         if left < 1.0 or not self.owner.may_send(self):
             return self.give_up(AttemptOutcome.CONNECT_FAILED)
         self.set_timer(left, self.overdue)
-        self.wire.send(*self.client.head.encode(left))
+        self.wire.send(*self.client.open_request.encode(left))
         if self.wire.drained:
             self.line_left()
 
