--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -38,7 +38,7 @@
     """Open, as far as the ids and the sweep know."""
     sess = Session(listener, f"k{number}", 0.0)
     client = here.clients[sess] = Client(None, here, here.limits, here.clock)
-    client.sess = sess
+    client.session = sess
     here.session_ids[f"id{number}"] = sess
     return sess
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -119,12 +119,12 @@
             self.metrics.count("no sockets")
             self.answer(client, self.come_back(listener))
         elif "at" in head.values:
-            client.sess = sess
+            client.session = sess
             sess.deadline_ms = now + self.limits.restore_timeout_ms
             self.stand(client, sess)
         else:
             self.clients[sess] = client
-            client.sess = sess
+            client.session = sess
             self.metrics.count("came")
             client.set_timer(left, self.late, client)
             self.balancer.on_session(now, sess)
@@ -191,8 +191,8 @@
         now = self.now()
         self.stood_still(now)
         behind = (
-            now - client.sess.deadline_ms - self.limits.answer_margin_ms
-            if client.sess
+            now - client.session.deadline_ms - self.limits.answer_margin_ms
+            if client.session
             else 0.0
         )
         self.log_event(
@@ -212,7 +212,7 @@
     def answer_alone(self, client):
         """The final answer without the decisions, where a fault or the end of this process leaves them no time. What
         is known not to have run is refused: failed would say that it may have."""
-        sess = client.sess
+        sess = client.session
         refused = (
             may_reject(sess)
             if sess is not None
@@ -259,7 +259,7 @@
         self.silent_clients.pop(client, None)
         if self.early_clients:
             self.early_clients.pop(client, None)
-        sess = client.sess
+        sess = client.session
         if client.dial and not client.up and not client.dial.over:
             client.dial.over = True
             client.dial.timer.cancel()
@@ -267,12 +267,12 @@
         if sess in self.clients:
             self.over(sess, "hung up")
             self.balancer.on_client_left(self.now(), sess)
-        client.sess = None
+        client.session = None
 
     def over(self, sess, how):
         client = self.clients.pop(sess)
         self.asking.pop(client, None)
-        client.sess = None
+        client.session = None
         sess.candidates = (
             None  # a generator that holds its session: a cycle, and of no use any more
         )
@@ -303,22 +303,25 @@
 
     def on_request_forwarded(self, client):
         """A line of it went to its server."""
-        if client.sess is not None:
+        if client.session is not None:
             self.asking[client] = None
 
     def on_message_answered(self, client, spent):
         self.asking.pop(client, None)
-        if client.sess is not None and spent > client.sess.listener.message_target_ms:
+        if (
+            client.session is not None
+            and spent > client.session.listener.message_target_ms
+        ):
             self.metrics.count("late messages")
-            self.balancer.on_message_latency(self.now(), client.sess, spent)
+            self.balancer.on_message_latency(self.now(), client.session, spent)
 
     def on_load_declared(self, client, text):
         try:
             load = float(text)
         except ValueError:
             return self.log_event(LogEvent.PROTOCOL_ERROR, what="LOAD without a number")
-        if client.sess is not None:
-            self.balancer.on_load_declared(self.now(), client.sess, load)
+        if client.session is not None:
+            self.balancer.on_load_declared(self.now(), client.session, load)
 
     def sweep(self):
         self.clock.after(self.limits.sweep_interval_ms, self.sweep)
@@ -330,13 +333,13 @@
         for client in list(self.asking):
             # Who reads nothing itself can't be brought an answer. One may end others of the same server.
             if (
-                client.sess is not None
+                client.session is not None
                 and client.asked is not None
                 and not client.wire.full
                 and now - client.asked >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
-                    now, client.sess, now - client.asked
+                    now, client.session, now - client.asked
                 )
                 if (
                     client.moving
@@ -351,7 +354,7 @@
         """Up again at the server that holds it, however often that takes within the time given. The list
         that names it may still be on its way."""
         name, now = client.open_request.values["at"], self.now()
-        if client.sess is not sess or not client.wire.open:
+        if client.session is not sess or not client.wire.open:
             pass
         elif now >= sess.deadline_ms:
             self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
@@ -396,7 +399,7 @@
         client.dial = dial = ServerAttempt(
             client, self.servers[server], self, self.limits, self.clock
         )
-        client.open_request, client.listener, client.sess = head, sess.listener, sess
+        client.open_request, client.listener, client.session = head, sess.listener, sess
         client.came, client.asked = came, asked
         if asked is not None:
             self.asking[client] = None
@@ -415,8 +418,10 @@
         client.dial = dial = ServerAttempt(
             client, server, self, self.limits, self.clock
         )
-        if client.sess.attempts:
-            client.sess.attempts[-1].may_have_executed = False  # until its line leaves
+        if client.session.attempts:
+            client.session.attempts[
+                -1
+            ].may_have_executed = False  # until its line leaves
         dial.address = self.addresses[server]
         dial.start(
             self.transport.connect(dial, dial.address),
@@ -435,7 +440,7 @@
     def may_send(self, dial):
         """The list may have changed while the connection was coming up: who answers at the old address of a server
         that came back elsewhere is not the one that was meant."""
-        sess, now = dial.client.sess, self.now()
+        sess, now = dial.client.session, self.now()
         if self.addresses.get(dial.server) != dial.address:
             return False
         if sess not in self.clients:
@@ -452,7 +457,7 @@
         self.metrics.count("dials sent")
 
     def on_attempt_accepted(self, dial, line):
-        client, sess, now = dial.client, dial.client.sess, self.now()
+        client, sess, now = dial.client, dial.client.session, self.now()
         if (
             sess in self.clients
             and now > sess.deadline_ms + self.limits.answer_margin_ms
@@ -473,7 +478,7 @@
     def on_attempt_ended(self, dial, outcome):
         client, now = dial.client, self.now()
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
-        sess = client.sess if client.dial is dial else None
+        sess = client.session if client.dial is dial else None
         if not dial.up:
             self.metrics.count("dial: " + outcome.value)
             self.log_event(
@@ -539,7 +544,7 @@
     def migrate_client(self, client):
         if client.move():
             client.dial.over = True
-            sess = client.sess
+            sess = client.session
             self.over(sess, "moved")
             # Later: whoever asked for the move may be going through the sessions.
             self.clock.soon(self.moved, sess)
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -13,7 +13,7 @@
         self.wire = wire
         self.open_request = None
         self.listener = None  # that its head names
-        self.sess = None
+        self.session = None
         self.came = None
         self.dial = None  # the one that is out or up
         self.up = False
