--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -286,11 +286,11 @@
         client.connected()
         client.received(f"OPEN id-{key} {key} {values},at={server}\r\n".encode())
         proxy.clock.time += 1.25
-        client.dial.connected()
-        client.dial.received(b"UP r1\r\n")
+        client.attempt.connected()
+        client.attempt.received(b"UP r1\r\n")
         proxy.clock.time += 2.0
         if answered:
-            client.dial.received(answered)
+            client.attempt.received(answered)
         if asked:
             client.received(asked)
     assert len(proxy.clients) == len(SESSIONS)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -65,7 +65,7 @@
     )
     client.connected()
     client.received(b"OPEN id k d=9,c=any\r\n")
-    dial = client.dial = ServerAttempt(
+    dial = client.attempt = ServerAttempt(
         client, Server("a"), Hand("door", lines), LIMITS, Hand("clock", lines)
     )
     dial.start(Hand("server", lines), 1000.0, 100.0)
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -246,7 +246,7 @@
         server.sock.sendall(b"x" * 998 + b"\r\n")
         turns.turn()
     turns.for_ms(20)
-    assert not carried.wire.drained and carried.dial.between_lines
+    assert not carried.wire.drained and carried.attempt.between_lines
     return client
 
 
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -129,7 +129,7 @@
 
 def collect_session(client: Client) -> SessionRecord:
     """Return the record of a client's session, which must be up and quiet."""
-    session, attempt = client.session, client.dial
+    session, attempt = client.session, client.attempt
     return SessionRecord(
         open_line=client.open_request.line,
         listener_name=session.listener.name,
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -260,10 +260,10 @@
         if self.early_clients:
             self.early_clients.pop(client, None)
         sess = client.session
-        if client.dial and not client.up and not client.dial.over:
-            client.dial.over = True
-            client.dial.timer.cancel()
-            client.dial.wire.abort()
+        if client.attempt and not client.up and not client.attempt.over:
+            client.attempt.over = True
+            client.attempt.timer.cancel()
+            client.attempt.wire.abort()
         if sess in self.clients:
             self.over(sess, "hung up")
             self.balancer.on_client_left(self.now(), sess)
@@ -346,7 +346,7 @@
                     and now - client.asked >= self.limits.partial_line_timeout_ms
                 ):
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
-                    client.dial.close()
+                    client.attempt.close()
 
     # Connections from before the start
 
@@ -372,17 +372,17 @@
         try:
             handles = [client.wire.copy()]
             try:
-                handles.append(client.dial.wire.copy())
+                handles.append(client.attempt.wire.copy())
             except OSError:
                 self.transport.drop(handles)
                 raise
         except OSError:
             return []
-        client.dial.over = True
+        client.attempt.over = True
         client.timer.cancel()
-        client.dial.timer.cancel()
+        client.attempt.timer.cancel()
         client.wire.abort()
-        client.dial.wire.abort()
+        client.attempt.wire.abort()
         self.over(sess, "handed over")
         self.balancer.on_client_left(self.now(), sess)
         return handles
@@ -396,7 +396,7 @@
         except ProtocolError as wrong:
             raise ValueError(str(wrong)) from None
         client = Client(None, self, self.limits, self.clock)
-        client.dial = dial = ServerAttempt(
+        client.attempt = dial = ServerAttempt(
             client, self.servers[server], self, self.limits, self.clock
         )
         client.open_request, client.listener, client.session = head, sess.listener, sess
@@ -415,7 +415,7 @@
     # Dials
 
     def connect(self, client, server, time_out):
-        client.dial = dial = ServerAttempt(
+        client.attempt = dial = ServerAttempt(
             client, server, self, self.limits, self.clock
         )
         if client.session.attempts:
@@ -478,7 +478,7 @@
     def on_attempt_ended(self, dial, outcome):
         client, now = dial.client, self.now()
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
-        sess = client.session if client.dial is dial else None
+        sess = client.session if client.attempt is dial else None
         if not dial.up:
             self.metrics.count("dial: " + outcome.value)
             self.log_event(
@@ -543,7 +543,7 @@
 
     def migrate_client(self, client):
         if client.move():
-            client.dial.over = True
+            client.attempt.over = True
             sess = client.session
             self.over(sess, "moved")
             # Later: whoever asked for the move may be going through the sessions.
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -15,7 +15,7 @@
         self.listener = None  # that its head names
         self.session = None
         self.came = None
-        self.dial = None  # the one that is out or up
+        self.attempt = None  # the one that is out or up
         self.up = False
         self.pings = 0
         self.moving = False
@@ -81,7 +81,7 @@
         if self.asked is None and b"\n" in data:
             self.asked = self.clock.now()
             self.owner.on_request_forwarded(self)
-        self.dial.wire.send(data)
+        self.attempt.wire.send(data)
 
     @property
     def quiet(self):
@@ -89,16 +89,16 @@
         return (
             self.up
             and not self.moving
-            and not self.dial.over
+            and not self.attempt.over
             and self.wire.quiet
-            and self.dial.wire.quiet
+            and self.attempt.wire.quiet
         )
 
     def carried(self):
         """Nothing is read until both sides are here: it could not be passed on."""
-        if self.wire.open and self.dial.wire.open:
+        if self.wire.open and self.attempt.wire.open:
             self.wire.hold(False)
-            self.dial.wire.hold(False)
+            self.attempt.wire.hold(False)
 
     @property
     def repeats(self):
@@ -122,23 +122,23 @@
 
     def move(self):
         """Between two lines only: half a line from the server is waited for."""
-        self.moving = not self.dial.between_lines
+        self.moving = not self.attempt.between_lines
         if self.moving:
             return False
-        self.dial.timer.cancel()
+        self.attempt.timer.cancel()
         self.answer(b"MOVE")
-        self.dial.wire.part()
+        self.attempt.wire.part()
         return True
 
     def blocked(self, on):
         if self.up:
-            self.dial.wire.hold(on)
+            self.attempt.wire.hold(on)
 
     def ended(self):
         self.owner.hung_up(self)
         if self.up:
-            self.dial.wire.finish()
-            self.dial.set_timer(self.limits.linger_ms, self.dial.close)
+            self.attempt.wire.finish()
+            self.attempt.set_timer(self.limits.linger_ms, self.attempt.close)
         else:
             # A session needs both directions, so this one is over, and still gets its answer.
             self.answer(b"ERR")
@@ -147,12 +147,12 @@
         self.timer.cancel()
         self.owner.hung_up(self)
         if self.up:
-            self.dial.wire.abort(reset=reset)
+            self.attempt.wire.abort(reset=reset)
 
     def let_go(self):
         # Where a fault of its dial ended it, the alarm for its answer is still set.
         self.timer.cancel()
-        self.dial = None
+        self.attempt = None
 
     def fault(self):
         if self.up:
