--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -285,7 +285,7 @@
             how=how,
             listener=sess.listener.name,
             lasted=lasted,
-            waited=round(now - client.came - (lasted or 0), 1),
+            waited=round(now - client.connected_ms - (lasted or 0), 1),
             dials=len(sess.attempts),
             server=sess.server and sess.server.name,
             came="mid-flow"
@@ -400,7 +400,7 @@
             client, self.servers[server], self, self.limits, self.clock
         )
         client.open_request, client.listener, client.session = head, sess.listener, sess
-        client.came, client.asked = came, asked
+        client.connected_ms, client.asked = came, asked
         if asked is not None:
             self.asking[client] = None
         client.up = dial.up = dial.sent = True
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -14,7 +14,7 @@
         self.open_request = None
         self.listener = None  # that its head names
         self.session = None
-        self.came = None
+        self.connected_ms = None
         self.attempt = None  # the one that is out or up
         self.up = False
         self.pings = 0
@@ -22,7 +22,7 @@
         self.asked = None  # when the oldest line without an answer went to the server
 
     def connected(self):
-        self.came = self.clock.now()
+        self.connected_ms = self.clock.now()
         self.set_timer(self.limits.first_line_timeout_ms, self.no_line)
         self.owner.came(self)
 
@@ -45,7 +45,8 @@
                     self.pings += 1
                     allowed = (
                         self.limits.max_ping_burst
-                        + (self.clock.now() - self.came) / self.limits.ping_interval_ms
+                        + (self.clock.now() - self.connected_ms)
+                        / self.limits.ping_interval_ms
                     )
                     if self.lines.unconsumed or self.pings > allowed:
                         raise ProtocolError("more than a line at once")
