--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -116,9 +116,9 @@
     dial.connected()
     client.serve(dial, b"UP r\r\n")
     client.received(b"half ")
-    lines.append(f"asked: {client.asked}")
+    lines.append(f"asked: {client.unanswered_since_ms}")
     client.received(b"a line\r\nand half")
-    lines.append(f"asked: {client.asked}")
+    lines.append(f"asked: {client.unanswered_since_ms}")
     return lines
 
 
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -32,7 +32,7 @@
     """In the place of a client that is up."""
 
     def __init__(self, sess):
-        self.session, self.asked, self.moving, self.wire = (
+        self.session, self.unanswered_since_ms, self.moving, self.wire = (
             sess,
             None,
             False,
@@ -87,7 +87,7 @@
             (sess, waited)
         )
         client = next(iter(dict(proxy.clients).values()))
-        client.asked = proxy.now() - 700.0
+        client.unanswered_since_ms = proxy.now() - 700.0
         proxy.on_request_forwarded(client)
         proxy.sweep()
         assert [sess for sess, _ in told] == [client.session] and told[0][1] >= 700.0
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -142,7 +142,7 @@
         is_repeat=session.is_client_retry,
         accepted_at_ms=session.accepted_ms,
         requested_at_ms=client.connected_ms,
-        unanswered_since_ms=client.asked,
+        unanswered_since_ms=client.unanswered_since_ms,
         server_name=attempt.server.name,
         partial_line=attempt.rest,
     )
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -334,16 +334,17 @@
             # Who reads nothing itself can't be brought an answer. One may end others of the same server.
             if (
                 client.session is not None
-                and client.asked is not None
+                and client.unanswered_since_ms is not None
                 and not client.wire.full
-                and now - client.asked >= self.limits.unanswered_after_ms
+                and now - client.unanswered_since_ms >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
-                    now, client.session, now - client.asked
+                    now, client.session, now - client.unanswered_since_ms
                 )
                 if (
                     client.moving
-                    and now - client.asked >= self.limits.partial_line_timeout_ms
+                    and now - client.unanswered_since_ms
+                    >= self.limits.partial_line_timeout_ms
                 ):
                     # Its server will hardly end the line any more, and MOVE may not stand within one.
                     client.attempt.close()
@@ -400,7 +401,7 @@
             client, self.servers[server], self, self.limits, self.clock
         )
         client.open_request, client.listener, client.session = head, sess.listener, sess
-        client.connected_ms, client.asked = came, asked
+        client.connected_ms, client.unanswered_since_ms = came, asked
         if asked is not None:
             self.asking[client] = None
         client.up = dial.up = dial.sent = True
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -19,7 +19,9 @@
         self.up = False
         self.pings = 0
         self.moving = False
-        self.asked = None  # when the oldest line without an answer went to the server
+        self.unanswered_since_ms = (
+            None  # when the oldest line without an answer went to the server
+        )
 
     def connected(self):
         self.connected_ms = self.clock.now()
@@ -79,8 +81,8 @@
 
     def pass_on(self, data):
         # Half a line asks for nothing yet.
-        if self.asked is None and b"\n" in data:
-            self.asked = self.clock.now()
+        if self.unanswered_since_ms is None and b"\n" in data:
+            self.unanswered_since_ms = self.clock.now()
             self.owner.on_request_forwarded(self)
         self.attempt.wire.send(data)
 
@@ -111,8 +113,8 @@
 
     def answered(self):
         """The server has sent a line back."""
-        if self.asked is not None:
-            asked, self.asked = self.asked, None
+        if self.unanswered_since_ms is not None:
+            asked, self.unanswered_since_ms = self.unanswered_since_ms, None
             self.owner.on_message_answered(self, self.clock.now() - asked)
 
     def answer(self, *parts):
