--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -342,7 +342,7 @@
                     now, client.session, now - client.unanswered_since_ms
                 )
                 if (
-                    client.moving
+                    client.is_migrating
                     and now - client.unanswered_since_ms
                     >= self.limits.partial_line_timeout_ms
                 ):
@@ -539,7 +539,7 @@
 
     def migrate(self, session):
         client = self.clients.get(session)
-        if client is not None and client.up and not client.moving:
+        if client is not None and client.up and not client.is_migrating:
             self.migrate_client(client)
 
     def migrate_client(self, client):
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -18,7 +18,7 @@
         self.attempt = None  # the one that is out or up
         self.up = False
         self.pings = 0
-        self.moving = False
+        self.is_migrating = False
         self.unanswered_since_ms = (
             None  # when the oldest line without an answer went to the server
         )
@@ -91,7 +91,7 @@
         """Up, with no byte on its way: it may go over to another process."""
         return (
             self.up
-            and not self.moving
+            and not self.is_migrating
             and not self.attempt.over
             and self.wire.quiet
             and self.attempt.wire.quiet
@@ -125,8 +125,8 @@
 
     def move(self):
         """Between two lines only: half a line from the server is waited for."""
-        self.moving = not self.attempt.between_lines
-        if self.moving:
+        self.is_migrating = not self.attempt.between_lines
+        if self.is_migrating:
             return False
         self.attempt.timer.cancel()
         self.answer(b"MOVE")
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -141,7 +141,7 @@
         if len(self.rest) > self.limits.max_line_bytes:
             # No line of the protocol: only whether it has ended still matters.
             self.rest = self.rest[-1:]
-        if self.client.moving:
+        if self.client.is_migrating:
             self.owner.migrate_client(self.client)
 
     def read(self, line):
