--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -114,7 +114,7 @@
 def half_a_line_asks_nothing():
     client, dial, lines = dialled()
     dial.connected()
-    client.serve(dial, b"UP r\r\n")
+    client.forward_up(dial, b"UP r\r\n")
     client.received(b"half ")
     lines.append(f"asked: {client.unanswered_since_ms}")
     client.received(b"a line\r\nand half")
@@ -126,7 +126,7 @@
     client, dial, lines = dialled()
     dial.connected()
     dial.received(b"UP r\r\n")
-    client.serve(dial, b"UP r\r\n")
+    client.forward_up(dial, b"UP r\r\n")
     for machine in (client, dial):
         machine.blocked(True)
         machine.blocked(False)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -467,7 +467,7 @@
             # alarm that was due: UP is not said any more.
             return self.late(client)
         self.metrics.count_result(client.listener, "completed")
-        client.serve(dial, line)
+        client.forward_up(dial, line)
         self.on_server_data(dial.server)
         if sess in self.clients:
             sess.candidates = None  # nobody else is to be tried
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -73,7 +73,7 @@
     def no_line(self):
         self.owner.on_client_error(self, "no line in time")
 
-    def serve(self, dial, line):
+    def forward_up(self, dial, line):
         """The server's UP line and what came along with it."""
         self.up = True
         self.timer.cancel()
