--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -105,9 +105,9 @@
     client, dial, lines = dialled()
     dial.connected()
     dial.received(b"UP r\r\nhal")
-    lines.append(f"moves at once: {client.move()}")
+    lines.append(f"moves at once: {client.migrate()}")
     dial.received(b"f\r\n")
-    lines.append(f"moves then: {client.move()}")
+    lines.append(f"moves then: {client.migrate()}")
     return lines
 
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -543,7 +543,7 @@
             self.migrate_client(client)
 
     def migrate_client(self, client):
-        if client.move():
+        if client.migrate():
             client.attempt.over = True
             sess = client.session
             self.over(sess, "moved")
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -123,7 +123,7 @@
         self.wire.send(*parts, CRLF)
         self.wire.part()
 
-    def move(self):
+    def migrate(self):
         """Between two lines only: half a line from the server is waited for."""
         self.is_migrating = not self.attempt.between_lines
         if self.is_migrating:
