--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -124,7 +124,9 @@
     def moved_at_the_end_of_a_line(self):
         client, server = self.up()
         server.say("half a li", end="")
-        self.turns.until(lambda: next(iter(self.proxy.clients.values())).attempt.rest)
+        self.turns.until(
+            lambda: next(iter(self.proxy.clients.values())).attempt.partial_line
+        )
         self.proxy.migrate(next(iter(self.proxy.clients)))
         server.say("ne")
         self.turns.hears(client)
@@ -133,7 +135,9 @@
     def moved_in_the_middle_of_a_line(self):
         client, server = self.up()
         server.say("half a li", end="")
-        self.turns.until(lambda: next(iter(self.proxy.clients.values())).attempt.rest)
+        self.turns.until(
+            lambda: next(iter(self.proxy.clients.values())).attempt.partial_line
+        )
         self.proxy.migrate(next(iter(self.proxy.clients)))
         next(iter(self.proxy.clients.values())).attempt.close()
         self.over(client, server)
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -144,5 +144,5 @@
         requested_at_ms=client.connected_ms,
         unanswered_since_ms=client.unanswered_since_ms,
         server_name=attempt.server.name,
-        partial_line=attempt.rest,
+        partial_line=attempt.partial_line,
     )
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -405,7 +405,7 @@
         if asked is not None:
             self.asking[client] = None
         client.up = dial.up = dial.sent = True
-        dial.rest = rest
+        dial.partial_line = rest
         self.clients[sess] = client
         self.session_ids[head.id] = sess
         self.metrics.add_listeners([sess.listener.name])
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -26,7 +26,7 @@
         self.sent = False  # the line's last byte has left
         self.up = False
         self.over = False
-        self.rest = b""  # of an unfinished line to the client
+        self.partial_line = b""  # of an unfinished line to the client
         self.outcome = AttemptOutcome.RESET
         self.address = None  # where it was dialled
         self.turned = False  # away, and waits whether the server says more
@@ -135,12 +135,12 @@
     def pass_on(self, data):
         self.client.wire.send(data)
         self.owner.on_server_data(self.server)
-        *lines, self.rest = (self.rest + data).split(CRLF)
+        *lines, self.partial_line = (self.partial_line + data).split(CRLF)
         for line in lines:
             self.read(line)
-        if len(self.rest) > self.limits.max_line_bytes:
+        if len(self.partial_line) > self.limits.max_line_bytes:
             # No line of the protocol: only whether it has ended still matters.
-            self.rest = self.rest[-1:]
+            self.partial_line = self.partial_line[-1:]
         if self.client.is_migrating:
             self.owner.migrate_client(self.client)
 
@@ -156,7 +156,7 @@
 
     @property
     def between_lines(self):
-        return not self.rest
+        return not self.partial_line
 
     def blocked(self, on):
         if not on:
