--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -91,7 +91,7 @@
     dial.connected()
     for byte in b"UP r\r\nLOAD 0.5\r\nx\r\nBYE inflight=1\r\n":
         dial.received(bytes([byte]))
-        if dial.up and dial.between_lines:
+        if dial.is_up and dial.between_lines:
             lines.append("-- between lines")
     dial.ended()
     return [
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -223,7 +223,7 @@
 
     def answer_all(self):
         for client in list(self.clients.values()):
-            if not client.up:
+            if not client.is_up:
                 self.answer_alone(client)
 
     def come_back(self, listener):
@@ -260,7 +260,7 @@
         if self.early_clients:
             self.early_clients.pop(client, None)
         sess = client.session
-        if client.attempt and not client.up and not client.attempt.over:
+        if client.attempt and not client.is_up and not client.attempt.over:
             client.attempt.over = True
             client.attempt.timer.cancel()
             client.attempt.wire.abort()
@@ -404,7 +404,7 @@
         client.connected_ms, client.unanswered_since_ms = came, asked
         if asked is not None:
             self.asking[client] = None
-        client.up = dial.up = dial.sent = True
+        client.is_up = dial.is_up = dial.sent = True
         dial.partial_line = rest
         self.clients[sess] = client
         self.session_ids[head.id] = sess
@@ -480,7 +480,7 @@
         client, now = dial.client, self.now()
         # Of the dial that holds its client's place: one that was replaced is over for nobody.
         sess = client.session if client.attempt is dial else None
-        if not dial.up:
+        if not dial.is_up:
             self.metrics.count("dial: " + outcome.value)
             self.log_event(
                 LogEvent.ATTEMPT_FAILED,
@@ -493,7 +493,7 @@
         elif sess not in self.clients:
             # A standing connection that did not come up.
             self.clock.after(self.limits.sweep_interval_ms, self.stand, client, sess)
-        elif dial.up:
+        elif dial.is_up:
             self.over(sess, outcome.value)
             self.balancer.on_outcome(now, sess, outcome, True)
         elif outcome is AttemptOutcome.COMPLETED:
@@ -539,7 +539,7 @@
 
     def migrate(self, session):
         client = self.clients.get(session)
-        if client is not None and client.up and not client.is_migrating:
+        if client is not None and client.is_up and not client.is_migrating:
             self.migrate_client(client)
 
     def migrate_client(self, client):
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -16,7 +16,7 @@
         self.session = None
         self.connected_ms = None
         self.attempt = None  # the one that is out or up
-        self.up = False
+        self.is_up = False
         self.pings = 0
         self.is_migrating = False
         self.unanswered_since_ms = (
@@ -29,7 +29,7 @@
         self.owner.came(self)
 
     def received(self, data):
-        if self.up:
+        if self.is_up:
             self.pass_on(bytes(data))
         elif self.open_request is not None:
             self.too_early()
@@ -75,7 +75,7 @@
 
     def forward_up(self, dial, line):
         """The server's UP line and what came along with it."""
-        self.up = True
+        self.is_up = True
         self.timer.cancel()
         self.wire.send(line)
 
@@ -90,7 +90,7 @@
     def quiet(self):
         """Up, with no byte on its way: it may go over to another process."""
         return (
-            self.up
+            self.is_up
             and not self.is_migrating
             and not self.attempt.over
             and self.wire.quiet
@@ -134,12 +134,12 @@
         return True
 
     def blocked(self, on):
-        if self.up:
+        if self.is_up:
             self.attempt.wire.hold(on)
 
     def ended(self):
         self.owner.hung_up(self)
-        if self.up:
+        if self.is_up:
             self.attempt.wire.finish()
             self.attempt.set_timer(self.limits.linger_ms, self.attempt.close)
         else:
@@ -149,7 +149,7 @@
     def lost(self, reset):
         self.timer.cancel()
         self.owner.hung_up(self)
-        if self.up:
+        if self.is_up:
             self.attempt.wire.abort(reset=reset)
 
     def let_go(self):
@@ -158,7 +158,7 @@
         self.attempt = None
 
     def fault(self):
-        if self.up:
+        if self.is_up:
             self.lost(True)
             self.wire.abort(reset=True)
         else:
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -206,7 +206,7 @@
         """What the decisions take for true, beside what the sockets hold."""
         return {
             "sessions": len(self.clients),
-            "up": sum(client.up for client in self.clients.values()),
+            "up": sum(client.is_up for client in self.clients.values()),
             "placed": sum(len(server.sessions) for server in self.servers.values()),
             "sockets": self.transport.sockets,
             "servers": len(self.balancer.endpoint_list.servers),
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -24,7 +24,7 @@
         self.started = clock.now()
         self.until = None  # when this dial is given up
         self.sent = False  # the line's last byte has left
-        self.up = False
+        self.is_up = False
         self.over = False
         self.partial_line = b""  # of an unfinished line to the client
         self.outcome = AttemptOutcome.RESET
@@ -86,7 +86,7 @@
             self.owner.on_attempt_ended(self, outcome)
 
     def received(self, data):
-        if self.up:
+        if self.is_up:
             return self.pass_on(bytes(data))
         if self.over:
             return
@@ -105,7 +105,7 @@
         word, _, rest = line.partition(b" ")
         if word == b"UP" and self.sent:
             self.timer.cancel()
-            self.up = True
+            self.is_up = True
             self.owner.on_attempt_accepted(self, line + CRLF)
             if self.lines.unconsumed:
                 self.pass_on(self.lines.unconsumed)
@@ -161,11 +161,11 @@
     def blocked(self, on):
         if not on:
             self.line_left()
-        if self.up:
+        if self.is_up:
             self.client.wire.hold(on)
 
     def ended(self):
-        if not self.up:
+        if not self.is_up:
             return self.give_up(self.broken)
         self.tell_over(self.outcome)
         self.client.wire.finish()
@@ -190,8 +190,8 @@
         self.tell_over(self.outcome)
 
     def lost(self, reset):
-        self.tell_over(self.outcome if self.up else self.broken)
-        if self.up:
+        self.tell_over(self.outcome if self.is_up else self.broken)
+        if self.is_up:
             if reset:
                 self.client.wire.abort(reset=True)
             else:
@@ -199,7 +199,7 @@
 
     def fault(self):
         self.wire.abort(reset=True)
-        if self.up:
+        if self.is_up:
             self.client.wire.abort(reset=True)
         self.tell_over(AttemptOutcome.ERROR)
 
