--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -49,7 +49,7 @@
         )
         if other is not None:
             second = ServerAttempt(client, other, self, self.limits, self.clock)
-            second.tell_over = lambda outcome: None
+            second.report_end = lambda outcome: None
             second.address = self.addresses[other]
             second.start(
                 self.transport.connect(second, second.address),
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -77,9 +77,9 @@
     def give_up(self, outcome):
         """Closed before anyone is told: no other dial may go out while this one is."""
         self.wire.abort()
-        self.tell_over(outcome)
+        self.report_end(outcome)
 
-    def tell_over(self, outcome):
+    def report_end(self, outcome):
         self.timer.cancel()
         if not self.over:
             self.over = True
@@ -167,7 +167,7 @@
     def ended(self):
         if not self.is_up:
             return self.give_up(self.broken)
-        self.tell_over(self.outcome)
+        self.report_end(self.outcome)
         self.client.wire.finish()
         self.set_timer(self.limits.linger_ms, self.close)
 
@@ -187,10 +187,10 @@
         all before it has gone to the system."""
         self.wire.abort()
         self.client.wire.abort()
-        self.tell_over(self.outcome)
+        self.report_end(self.outcome)
 
     def lost(self, reset):
-        self.tell_over(self.outcome if self.is_up else self.broken)
+        self.report_end(self.outcome if self.is_up else self.broken)
         if self.is_up:
             if reset:
                 self.client.wire.abort(reset=True)
@@ -201,7 +201,7 @@
         self.wire.abort(reset=True)
         if self.is_up:
             self.client.wire.abort(reset=True)
-        self.tell_over(AttemptOutcome.ERROR)
+        self.report_end(AttemptOutcome.ERROR)
 
 
 class ProbeConnection(ProtocolMachine):
