--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -353,7 +353,9 @@
             link = turns.taken()
             turns.hears(link)
             link.say("PONG x0=0.2")
-            turns.until(lambda: not turns.proxy.probe_connections[server].asked)
+            turns.until(
+                lambda: not turns.proxy.probe_connections[server].is_awaiting_answer
+            )
             server.probe_sent_ms = turns.proxy.now()
             turns.proxy.send_probe(server)
             getattr(link, ends)()
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -621,7 +621,9 @@
             link.say("PONG x0=0.1")
             turns.until(
                 lambda name=name: (
-                    not turns.proxy.probe_connections[turns.proxy.servers[name]].asked
+                    not turns.proxy.probe_connections[
+                        turns.proxy.servers[name]
+                    ].is_awaiting_answer
                 )
             )
         assert turns.carrier.free <= 7
@@ -670,7 +672,7 @@
             turns.proxy.send_probe(server)
         turns.turn(2)
         assert turns.carrier.free <= 0 and all(
-            link.asked for link in turns.proxy.probe_connections.values()
+            link.is_awaiting_answer for link in turns.proxy.probe_connections.values()
         )
         assert dialled_then(turns) == "UP r1"
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -72,7 +72,9 @@
         have only just come, holds spare descriptors: sessions have the others, whoever took them first."""
         if self.transport.free <= 0:
             for link in [
-                link for link in self.probe_connections.values() if not link.asked
+                link
+                for link in self.probe_connections.values()
+                if not link.is_awaiting_answer
             ][: 1 - self.transport.free]:
                 link.end(None)
         if self.transport.free <= 0:
@@ -603,7 +605,7 @@
 
     def close_idle_probe_connection(self):
         for link in list(self.probe_connections.values()):
-            if not link.asked:
+            if not link.is_awaiting_answer:
                 return link.end(None)
 
     def link_over(self, link):
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -210,12 +210,12 @@
     def __init__(self, server, door, limits, clock):
         super().__init__(door, limits, clock)
         self.server = server
-        self.asked = False
+        self.is_awaiting_answer = False
         self.used = False  # has answered before
         self.until = None
 
     def ask(self, until):
-        self.asked, self.until = True, until
+        self.is_awaiting_answer, self.until = True, until
         self.set_timer(until - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT)
         if self.wire.open:
             self.wire.send(b"STATS", CRLF)
@@ -232,11 +232,11 @@
         if line is None:
             return
         word, _, rest = line.partition(b" ")
-        if not self.asked or self.lines.unconsumed or word != b"PONG":
+        if not self.is_awaiting_answer or self.lines.unconsumed or word != b"PONG":
             return self.end(
                 AttemptOutcome.AT_CAPACITY if word == b"BUSY" else AttemptOutcome.ERROR
             )
-        self.asked, self.used = False, True
+        self.is_awaiting_answer, self.used = False, True
         self.set_timer(0.8 * self.limits.probe_idle_timeout_ms, self.end, None)
         self.owner.probed(self, AttemptOutcome.COMPLETED, rest)
 
@@ -251,8 +251,8 @@
     def gone(self, outcome):
         """Servers close links that lie idle, also in the moment in which one is asked again: without a byte of an
         answer that is held against nobody, and the same is asked over a new link."""
-        if self.asked and self.used and not self.lines.unconsumed:
-            self.asked = False
+        if self.is_awaiting_answer and self.used and not self.lines.unconsumed:
+            self.is_awaiting_answer = False
             self.end(None)
             self.owner.probe_again(self.server, self.until)
         else:
@@ -262,7 +262,7 @@
         self.end(AttemptOutcome.ERROR)
 
     def end(self, outcome):
-        asked, self.asked = self.asked, False
+        asked, self.is_awaiting_answer = self.is_awaiting_answer, False
         self.timer.cancel()
         self.wire.abort()
         self.owner.link_over(self)
