--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -197,7 +197,7 @@
         for watch in (first, second):
             turns.head(watch)
             turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
-        turns.until(lambda: turns.proxy.watch.answered)
+        turns.until(lambda: turns.proxy.watch.is_answered)
         turns.for_ms(20)
         told = [event for event, _ in turns.logged if event == LogEvent.PROTOCOL_ERROR]
         turns.lines.append(
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -88,7 +88,7 @@
         self.objects = Objects(limits.max_list_line_bytes)
         self.untold = 0  # bytes since it last told something
         self.came = -math.inf  # when bytes last did
-        self.answered = False
+        self.is_answered = False
         self.left_for_good = False
 
     def start(self, wire):
@@ -190,8 +190,8 @@
 
     def tells(self, found):
         self.quiet_from_now()
-        if not self.answered:
-            self.answered = True
+        if not self.is_answered:
+            self.is_answered = True
             self.owner.on_watch_answered(self)
         if not found:
             return
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -126,7 +126,7 @@
         """One that was asked while discovery was out of reach may never be answered, while what is known there at its
         return counts as told at once; a slow answer is waited for all the same. So a second one is asked beside the
         first, again and again: whichever answers first is the watch."""
-        if watch is self.watch and not watch.answered:
+        if watch is self.watch and not watch.is_answered:
             if self.hedge_watch:
                 self.hedge_watch.leave()
                 self.hedge_watch = None
@@ -163,7 +163,7 @@
         self.close_watch()
         if self.limits.watch_backoff_ms:
             # Every proxy meets its failure at once, and calls that come together again keep it down.
-            self.list_failures = 0 if watch.answered else self.list_failures + 1
+            self.list_failures = 0 if watch.is_answered else self.list_failures + 1
             wait = min(
                 self.limits.max_watch_backoff_ms,
                 self.limits.watch_backoff_ms * 2.0 ** min(self.list_failures, 5),
