--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -161,8 +161,8 @@
 
     def take(parts):
         for part in parts:
-            watch.take(part)
-        watch.take(b"\n")
+            watch.consume(part)
+        watch.consume(b"\n")
 
     found = {"list_bytes": len(text), "list_longest": here.limits.max_list_line_bytes}
     with Timer() as first:
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -141,9 +141,9 @@
         """A body without chunks: as long as it says, or until the connection ends."""
         data, self.lines.unconsumed = self.lines.unconsumed, b""
         if self.left is None:
-            self.take(data)
+            self.consume(data)
             return False
-        self.take(data[: self.left])
+        self.consume(data[: self.left])
         self.left -= len(data)
         if self.left <= 0:
             # The connection may stay open for another request, but this one's answer is over.
@@ -167,7 +167,7 @@
         data = self.lines.unconsumed[: self.left]
         self.lines.unconsumed = self.lines.unconsumed[len(data) :]
         self.left -= len(data)
-        self.take(data)
+        self.consume(data)
         if not self.left:
             self.read = Watch.chunk_end
         return bool(data)
@@ -180,7 +180,7 @@
             self.read = Watch.chunk_size
         return line is not None
 
-    def take(self, data):
+    def consume(self, data):
         self.objects.feed(data)
         self.untold += len(data)
         while not self.left_for_good and (found := self.objects.next()) is not None:
