--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -26,7 +26,7 @@
 from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
 from wheathill.net.garbage import keep_collections_short
-from wheathill.net.server import ServerAttempt, ProbeConnection
+from wheathill.net.server import ProbeConnection, ServerAttempt
 
 pytestmark = pytest.mark.processes
 
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -9,7 +9,7 @@
 from wheathill.net.errors import ProtocolError
 from wheathill.net.load_report import parse_load_report
 from wheathill.net.open_request import OpenRequest
-from wheathill.net.server import ServerAttempt, ProbeConnection
+from wheathill.net.server import ProbeConnection, ServerAttempt
 from wheathill.policy.retry_rules import may_reject, may_retry
 
 # Of the spare descriptors, in eighths: so far newcomers are taken in, those taken in are dialled for, and servers are
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -128,10 +128,10 @@
         first, again and again: whichever answers first is the watch."""
         if watch is self.watch and not watch.is_answered:
             if self.hedge_watch:
-                self.hedge_watch.leave()
+                self.hedge_watch.cancel()
                 self.hedge_watch = None
             # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
-            if self.now() - watch.came >= self.limits.watch_hedge_delay_ms:
+            if self.now() - watch.last_received_ms >= self.limits.watch_hedge_delay_ms:
                 self.hedge_watch = self.ask_list()
             self.watch_timer = self.clock.after(
                 self.limits.watch_hedge_delay_ms, self.ask_beside, watch
@@ -140,7 +140,7 @@
     def on_watch_answered(self, watch):
         other = self.watch if watch is self.hedge_watch else self.hedge_watch
         if other:
-            other.leave()
+            other.cancel()
         self.watch, self.hedge_watch = watch, None
         self.watch_timer.cancel()
 
@@ -149,7 +149,7 @@
             self.watch_timer.cancel()
         for watch in (self.watch, self.hedge_watch):
             if watch:
-                watch.leave()
+                watch.cancel()
         self.watch = self.hedge_watch = None
 
     def on_watch_ended(self, watch, why):
