--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -29,7 +29,7 @@
     def create_client(self, wire):
         return Client(wire, self, self.limits, self.clock)
 
-    def came(self, client):
+    def on_client_connected(self, client):
         self.silent_clients[client] = self.now()
 
     def has_room(self):
@@ -206,12 +206,12 @@
             behind=round(behind),
         )
         if behind < self.limits.max_answer_delay_ms:
-            self.answer_alone(client)
+            self.answer_without_policy(client)
         else:
-            self.hung_up(client)
+            self.on_client_left(client)
             self.give_up(client)
 
-    def answer_alone(self, client):
+    def answer_without_policy(self, client):
         """The final answer without the decisions, where a fault or the end of this process leaves them no time. What
         is known not to have run is refused: failed would say that it may have."""
         sess = client.session
@@ -220,13 +220,13 @@
             if sess is not None
             else bool(self.early_clients and client in self.early_clients)
         )
-        self.hung_up(client)
+        self.on_client_left(client)
         self.answer(client, self.come_back(client.listener) if refused else b"ERR")
 
     def answer_all(self):
         for client in list(self.clients.values()):
             if not client.is_up:
-                self.answer_alone(client)
+                self.answer_without_policy(client)
 
     def come_back(self, listener):
         return busy(
@@ -257,13 +257,13 @@
         client.lines.unconsumed = b""
         self.answer(client, b"ERR")
 
-    def hung_up(self, client):
+    def on_client_left(self, client):
         self.silent_clients.pop(client, None)
         if self.early_clients:
             self.early_clients.pop(client, None)
         sess = client.session
-        if client.attempt and not client.is_up and not client.attempt.over:
-            client.attempt.over = True
+        if client.attempt and not client.is_up and not client.attempt.is_over:
+            client.attempt.is_over = True
             client.attempt.timer.cancel()
             client.attempt.wire.abort()
         if sess in self.clients:
@@ -381,7 +381,7 @@
                 raise
         except OSError:
             return []
-        client.attempt.over = True
+        client.attempt.is_over = True
         client.timer.cancel()
         client.attempt.timer.cancel()
         client.wire.abort()
@@ -406,7 +406,7 @@
         client.connected_ms, client.unanswered_since_ms = came, asked
         if asked is not None:
             self.asking[client] = None
-        client.is_up = dial.is_up = dial.sent = True
+        client.is_up = dial.is_up = dial.is_sent = True
         dial.partial_line = rest
         self.clients[sess] = client
         self.session_ids[head.id] = sess
@@ -488,7 +488,7 @@
                 LogEvent.ATTEMPT_FAILED,
                 server=dial.server.name,
                 outcome=outcome.value,
-                after=round(now - dial.started, 1),
+                after=round(now - dial.started_ms, 1),
             )
         if sess is None:
             pass
@@ -505,7 +505,7 @@
         else:
             self.balancer.on_outcome(now, sess, outcome, False)
 
-    def odd_answer(self, dial, line):
+    def on_unexpected_answer(self, dial, line):
         self.log_event(
             LogEvent.PROTOCOL_ERROR, server=dial.server.name, what=repr(line[:80])
         )
@@ -546,7 +546,7 @@
 
     def migrate_client(self, client):
         if client.migrate():
-            client.attempt.over = True
+            client.attempt.is_over = True
             sess = client.session
             self.over(sess, "moved")
             # Later: whoever asked for the move may be going through the sessions.
@@ -579,7 +579,7 @@
                 return self.clock.soon(self.no_probe, server)
             link = self.new_link(server)
         self.probe_connections[server] = link
-        link.ask(self.now() + self.limits.probe_timeout_ms)
+        link.request_report(self.now() + self.limits.probe_timeout_ms)
 
     def no_probe(self, server):
         """Held against nobody: no descriptor is left to ask."""
@@ -592,12 +592,12 @@
         link.wire = self.transport.connect(link, self.addresses[server])
         return link
 
-    def probe_again(self, server, until):
+    def retry_probe(self, server, until):
         """Its link was closed for idleness in the moment in which it was asked, which tells nothing of the server."""
         if server in self.addresses:
             self.metrics.count("probes")
             link = self.probe_connections[server] = self.new_link(server)
-            link.ask(until)
+            link.request_report(until)
         else:
             self.balancer.on_probe_result(
                 self.now(), server, AttemptOutcome.RESET, None
@@ -608,11 +608,11 @@
             if not link.is_awaiting_answer:
                 return link.end(None)
 
-    def link_over(self, link):
+    def on_probe_connection_closed(self, link):
         if self.probe_connections.get(link.server) is link:
             del self.probe_connections[link.server]
 
-    def probed(self, link, outcome, text):
+    def on_probe_ended(self, link, outcome, text):
         figures = parse_load_report(text, self.node.report_fields)
         if outcome is AttemptOutcome.COMPLETED:
             self.on_server_data(link.server)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -156,7 +156,7 @@
             or self.listening_socket
             and self.listening_socket.waiting
             or any(
-                self.handed_over or not client.pings or client.wire.unread
+                self.handed_over or not client.ping_count or client.wire.unread
                 for client in self.silent_clients
             )
         )
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -1,97 +1,134 @@
-"""A server's side: the connection of one dial, and the link for probes."""
+"""Connections to servers: one for each attempt of a session, and those for probes."""
 
 from wheathill.model import AttemptOutcome
 from wheathill.net.errors import ProtocolError
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.protocol_machine import ProtocolMachine
 
-FIRST_WORDS = {
+# What the first word of a server's line says, before UP and after it.
+OUTCOMES_BEFORE_UP = {
     b"BUSY": AttemptOutcome.AT_CAPACITY,
     b"ERR": AttemptOutcome.ERROR,
     b"BYE": AttemptOutcome.COMPLETED,
     b"MOVE": AttemptOutcome.CANCELLED,
 }
-LAST_WORDS = {b"BYE": AttemptOutcome.COMPLETED, b"MOVE": AttemptOutcome.CANCELLED}
+OUTCOMES_AFTER_UP = {
+    b"BYE": AttemptOutcome.COMPLETED,
+    b"MOVE": AttemptOutcome.CANCELLED,
+}
 
 
 class ServerAttempt(ProtocolMachine):
-    """One dial for a client. Tells `door` once how it came up, and once how it ended."""
-
-    def __init__(self, client, server, door, limits, clock):
-        super().__init__(door, limits, clock)
+    """The connection of one attempt to a server.
+
+    It tells its owner once that the server has accepted, and once how it ended.
+
+    Attributes:
+        client: whose session it is.
+        server: the server that is tried.
+        started_ms: when the attempt began.
+        deadline_ms: when the attempt is given up.
+        is_sent: whether the last byte of the OPEN line has left.
+        is_up: whether the server has answered UP.
+        is_over: whether the owner was told how it ended, or no longer needs to be.
+        partial_line: the unfinished line on its way to the client.
+        outcome: how the attempt ends if the connection closes now, once it is up.
+        address: where the connection was opened to.
+        is_rejected: whether the server has answered BUSY; the connection stays open
+            for a moment in case more follows.
+    """
+
+    def __init__(self, client, server, owner, limits, clock):
+        super().__init__(owner, limits, clock)
         self.client = client
         self.server = server
-        self.started = clock.now()
-        self.until = None  # when this dial is given up
-        self.sent = False  # the line's last byte has left
+        self.started_ms = clock.now()
+        self.deadline_ms = None
+        self.is_sent = False
         self.is_up = False
-        self.over = False
-        self.partial_line = b""  # of an unfinished line to the client
+        self.is_over = False
+        self.partial_line = b""
         self.outcome = AttemptOutcome.RESET
-        self.address = None  # where it was dialled
-        self.turned = False  # away, and waits whether the server says more
+        self.address = None
+        self.is_rejected = False
 
-    def start(self, wire, time_out, connect):
-        self.wire = wire
-        self.until = self.started + time_out
+    def start(self, connection, timeout_ms, connect_timeout_ms):
+        """Use a connection that is being established."""
+        self.wire = connection
+        self.deadline_ms = self.started_ms + timeout_ms
         self.set_timer(
-            min(time_out, connect), self.give_up, AttemptOutcome.CONNECT_FAILED
+            min(timeout_ms, connect_timeout_ms),
+            self.give_up,
+            AttemptOutcome.CONNECT_FAILED,
         )
 
     @property
     def held_back(self):
-        """That its client has left, or that the list says its server leaves, may have come in one turn with what
-        calls for this dial, or while this process stood still: it is read first."""
+        """Whether unread input may cancel the attempt, and is to be read first.
+
+        The client may have left, or the endpoint list may say that the server leaves,
+        in the same loop iteration as the decision to try it, or while the process was
+        paused.
+        """
         client = self.client.wire
-        return not self.over and (
+        return not self.is_over and (
             self.owner.has_unread_list or client.open and client.unread
         )
 
     def connected(self):
-        if self.over:
+        """Send the OPEN line, unless the attempt has become pointless."""
+        if self.is_over:
             return
         if self.held_back:
             return self.clock.soon(self.connected)
-        left = self.until - self.clock.now()
-        # With nothing left it would be sent in vain, and might have run.
-        if left < 1.0 or not self.owner.may_send(self):
+        remaining_ms = self.deadline_ms - self.clock.now()
+        # Without time left the session could not be accepted, yet it might run.
+        if remaining_ms < 1.0 or not self.owner.may_send(self):
             return self.give_up(AttemptOutcome.CONNECT_FAILED)
-        self.set_timer(left, self.overdue)
-        self.wire.send(*self.client.open_request.encode(left))
+        self.set_timer(remaining_ms, self.on_timeout)
+        self.wire.send(*self.client.open_request.encode(remaining_ms))
         if self.wire.drained:
-            self.line_left()
+            self.on_request_written()
 
     def carried(self):
+        """Resume reading, once the client's connection is here as well."""
         self.client.carried()
 
-    def line_left(self):
-        if not self.sent:
-            self.sent = True
+    def on_request_written(self):
+        """Note, once, that the last byte of the OPEN line has left."""
+        if not self.is_sent:
+            self.is_sent = True
             self.owner.on_request_sent(self)
 
-    def overdue(self):
+    def on_timeout(self):
+        """Give up, as the server has not answered in time."""
         self.give_up(
-            AttemptOutcome.TIMED_OUT if self.sent else AttemptOutcome.CONNECT_FAILED
+            AttemptOutcome.TIMED_OUT if self.is_sent else AttemptOutcome.CONNECT_FAILED
         )
 
     def give_up(self, outcome):
-        """Closed before anyone is told: no other dial may go out while this one is."""
+        """Close, then report the outcome.
+
+        The order matters: no other attempt may start while this one is open.
+        """
         self.wire.abort()
         self.report_end(outcome)
 
     def report_end(self, outcome):
+        """Tell the owner, once, how the attempt ended."""
         self.timer.cancel()
-        if not self.over:
-            self.over = True
+        if not self.is_over:
+            self.is_over = True
             self.owner.on_attempt_ended(self, outcome)
 
     def received(self, data):
+        """Forward bytes once the session is up; before, read the server's answer."""
         if self.is_up:
-            return self.pass_on(bytes(data))
-        if self.over:
+            return self.forward(bytes(data))
+        if self.is_over:
             return
-        if self.turned:
-            # It says more than BUSY: what was turned away may have run all the same.
+        if self.is_rejected:
+            # More than BUSY was sent, so the session may have run all the same.
             return self.give_up(AttemptOutcome.ERROR)
         self.lines.feed(data)
         try:
@@ -103,94 +140,105 @@
         if line is None:
             return
         word, _, rest = line.partition(b" ")
-        if word == b"UP" and self.sent:
+        if word == b"UP" and self.is_sent:
             self.timer.cancel()
             self.is_up = True
             self.owner.on_attempt_accepted(self, line + CRLF)
             if self.lines.unconsumed:
-                self.pass_on(self.lines.unconsumed)
+                self.forward(self.lines.unconsumed)
             return
         self.owner.on_load_report(self.server, rest)
-        if word not in FIRST_WORDS:
-            self.owner.odd_answer(self, line)
-        outcome = FIRST_WORDS.get(word, AttemptOutcome.ERROR)
+        if word not in OUTCOMES_BEFORE_UP:
+            self.owner.on_unexpected_answer(self, line)
+        outcome = OUTCOMES_BEFORE_UP.get(word, AttemptOutcome.ERROR)
         if outcome is not AttemptOutcome.AT_CAPACITY:
             self.give_up(outcome)
         elif self.lines.unconsumed:
             self.give_up(AttemptOutcome.ERROR)
-        elif not self.sent or self.client.repeats:
+        elif not self.is_sent or self.client.is_idempotent:
             self.give_up(outcome)
         else:
-            # BUSY says that it never ran, and another dial rests on that: a second answer, which would belie it,
-            # comes within moments or with the connection's end.
-            self.turned = True
+            # BUSY promises that the session never ran, and another attempt relies on
+            # that. A second answer, which would contradict it, arrives within moments
+            # or with the end of the connection.
+            self.is_rejected = True
             self.set_timer(
                 min(
-                    self.limits.second_answer_timeout_ms, self.until - self.clock.now()
+                    self.limits.second_answer_timeout_ms,
+                    self.deadline_ms - self.clock.now(),
                 ),
                 self.give_up,
                 outcome,
             )
 
-    def pass_on(self, data):
+    def forward(self, data):
+        """Send bytes to the client, and read the lines that they complete."""
         self.client.wire.send(data)
         self.owner.on_server_data(self.server)
         *lines, self.partial_line = (self.partial_line + data).split(CRLF)
         for line in lines:
-            self.read(line)
+            self.inspect_line(line)
         if len(self.partial_line) > self.limits.max_line_bytes:
-            # No line of the protocol: only whether it has ended still matters.
+            # Too long for a line of the protocol: only whether it has ended matters.
             self.partial_line = self.partial_line[-1:]
         if self.client.is_migrating:
             self.owner.migrate_client(self.client)
 
-    def read(self, line):
+    def inspect_line(self, line):
+        """React to a line that was forwarded to the client."""
         word, _, rest = line.partition(b" ")
         if word == b"LOAD":
             self.owner.on_load_declared(self.client, rest)
             return
-        self.client.answered()
-        if word in LAST_WORDS:
-            self.outcome = LAST_WORDS[word]
+        self.client.on_server_line()
+        if word in OUTCOMES_AFTER_UP:
+            self.outcome = OUTCOMES_AFTER_UP[word]
             self.owner.on_load_report(self.server, rest)
 
     @property
     def between_lines(self):
+        """Whether the last line that was forwarded is complete."""
         return not self.partial_line
 
     def blocked(self, on):
+        """Stop reading from the client while bytes wait to be sent."""
         if not on:
-            self.line_left()
+            self.on_request_written()
         if self.is_up:
             self.client.wire.hold(on)
 
     def ended(self):
+        """Pass the server's end of stream on, or end the attempt."""
         if not self.is_up:
-            return self.give_up(self.broken)
+            return self.give_up(self.outcome_before_up)
         self.report_end(self.outcome)
         self.client.wire.finish()
         self.set_timer(self.limits.linger_ms, self.close)
 
     @property
-    def broken(self):
-        """What it means that the connection is gone before UP."""
+    def outcome_before_up(self):
+        """The outcome if the connection is lost before UP."""
         return (
             AttemptOutcome.AT_CAPACITY
-            if self.turned
+            if self.is_rejected
             else AttemptOutcome.RESET
-            if self.sent
+            if self.is_sent
             else AttemptOutcome.CONNECT_FAILED
         )
 
     def close(self):
-        """What is left of a connection that one side has ended. Nothing waits here then: an end is read only once
-        all before it has gone to the system."""
+        """Close both connections, one side of which has ended.
+
+        No bytes are lost by it: an end of stream is read only after all bytes before it
+        were passed to the kernel.
+        """
         self.wire.abort()
         self.client.wire.abort()
         self.report_end(self.outcome)
 
     def lost(self, reset):
-        self.report_end(self.outcome if self.is_up else self.broken)
+        """End the attempt or the session, as the connection is gone."""
+        self.report_end(self.outcome if self.is_up else self.outcome_before_up)
         if self.is_up:
             if reset:
                 self.client.wire.abort(reset=True)
@@ -198,6 +246,7 @@
                 self.client.wire.part()
 
     def fault(self):
+        """End the attempt or the session, as a callback has raised an exception."""
         self.wire.abort(reset=True)
         if self.is_up:
             self.client.wire.abort(reset=True)
@@ -205,25 +254,37 @@
 
 
 class ProbeConnection(ProtocolMachine):
-    """Asks one server for its load, again and again over one connection."""
+    """Requests load reports from one server, one after another on one connection.
+
+    Attributes:
+        server: the server that is probed.
+        is_awaiting_answer: whether a probe is under way.
+        has_answered: whether a probe on this connection was answered before.
+        deadline_ms: when the current probe times out.
+    """
 
-    def __init__(self, server, door, limits, clock):
-        super().__init__(door, limits, clock)
+    def __init__(self, server, owner, limits, clock):
+        super().__init__(owner, limits, clock)
         self.server = server
         self.is_awaiting_answer = False
-        self.used = False  # has answered before
-        self.until = None
+        self.has_answered = False
+        self.deadline_ms = None
 
-    def ask(self, until):
-        self.is_awaiting_answer, self.until = True, until
-        self.set_timer(until - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT)
+    def request_report(self, deadline_ms):
+        """Send a probe, now or as soon as the connection is established."""
+        self.is_awaiting_answer, self.deadline_ms = True, deadline_ms
+        self.set_timer(
+            deadline_ms - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT
+        )
         if self.wire.open:
             self.wire.send(b"STATS", CRLF)
 
     def connected(self):
+        """Send the probe that waits for the connection."""
         self.wire.send(b"STATS", CRLF)
 
     def received(self, data):
+        """Read the answer; anything else ends the connection."""
         self.lines.feed(data)
         try:
             line = self.lines.next_line()
@@ -236,35 +297,42 @@
             return self.end(
                 AttemptOutcome.AT_CAPACITY if word == b"BUSY" else AttemptOutcome.ERROR
             )
-        self.is_awaiting_answer, self.used = False, True
+        self.is_awaiting_answer, self.has_answered = False, True
         self.set_timer(0.8 * self.limits.probe_idle_timeout_ms, self.end, None)
-        self.owner.probed(self, AttemptOutcome.COMPLETED, rest)
+        self.owner.on_probe_ended(self, AttemptOutcome.COMPLETED, rest)
 
     def ended(self):
-        self.gone(AttemptOutcome.RESET)
+        """React to the server's end of stream."""
+        self.on_closed_by_server(AttemptOutcome.RESET)
 
     def lost(self, reset):
-        self.gone(
+        """React to a connection that is gone or was never established."""
+        self.on_closed_by_server(
             AttemptOutcome.RESET if self.wire.reached else AttemptOutcome.CONNECT_FAILED
         )
 
-    def gone(self, outcome):
-        """Servers close links that lie idle, also in the moment in which one is asked again: without a byte of an
-        answer that is held against nobody, and the same is asked over a new link."""
-        if self.is_awaiting_answer and self.used and not self.lines.unconsumed:
+    def on_closed_by_server(self, outcome):
+        """Retry the probe on a new connection, or end it.
+
+        Servers close idle connections, possibly just as another probe is sent. If no
+        byte of an answer was received, that does not count against the server.
+        """
+        if self.is_awaiting_answer and self.has_answered and not self.lines.unconsumed:
             self.is_awaiting_answer = False
             self.end(None)
-            self.owner.probe_again(self.server, self.until)
+            self.owner.retry_probe(self.server, self.deadline_ms)
         else:
             self.end(outcome)
 
     def fault(self):
+        """End, as a callback has raised an exception."""
         self.end(AttemptOutcome.ERROR)
 
     def end(self, outcome):
-        asked, self.is_awaiting_answer = self.is_awaiting_answer, False
+        """Close; a probe that is under way ends with this outcome."""
+        was_awaiting_answer, self.is_awaiting_answer = self.is_awaiting_answer, False
         self.timer.cancel()
         self.wire.abort()
-        self.owner.link_over(self)
-        if asked:
-            self.owner.probed(self, outcome, b"")
+        self.owner.on_probe_connection_closed(self)
+        if was_awaiting_answer:
+            self.owner.on_probe_ended(self, outcome, b"")
