--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -175,10 +175,10 @@
             record.open_line,
             sess,
             handles,
-            came=record.requested_at_ms,
-            asked=record.unanswered_since_ms,
-            server=record.server_name,
-            rest=record.partial_line,
+            connected_ms=record.requested_at_ms,
+            unanswered_since_ms=record.unanswered_since_ms,
+            server_name=record.server_name,
+            partial_line=record.partial_line,
         )
         del sess
         client.say("still here")
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -158,10 +158,10 @@
             record.open_line,
             build_session(record, self._proxy.listeners),
             handles,
-            came=record.requested_at_ms,
-            asked=record.unanswered_since_ms,
-            server=record.server_name,
-            rest=record.partial_line,
+            connected_ms=record.requested_at_ms,
+            unanswered_since_ms=record.unanswered_since_ms,
+            server_name=record.server_name,
+            partial_line=record.partial_line,
         )
 
     # Operators' calls count for all processes of a proxy
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -44,7 +44,7 @@
 
 
 def ids(here, listener, count):
-    """Mean ms of `note_id` for each that comes."""
+    """Mean ms of `record_session_id` for each that comes."""
     begun, done = time.process_time(), 0
     while done < MOST and time.process_time() - begun < FOR:
         sess = Session(listener, "k", 0.0)
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -390,24 +390,36 @@
         self.balancer.on_client_left(self.now(), sess)
         return handles
 
-    def adopt_session(self, line, sess, handles, came, asked, server, rest):
+    def adopt_session(
+        self,
+        line,
+        sess,
+        handles,
+        connected_ms,
+        unanswered_since_ms,
+        server_name,
+        partial_line,
+    ):
         """Goes on where the other process stopped. Raises ValueError with nothing taken."""
-        if server not in self.servers:
-            raise ValueError(f"a session at {server!r}, which is not known")
+        if server_name not in self.servers:
+            raise ValueError(f"a session at {server_name!r}, which is not known")
         try:
             head = OpenRequest(line)
         except ProtocolError as wrong:
             raise ValueError(str(wrong)) from None
         client = Client(None, self, self.limits, self.clock)
         client.attempt = dial = ServerAttempt(
-            client, self.servers[server], self, self.limits, self.clock
+            client, self.servers[server_name], self, self.limits, self.clock
         )
         client.open_request, client.listener, client.session = head, sess.listener, sess
-        client.connected_ms, client.unanswered_since_ms = came, asked
-        if asked is not None:
+        client.connected_ms, client.unanswered_since_ms = (
+            connected_ms,
+            unanswered_since_ms,
+        )
+        if unanswered_since_ms is not None:
             self.asking[client] = None
         client.is_up = dial.is_up = dial.is_sent = True
-        dial.partial_line = rest
+        dial.partial_line = partial_line
         self.clients[sess] = client
         self.session_ids[head.id] = sess
         self.metrics.add_listeners([sess.listener.name])
