--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -193,7 +193,7 @@
 
     def let_go(self):
         """Drop the references that would form a cycle."""
-        # If a fault of the attempt ended the client, the timer of its answer still runs.
+        # If a fault of the attempt ended the client, its timer still runs.
         self.timer.cancel()
         self.attempt = None
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -1,8 +1,8 @@
-"""One proxy's life: how it starts, serves, tells of itself and stops. What it carries and what it is told are
-rooms of their own (`carried`, `told`).
+"""One proxy: how it starts, serves, reports its state and stops.
 
-Names of the protocol become objects at this door; nothing is decided here but what the machine itself
-cannot do (no descriptor left) or what cannot be read.
+Sessions are handled in `carried`, configuration and endpoint list in `told`. These
+modules turn names of the protocol into objects and leave decisions to the balancer;
+they decide only where a descriptor is missing or input cannot be read.
 """
 
 import random
@@ -11,145 +11,209 @@
 
 from wheathill.log_events import LogEvent
 from wheathill.model import Phase, UpdateKind
-from wheathill.net.carried import Carried
+from wheathill.net.carried import SessionHandlingMixin
 from wheathill.net.metrics import ProxyMetrics
-from wheathill.net.told import Told
+from wheathill.net.told import UpdateHandlingMixin
 from wheathill.policy.balancer import Balancer
 
 
-class Proxy(Carried, Told):
-    def __init__(self, node, carrier, clock, log, decisions=Balancer):
-        self.transport = carrier
+class Proxy(SessionHandlingMixin, UpdateHandlingMixin):
+    """One proxy process.
+
+    Attributes:
+        transport: the sockets of this process.
+        metrics: counts since the start.
+        listening_socket: accepts the clients.
+        handover_coordinator: where another process may take over, or has.
+        handed_over: whether another process has taken over.
+        peers: the service that connects this proxy with others, if any.
+        next_sweep_ms: when the next sweep is due.
+        max_sweep_delay_ms: the longest delay of a sweep since the last METRICS event.
+        stale_input_until_ms: until then, lines may be read that were received while
+            this process was paused.
+        initial_settings: the settings that the process was started with.
+        zone_indexes: zone name -> index.
+        servers: name -> server.
+        known_names: names of all servers that were ever listed, those unlisted for the
+            longest time first. Each has None, or the list's version and the server's
+            start when it left.
+        addresses: server -> (host, port).
+        clients: session -> client, in order of arrival.
+        awaiting_answer: clients with a line that waits for an answer, longest first.
+        silent_clients: clients that have sent no line yet -> when they connected,
+            oldest first.
+        session_ids: id -> its session while it is open, oldest first. An OrderedDict,
+            as finding the oldest key of a dict becomes slower with every deletion.
+        probe_connections: server -> connection for probes, the longest unused first.
+        list_version: the version of the endpoint list that was applied.
+        watch: the watch on the endpoint list.
+        hedge_watch: a second one, while the first is not answered.
+        watch_timer: opens the watch again, or a second one.
+        watch_opened_ms: when the watch was opened.
+        is_reread_pending: whether an entry of the list could not be read; no version is
+            noted until the list was requested again.
+        consecutive_rereads: how often in a row that has happened.
+        early_clients: clients whose OPEN line was received before the first endpoint
+            list -> when; None once nobody waits for the list.
+        watch_end_reason: why the last watch ended, if nothing was received since.
+        consecutive_watch_failures: watches in a row that were not answered.
+        ready: whether the proxy accepts sessions.
+        stopping_since_ms: when the shutdown began, or None.
+        shutdown_deadline_ms: when the remaining sessions are ended.
+        error_window_start_ms: since when protocol errors are counted for the log.
+        errors_logged: protocol errors that were logged since then.
+        balancer: takes the decisions.
+    """
+
+    def __init__(self, node, transport, clock, log, make_balancer=Balancer):
+        self.transport = transport
         self.metrics = ProxyMetrics()
-        self.listening_socket = None  # where clients are taken in
-        self.handover_coordinator = None  # where another process may take over, or has
+        self.listening_socket = None
+        self.handover_coordinator = None
         self.handed_over = False
-        self.peers = None  # other instances, where they are known
-        self.swept = self.worst_delay = (
-            0.0  # when a sweep was due; the longest one was late since logged
-        )
-        self.old_until = 0.0  # until then lines may be read that have lain here while this process stood still
-        self.take(node)
-        self.started_with = node.source
+        self.peers = None
+        self.next_sweep_ms = self.max_sweep_delay_ms = 0.0
+        self.stale_input_until_ms = 0.0
+        self.apply_config(node)
+        self.initial_settings = node.source
         self.clock = clock
         self.log_event = log
-        self.zones = {name: place for place, name in enumerate(node.zones)}
-        self.servers = {}  # by name
-        self.known_names = {}  # of all that were ever listed, the longest unlisted first
-        self.addresses = {}  # Server -> (host, port)
-        self.clients = {}  # Session -> Client, in order of arrival
-        self.asking = {}  # clients with a line that waits for an answer, the longest waiting first
-        self.silent_clients = {}  # clients that have sent no line yet, oldest first
-        # Of sessions taken, oldest first -> whether it is open. Ordered: a dict's oldest is found ever more slowly.
+        self.zone_indexes = {name: index for index, name in enumerate(node.zones)}
+        self.servers = {}
+        self.known_names = {}
+        self.addresses = {}
+        self.clients = {}
+        self.awaiting_answer = {}
+        self.silent_clients = {}
         self.session_ids = OrderedDict()
-        self.probe_connections = {}  # Server -> ProbeConnection, the longest unused first
-        self.list_version = 0  # version of the list
+        self.probe_connections = {}
+        self.list_version = 0
         self.watch = None
-        self.hedge_watch = None  # another, asked while the first has not answered
-        self.watch_timer = None  # the alarm that opens it again, or one beside it
-        self.asked_at = 0.0  # when it was opened
-        self.gap = False  # an entry of the list could not be read: no version is noted
-        self.gaps = 0  # how often in a row
-        self.early_clients = {}  # clients whose line came before the first list -> when
-        self.watch_why = None  # it ended last time, and nothing came since
-        self.list_failures = 0  # calls for the list in a row
+        self.hedge_watch = None
+        self.watch_timer = None
+        self.watch_opened_ms = 0.0
+        self.is_reread_pending = False
+        self.consecutive_rereads = 0
+        self.early_clients = {}
+        self.watch_end_reason = None
+        self.consecutive_watch_failures = 0
         self.ready = False
-        self.stopping_since_ms = None  # since when
-        self.stop_last = 0.0  # when those that are left are sent away
-        self.bad_since = self.bad_logged = 0
-        self.balancer = decisions(self, random.Random(node.seed), node.policy)
+        self.stopping_since_ms = None
+        self.shutdown_deadline_ms = 0.0
+        self.error_window_start_ms = self.errors_logged = 0
+        self.balancer = make_balancer(self, random.Random(node.seed), node.policy)
 
     def now(self):
+        """Return the monotonic time in ms."""
         return self.clock.now()
 
     # Start and stop
 
     def start(self, taken=False):
-        """`taken`: the list and all else are those of the process before."""
+        """Begin to serve.
+
+        Args:
+            taken: whether the endpoint list and all other state were taken over from
+                the process before.
+        """
         self.balancer.on_start(self.now())
         self.load_maintenance()
-        known, self.node = (
+        initial_endpoints, self.node = (
             self.node.initial_endpoints,
             replace(self.node, initial_endpoints={}),
         )
-        if known and not taken:
+        if initial_endpoints and not taken:
             self.on_endpoint_list(
-                known,
+                initial_endpoints,
                 UpdateKind.CACHED
                 if self.node.discovery_address
                 else UpdateKind.SNAPSHOT,
             )
         if taken or not self.node.discovery_address:
-            self.first_list_over()
+            self.admit_early_clients()
         if self.node.discovery_address:
             self.open_watch()
         self.clock.after(
-            0.0 if taken else self.limits.first_list_timeout_ms, self.get_ready
+            0.0 if taken else self.limits.first_list_timeout_ms, self.mark_ready
         )
-        self.swept = self.now() + self.limits.sweep_interval_ms
+        self.next_sweep_ms = self.now() + self.limits.sweep_interval_ms
         self.clock.after(self.limits.sweep_interval_ms, self.sweep)
         self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
 
-    def get_ready(self):
-        self.first_list_over()
+    def mark_ready(self):
+        """Serve, with or without an endpoint list."""
+        self.admit_early_clients()
         if not self.ready and self.stopping_since_ms is None:
             self.ready = True
             self.log_event(LogEvent.READY, servers=len(self.servers))
 
-    def stop(self, stopped):
-        """Newcomers still come for a while and are served; `stopped` is called when all is done."""
+    def stop(self, on_stopped):
+        """Shut down gracefully.
+
+        New clients are still accepted and served for a while. `on_stopped` is called
+        once all is done.
+        """
         if self.stopping_since_ms is None:
             self.stopping_since_ms = self.now()
             self.ready = False
-            # Where packets pass through, what is open goes on at other proxies once this one is killed, but
-            # breaks if it ends by itself: all its clients then came back at once, and were refused.
-            # Settled now: a configuration that comes later may shorten the dial timeouts of who is in already.
-            most = (
+            # Where packets pass through, open connections continue at other proxies
+            # once this process is killed, but break if they are closed here: all their
+            # clients then reconnected at once, and were rejected.
+            # Determined now, as a configuration that is loaded later may shorten the
+            # dial timeouts of sessions that are here already.
+            max_duration_ms = (
                 self.limits.max_dial_timeout_ms + self.limits.shutdown_margin_ms
                 if self.node.migrates_at_shutdown
                 else self.limits.passthrough_shutdown_ms
             )
-            self.stop_last = self.stopping_since_ms + most
+            self.shutdown_deadline_ms = self.stopping_since_ms + max_duration_ms
             self.log_event(LogEvent.SHUTDOWN_STARTED, sessions=len(self.clients))
             if self.node.listen_fd is not None and self.listening_socket:
-                # Others listen on the same socket: whoever waits there is theirs.
+                # Other processes listen on the same socket, and serve the clients that
+                # wait there.
                 self.listening_socket.close()
             self.clock.after(
                 self.limits.sweep_interval_ms
                 if self.handed_over
                 else min(
-                    self.limits.shutdown_accept_ms, most - self.limits.sweep_interval_ms
+                    self.limits.shutdown_accept_ms,
+                    max_duration_ms - self.limits.sweep_interval_ms,
                 ),
-                self.wait_for_end,
-                stopped,
+                self.check_shutdown,
+                on_stopped,
             )
             if not self.handed_over:
                 self.balancer.on_stop(self.stopping_since_ms, False)
 
-    def wait_for_end(self, stopped):
+    def check_shutdown(self, on_stopped):
+        """End the shutdown once no session is left, or at its deadline."""
         now = self.now()
-        last = now >= self.stop_last
-        if last or not self.handed_over:
-            self.balancer.on_stop(now, last)
-        if last:
-            self.answer_all()
-        if last or not self.expected():
+        is_deadline_over = now >= self.shutdown_deadline_ms
+        if is_deadline_over or not self.handed_over:
+            self.balancer.on_stop(now, is_deadline_over)
+        if is_deadline_over:
+            self.answer_pending_sessions()
+        if is_deadline_over or not self.may_have_sessions():
             self.log_event(
                 LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
                 since_start=self.metrics.for_log(),
             )
-            self.see_off(stopped, now + self.limits.shutdown_linger_ms)
+            self.wait_until_sent(on_stopped, now + self.limits.shutdown_linger_ms)
         else:
             self.clock.after(
-                min(self.limits.sweep_interval_ms, self.stop_last - now),
-                self.wait_for_end,
-                stopped,
+                min(self.limits.sweep_interval_ms, self.shutdown_deadline_ms - now),
+                self.check_shutdown,
+                on_stopped,
             )
 
-    def expected(self):
-        """Whether a session is here or may be: of who was let in, or waits to be, a line may have come that was not
-        read. Who has sent PING only looks whether this proxy is there. One that was taken over from waits for them all."""
+    def may_have_sessions(self):
+        """Return whether a session is here, or its OPEN line may wait to be read.
+
+        That line may be of a client that was accepted, or that waits to be. A client
+        that has sent PING only checks whether this proxy is alive. After a handover all
+        clients are waited for.
+        """
         return bool(
             self.clients
             or self.early_clients
@@ -161,49 +225,58 @@
             )
         )
 
-    def see_off(self, stopped, until):
-        """The last answers and MOVE lines are on their way: the end follows them, as closing with bytes unread or
-        unsent would cut them off, but not later than the time in which this proxy may be killed."""
-        now, parting = self.now(), list(self.transport.parting)
-        if parting and (
-            now < until
-            or now < self.stop_last + self.limits.shutdown_linger_ms
-            and any(wire.to_send for wire in parting)
+    def wait_until_sent(self, on_stopped, linger_until_ms):
+        """End once the last answers and MOVE lines have been sent.
+
+        Closing with bytes unread or unsent would cut them off. It does not wait beyond
+        the time after which this process may be killed.
+        """
+        now, closing = self.now(), list(self.transport.parting)
+        if closing and (
+            now < linger_until_ms
+            or now < self.shutdown_deadline_ms + self.limits.shutdown_linger_ms
+            and any(connection.to_send for connection in closing)
         ):
             self.clock.after(
-                self.limits.shutdown_poll_interval_ms, self.see_off, stopped, until
+                self.limits.shutdown_poll_interval_ms,
+                self.wait_until_sent,
+                on_stopped,
+                linger_until_ms,
             )
         else:
-            stopped()
+            on_stopped()
+
+    # Metrics
 
     def log_metrics(self):
+        """Log the state and all counts; runs periodically."""
         self.clock.after(self.limits.metrics_interval_ms, self.log_metrics)
         self.log_event(
             LogEvent.METRICS,
-            **self.beliefs(),
-            worst_delay=round(self.worst_delay, 1),
+            **self.state_metrics(),
+            worst_delay=round(self.max_sweep_delay_ms, 1),
             since_start=self.metrics.for_log(),
         )
-        self.worst_delay = 0.0
+        self.max_sweep_delay_ms = 0.0
 
     def metrics_report(self):
-        """What operators are told; the counts are those of the log."""
+        """Return the metrics for operators; the counts are those of the log."""
         listed = [
             server for server in self.servers.values() if server.phase is not Phase.GONE
         ]
-        left_out = self.excluded_servers(self.now())
+        excluded = self.excluded_servers(self.now())
         return {
             **self.metrics.for_operators(),
             "pending": len(self.clients),
             "members": len(listed),
             "members_unavailable": sum(
-                server.phase is not Phase.READY or server.name in left_out
+                server.phase is not Phase.READY or server.name in excluded
                 for server in listed
             ),
         }
 
-    def beliefs(self):
-        """What the decisions take for true, beside what the sockets hold."""
+    def state_metrics(self):
+        """Return the state that decisions are based on, and the sockets in use."""
         return {
             "sessions": len(self.clients),
             "up": sum(client.is_up for client in self.clients.values()),
@@ -221,12 +294,12 @@
         }
 
     def excluded_servers(self, now):
-        """The ready servers that nothing new goes to, by name, and why."""
+        """Return the ready servers that get no new sessions: name -> reason."""
         balancer = self.balancer
         servers = list(balancer.endpoint_list.servers)
         return {
-            server.name: why
-            for why, test in (
+            server.name: reason
+            for reason, is_excluded in (
                 (
                     "cold, past its budget",
                     lambda server: not balancer.slow_start.allows(now, server),
@@ -246,5 +319,5 @@
                 ("silent", balancer.outlier_detector.is_unresponsive),
             )
             for server in servers
-            if test(server)
+            if is_excluded(server)
         }
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -1,4 +1,4 @@
-"""What a proxy is told: its configuration, the list of servers, and who is out by an operator's hand."""
+"""What a proxy is told: configuration, endpoint list, and servers in maintenance."""
 
 import math
 from itertools import islice
@@ -13,66 +13,90 @@
 PHASES = {"ready": Phase.READY, "draining": Phase.DRAINING, "gone": Phase.GONE}
 
 
-class Told:
-    """A part of `proxy.Proxy`, which holds what both parts share."""
+class UpdateHandlingMixin:
+    """The part of `proxy.Proxy` that applies what the proxy is told.
 
-    # Configurations
+    The state that both mixins share is in `Proxy`.
+    """
 
-    def take(self, node):
+    # Configuration
+
+    def apply_config(self, node):
+        """Use a configuration from now on."""
         self.node = node
         self.limits = self.transport.limits = node.limits
         self.listeners = {listener.name: listener for listener in node.listeners}
         self.metrics.add_listeners(self.listeners)
-        self.tenants = {name: place for place, name in enumerate(node.tenants)}
+        self.tenant_indexes = {name: index for index, name in enumerate(node.tenants)}
 
     def reload(self, node):
-        """Sessions, servers and slots stay as they are; sessions that are open keep the listener that they
-        were taken with. Servers stay known until the list at a new address has come whole."""
+        """Replace the configuration.
+
+        Sessions, servers and slots stay as they are, and open sessions keep the
+        listener that they were started with. Servers stay known until the complete list
+        is received from a new discovery address.
+        """
         old = self.node
-        self.take(node)
-        changed = keys_needing_restart(self.started_with, node.source)
+        self.apply_config(node)
+        changed = keys_needing_restart(self.initial_settings, node.source)
         self.log_event(
-            LogEvent.CONFIGURATION_RELOADED, needs_restart=changed, **self.beliefs()
+            LogEvent.CONFIGURATION_RELOADED,
+            needs_restart=changed,
+            **self.state_metrics(),
         )
         if node.discovery_address is None:
             self.close_watch()
             self.on_endpoint_list(node.initial_endpoints, UpdateKind.SNAPSHOT)
         elif node.discovery_address != old.discovery_address:
-            # Versions count at one address; asked for from the first, the new one tells all that has changed.
+            # Versions are counted per address. Requested from version 0, the new agent
+            # sends everything that has changed.
             self.list_version = 0
             self.open_watch()
 
     # Servers in maintenance
 
     def set_maintenance(self, name, out, forwarded_by=None):
-        """Takes a server out of service or back in; returns whether that outlives this process.
+        """Take a server out of service or back in; return whether that is persistent.
+
+        It is stored first, then applied.
 
-        Kept first, then in force. `forwarded_by`: the other process that an operator called. Raises OSError with
-        nothing changed."""
-        held = dict(self.balancer.endpoint_list.maintenance_since_ms)
+        Args:
+            name: of the server.
+            out: whether it is taken out.
+            forwarded_by: the handover protocol by which another process has passed on
+                an operator's call, or None if the call came to this process.
+
+        Raises:
+            OSError: if it cannot be stored; nothing was changed then.
+        """
+        maintenance_since_ms = dict(self.balancer.endpoint_list.maintenance_since_ms)
         if out:
-            held.setdefault(name, self.now())
+            maintenance_since_ms.setdefault(name, self.now())
         else:
-            held.pop(name, None)
+            maintenance_since_ms.pop(name, None)
         store = maintenance_store_of(self.node)
-        if store and list(held) != list(
+        if store and list(maintenance_since_ms) != list(
             self.balancer.endpoint_list.maintenance_since_ms
         ):
             try:
                 store.save(
-                    {other: self.clock.to_wall(since) for other, since in held.items()}
+                    {
+                        other: self.clock.to_wall(since_ms)
+                        for other, since_ms in maintenance_since_ms.items()
+                    }
                 )
-            except OSError as wrong:
+            except OSError as error:
                 if forwarded_by is None:
                     raise
-                # The other process has kept it, and said yes: it counts here all the same.
+                # The other process has stored and confirmed it, so it is applied here
+                # all the same.
                 self.log_event(
-                    LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
+                    LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(error)
                 )
         self.log_event(
             LogEvent.MAINTENANCE_ENTERED if out else LogEvent.MAINTENANCE_EXITED,
             server=name,
-            out=len(held),
+            out=len(maintenance_since_ms),
         )
         self.balancer.set_maintenance(self.now(), name, out, self.servers.get(name))
         if self.handover_coordinator:
@@ -80,38 +104,40 @@
         return store is not None
 
     def load_maintenance(self):
+        """Apply what the maintenance file states; an unreadable file is logged."""
         store = maintenance_store_of(self.node)
         if store is None:
             return
         try:
-            for name, since in store.load(self.limits.max_unlisted_names).items():
+            for name, since_ms in store.load(self.limits.max_unlisted_names).items():
                 self.known_names[name] = None
                 self.balancer.endpoint_list.maintenance_since_ms.setdefault(
-                    name, self.clock.from_wall(since)
+                    name, self.clock.from_wall(since_ms)
                 )
                 self.log_event(
                     LogEvent.MAINTENANCE_ENTERED,
                     server=name,
                     out=len(self.balancer.endpoint_list.maintenance_since_ms),
                 )
-        except (OSError, ValueError) as wrong:
+        except (OSError, ValueError) as error:
             self.log_event(
-                LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(wrong)
+                LogEvent.MAINTENANCE_FILE_ERROR, path=store.path, what=str(error)
             )
 
-    # The list of servers
+    # The watch on the endpoint list
 
     def open_watch(self):
-        """Asks anew, from the version of which all took effect."""
+        """Request the list again, from the last version that was applied completely."""
         self.close_watch()
-        self.gap = False
-        self.asked_at = self.now()
-        self.watch = self.ask_list()
+        self.is_reread_pending = False
+        self.watch_opened_ms = self.now()
+        self.watch = self.start_watch()
         self.watch_timer = self.clock.after(
-            self.limits.watch_hedge_delay_ms, self.ask_beside, self.watch
+            self.limits.watch_hedge_delay_ms, self.hedge, self.watch
         )
 
-    def ask_list(self):
+    def start_watch(self):
+        """Return a watch that is being established."""
         watch = Watch(
             self.node.discovery_address[0],
             self.list_version,
@@ -122,22 +148,27 @@
         watch.start(self.transport.connect(watch, self.node.discovery_address))
         return watch
 
-    def ask_beside(self, watch):
-        """One that was asked while discovery was out of reach may never be answered, while what is known there at its
-        return counts as told at once; a slow answer is waited for all the same. So a second one is asked beside the
-        first, again and again: whichever answers first is the watch."""
+    def hedge(self, watch):
+        """Open a second watch beside one that is not answered, repeatedly.
+
+        A request made while discovery was unreachable may never be answered, but what
+        discovery knows at its return counts as known here at once. A slow answer is
+        waited for all the same: whichever watch is answered first is kept.
+        """
         if watch is self.watch and not watch.is_answered:
             if self.hedge_watch:
                 self.hedge_watch.cancel()
                 self.hedge_watch = None
-            # Not beside one whose answer is on its way: a list of thousands may take that long, and more so asked twice.
+            # Not while an answer is being received: a list of thousands of servers may
+            # take that long, and longer if it is requested twice.
             if self.now() - watch.last_received_ms >= self.limits.watch_hedge_delay_ms:
-                self.hedge_watch = self.ask_list()
+                self.hedge_watch = self.start_watch()
             self.watch_timer = self.clock.after(
-                self.limits.watch_hedge_delay_ms, self.ask_beside, watch
+                self.limits.watch_hedge_delay_ms, self.hedge, watch
             )
 
     def on_watch_answered(self, watch):
+        """Keep the watch that was answered first."""
         other = self.watch if watch is self.hedge_watch else self.hedge_watch
         if other:
             other.cancel()
@@ -145,6 +176,7 @@
         self.watch_timer.cancel()
 
     def close_watch(self):
+        """Close the watch and open no other one."""
         if self.watch_timer:
             self.watch_timer.cancel()
         for watch in (self.watch, self.hedge_watch):
@@ -152,100 +184,135 @@
                 watch.cancel()
         self.watch = self.hedge_watch = None
 
-    def on_watch_ended(self, watch, why):
+    def on_watch_ended(self, watch, reason):
+        """Open another watch after one that has ended, after a delay where needed."""
         if watch is self.hedge_watch:
             self.hedge_watch = None
         if watch is not self.watch:
             return
-        if why != self.watch_why:
-            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=why)
-        self.watch_why = why
+        if reason != self.watch_end_reason:
+            self.log_event(LogEvent.ENDPOINT_WATCH_LOST, why=reason)
+        self.watch_end_reason = reason
         self.close_watch()
         if self.limits.watch_backoff_ms:
-            # Every proxy meets its failure at once, and calls that come together again keep it down.
-            self.list_failures = 0 if watch.is_answered else self.list_failures + 1
-            wait = min(
+            # All proxies notice a failure of the service at once, and simultaneous
+            # requests would keep it down.
+            self.consecutive_watch_failures = (
+                0 if watch.is_answered else self.consecutive_watch_failures + 1
+            )
+            delay_ms = min(
                 self.limits.max_watch_backoff_ms,
-                self.limits.watch_backoff_ms * 2.0 ** min(self.list_failures, 5),
+                self.limits.watch_backoff_ms
+                * 2.0 ** min(self.consecutive_watch_failures, 5),
             )
             self.watch_timer = self.clock.after(
-                wait * self.balancer.uniform(0.5, 1.0), self.open_watch
+                delay_ms * self.balancer.uniform(0.5, 1.0), self.open_watch
             )
             return
-        # At once after one that had lasted: what the agent has meanwhile counts as told.
+        # At once after a watch that has lasted: what the agent has learned meanwhile
+        # counts as known here.
         self.watch_timer = self.clock.at(
-            max(self.now(), self.asked_at + self.limits.min_watch_interval_ms),
+            max(self.now(), self.watch_opened_ms + self.limits.min_watch_interval_ms),
             self.open_watch,
         )
 
-    def read_again(self, watch):
+    def reopen_watch(self, watch):
+        """Open the watch again, unless that was done since."""
         if watch is self.watch:
             self.open_watch()
 
     def poll_endpoint_list(self, enabled):
-        """The watch is always open: the agent is on this machine and costs nothing."""
-        self.clock.soon(self.followed)
+        """Report the list as polled.
 
-    def followed(self):
+        The watch is always open: the agent is on this machine, so it costs nothing.
+        """
+        self.clock.soon(self.report_polled)
+
+    def report_polled(self):
+        """Pass an update without changes to the balancer."""
         self.balancer.on_endpoint_update(self.now(), UpdateKind.DELTA, [])
 
-    def on_endpoint_list(self, found, kind=None):
-        """The version is noted last, once all of the list is in force: asked again from it, discovery would not
-        repeat what failed here or could not be read, a drain among it."""
-        if not isinstance(found, dict) or not isinstance(found.get("hosts"), list):
-            return self.log_event(LogEvent.PROTOCOL_ERROR, what="a list without hosts")
-        kind = kind or (UpdateKind.SNAPSHOT if found.get("whole") else UpdateKind.DELTA)
-        version = found.get("seq") if isinstance(found.get("seq"), int) else None
-        entries, moved, unread = [], [], 0
-        for host in found["hosts"]:
+    # The endpoint list
+
+    def on_endpoint_list(self, update, kind=None):
+        """Apply a snapshot or a delta of the endpoint list.
+
+        The version is noted last, once the whole list is applied: if the list is
+        requested from that version, discovery does not repeat what failed here or could
+        not be read, such as a drain.
+
+        Args:
+            update: the JSON object, as discovery or the configuration has it.
+            kind: of the update; None if the object states it.
+        """
+        if not isinstance(update, dict) or not isinstance(update.get("hosts"), list):
+            return self.log_event(
+                LogEvent.PROTOCOL_ERROR, what="endpoint list has no array of hosts"
+            )
+        kind = kind or (
+            UpdateKind.SNAPSHOT if update.get("whole") else UpdateKind.DELTA
+        )
+        version = update.get("seq") if isinstance(update.get("seq"), int) else None
+        entries, readdressed, unreadable_count = [], [], 0
+        for host in update["hosts"]:
             try:
-                entries.append(self.parse_entry(host, version, moved))
-            except (AttributeError, KeyError, TypeError, ValueError) as wrong:
+                entries.append(self.parse_entry(host, version, readdressed))
+            except (AttributeError, KeyError, TypeError, ValueError) as error:
                 self.log_event(
-                    LogEvent.PROTOCOL_ERROR, what=f"an entry of the list: {wrong!r}"
+                    LogEvent.PROTOCOL_ERROR,
+                    what=f"endpoint list has an invalid entry: {error!r}",
                 )
-                unread += 1
-                entries += self.what_is_left(host)
-        if unread and not entries:
-            kind = (
-                UpdateKind.DELTA
-            )  # nothing of it could be read: it is no list of nobody
-        before = dict(self.balancer.endpoint_list.servers)
+                unreadable_count += 1
+                entries += self.fallback_entries(host)
+        if unreadable_count and not entries:
+            # No entry could be read, which does not mean that no server is left.
+            kind = UpdateKind.DELTA
+        servers_before = dict(self.balancer.endpoint_list.servers)
         try:
             self.balancer.on_endpoint_update(self.now(), kind, entries)
         except Exception:
-            # Who leaves is not dialled any more. But asked for again, the list has to change the slots as well: whoever
-            # joined or left by it does so once more.
-            self.balancer.endpoint_list.servers = before
+            # Servers that leave get no more attempts. Yet when the list is received
+            # again, it has to change the slots as well: servers that join or leave by
+            # it must do so once more.
+            self.balancer.endpoint_list.servers = servers_before
             raise
-        self.note_told(entries, kind, version)
-        for server in moved:
-            # Nothing is held against one that has another address now. Later: whoever waits for the answer is dialled.
+        self.record_names(entries, kind, version)
+        for server in readdressed:
+            # A new address does not count against the server. This follows the update, as
+            # the sessions that wait for the probe's result make their attempts now.
             if server in self.probe_connections:
                 self.probe_connections[server].end(AttemptOutcome.AT_CAPACITY)
-        self.forget_gone()
+        self.forget_gone_servers()
         if kind is not UpdateKind.CACHED:
-            if self.watch_why is not None:
+            if self.watch_end_reason is not None:
                 self.log_event(LogEvent.ENDPOINT_WATCH_RESTORED)
-            self.watch_why = None
-            self.first_list_over()
-            self.get_ready()
-        if unread and kind is not UpdateKind.CACHED and self.watch:
-            self.find_out(self.watch)
-        elif version is not None and not self.gap and not unread:
-            self.list_version, self.gaps = version, 0
-
-    def find_out(self, watch):
-        """What could not be read is asked for again, from before it; again and again, but ever more seldom, as it
-        may never be readable: each 4 s in the end, as it counts as told after 6. Meanwhile the watch goes on, and no
-        version is noted."""
-        if not self.gap:
-            self.gap = True
-            again = self.limits.min_watch_interval_ms * 2 ** min(self.gaps, 4)
-            self.gaps += 1
-            self.clock.after(again, self.read_again, watch)
-
-    def note_told(self, entries, kind, version):
+            self.watch_end_reason = None
+            self.admit_early_clients()
+            self.mark_ready()
+        if unreadable_count and kind is not UpdateKind.CACHED and self.watch:
+            self.schedule_reread(self.watch)
+        elif (
+            version is not None and not self.is_reread_pending and not unreadable_count
+        ):
+            self.list_version, self.consecutive_rereads = version, 0
+
+    def schedule_reread(self, watch):
+        """Request a list again that could not be read, from the version before it.
+
+        That is repeated with growing intervals, as the list may never become readable:
+        every 4 s in the end, since a change counts as known after 6 s. Meanwhile the
+        watch goes on, and no version is noted.
+        """
+        if not self.is_reread_pending:
+            self.is_reread_pending = True
+            delay_ms = self.limits.min_watch_interval_ms * 2 ** min(
+                self.consecutive_rereads, 4
+            )
+            self.consecutive_rereads += 1
+            self.clock.after(delay_ms, self.reopen_watch, watch)
+
+    def record_names(self, entries, kind, version):
+        """Remember which servers were listed, and which have left at what version."""
         for entry in entries:
             name = entry.server.name
             self.known_names.pop(name, None)
@@ -260,8 +327,12 @@
                 ):
                     self.known_names[server.name] = version, server.started_ms
 
-    def forget_gone(self):
-        """Names may be new with every release: those that left would add up. One that comes back is new."""
+    def forget_gone_servers(self):
+        """Drop what is kept of servers that are gone.
+
+        Names may be new with every release, so those of gone servers would accumulate.
+        A server that comes back later is a new one.
+        """
         ready = self.balancer.endpoint_list.servers
         for name, server in list(self.servers.items()):
             if (
@@ -275,24 +346,28 @@
                 self.addresses.pop(server, None)
                 if self.peers:
                     self.peers.forget_server(name)
-        # Of those listed the list is the bound; of the others the oldest go, unless they are out.
-        over = (
+        # The names of listed servers are bounded by the list. Of the others the oldest
+        # are dropped, except those in maintenance.
+        excess = (
             len(self.known_names) - len(self.servers) - self.limits.max_unlisted_names
         )
-        gone = (
-            old
-            for old in self.known_names
-            if old not in self.servers
-            and old not in self.balancer.endpoint_list.maintenance_since_ms
+        unlisted = (
+            name
+            for name in self.known_names
+            if name not in self.servers
+            and name not in self.balancer.endpoint_list.maintenance_since_ms
         )
-        for old in list(islice(gone, max(0, over))):
-            del self.known_names[old]
+        for name in list(islice(unlisted, max(0, excess))):
+            del self.known_names[name]
 
-    def on_peer_update(self, server, phase, born):
-        """Others were told of a drain, that it is over, or of a new start, which this proxy's list doesn't say."""
-        started = self.clock.from_wall(born) if born else None
+    def on_peer_update(self, server, phase, started_unix_ms):
+        """Apply a phase or a start that peers know of, and this proxy's list does not.
+
+        That is a drain, the end of a drain, or a new start of the server.
+        """
+        started_ms = self.clock.from_wall(started_unix_ms) if started_unix_ms else None
         if server.listed_phase is not phase or (server.started_ms or 0.0) < (
-            started or 0.0
+            started_ms or 0.0
         ):
             self.log_event(
                 LogEvent.ENDPOINT_PHASE_FROM_PEER, server=server.name, phase=phase.value
@@ -300,72 +375,92 @@
             self.balancer.on_endpoint_update(
                 self.now(),
                 UpdateKind.MAINTENANCE,
-                [EndpointEntry(server, phase, server.weight, started)],
+                [EndpointEntry(server, phase, server.weight, started_ms)],
             )
 
-    def parse_entry(self, host, version, moved):
-        """Raises AttributeError, KeyError, TypeError or ValueError, with nothing changed, where it can't be read."""
-        name, phase, born = (
+    def parse_entry(self, host, version, readdressed):
+        """Return one entry of the endpoint list, and note the server's address.
+
+        Args:
+            host: the entry as it was received.
+            version: of the list, or None.
+            readdressed: the server is appended if its address has changed.
+
+        Raises:
+            AttributeError, KeyError, TypeError, ValueError: if the entry cannot be
+                read; nothing was changed then.
+        """
+        name, phase, started_unix_ms = (
             host["host"],
             PHASES[host["health"]],
             float(host.get("born_ms") or 0),
         )
         weight = float(host.get("share") or 1.0)
         cell = int(host.get("block") or 0)
-        if not isinstance(name, str) or not name or not math.isfinite(born + weight):
-            raise ValueError("no name, or figures that are none")
+        if (
+            not isinstance(name, str)
+            or not name
+            or not math.isfinite(started_unix_ms + weight)
+        ):
+            raise ValueError("host is no name, or born_ms or share is not finite")
         server = self.servers.get(name) or Server(name)
-        where = (
+        address = (
             parse_address(host["dial"], "dial")
             if host.get("dial")
             else self.addresses.get(server)
         )
-        if where is None and phase is not Phase.GONE:
-            raise ValueError("no address")
+        if address is None and phase is not Phase.GONE:
+            raise ValueError("dial is missing and no address is known")
         if self.peers:
-            listed = self.peers.record_list_entry(name, phase, born)
-            phase, born = listed.phase, listed.process_start_ms
-        started = self.clock.from_wall(born) if born else None
-        left, since = self.known_names.get(name) or (None, None)
+            listed = self.peers.record_list_entry(name, phase, started_unix_ms)
+            phase, started_unix_ms = listed.phase, listed.process_start_ms
+        started_ms = self.clock.from_wall(started_unix_ms) if started_unix_ms else None
+        left_version, left_started_ms = self.known_names.get(name) or (None, None)
         if (
             phase is Phase.READY
-            and None not in (left, version)
-            and version < left
-            and (started or -math.inf) <= (since or -math.inf)
+            and None not in (left_version, version)
+            and version < left_version
+            and (started_ms or -math.inf) <= (left_started_ms or -math.inf)
         ):
-            # An agent that is behind, at a new address or after a restart: what a newer list told to leave does not
-            # come back by an older one, unless it has started since.
+            # The agent is behind, at a new address or after a restart. A server that a
+            # newer list made leave is not brought back by an older one, unless it has
+            # started since.
             self.log_event(
-                LogEvent.STALE_ENDPOINT_LIST, server=name, version=version, newer=left
+                LogEvent.STALE_ENDPOINT_LIST,
+                server=name,
+                version=version,
+                newer=left_version,
             )
-            phase, started = (
+            phase, started_ms = (
                 server.listed_phase if name in self.servers else Phase.GONE,
-                since,
+                left_started_ms,
             )
-        if where is not None:
-            if self.addresses.get(server, where) != where:
-                moved.append(server)
-            self.addresses[server] = where
+        if address is not None:
+            if self.addresses.get(server, address) != address:
+                readdressed.append(server)
+            self.addresses[server] = address
         if host.get("site") is not None:
-            server.zone, server.cell = self.zones.get(host["site"], -1), cell
+            server.zone, server.cell = self.zone_indexes.get(host["site"], -1), cell
         self.servers[name] = server
-        return EndpointEntry(server, phase, weight, started)
+        return EndpointEntry(server, phase, weight, started_ms)
+
+    def fallback_entries(self, host):
+        """Return what holds for the server of an entry that cannot be read.
 
-    def what_is_left(self, host):
-        """Of an entry that can't be read: the known server that it is about, as it was, but that it leaves where that
-        much is said."""
+        A known server stays as it was, except that it leaves if that much can be read.
+        """
         name = host.get("host") if isinstance(host, dict) else None
         server = self.servers.get(name) if isinstance(name, str) else None
         if server is None:
             return []
         phase = host.get("health")
-        leaves = (
+        is_leaving = (
             isinstance(phase, str) and PHASES.get(phase, Phase.READY) is not Phase.READY
         )
         return [
             EndpointEntry(
                 server,
-                PHASES[phase] if leaves else server.listed_phase,
+                PHASES[phase] if is_leaving else server.listed_phase,
                 server.weight,
                 server.started_ms,
             )
