--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -1,7 +1,7 @@
-"""The interfaces between the proxy and whatever carries its bytes.
+"""The interfaces between the proxy and its transport, clock and log.
 
-`net` implements them on sockets and on the loop's clock, the lab in virtual time and
-with modelled networks.
+`net` implements them with sockets and the clock of the event loop, the lab in virtual
+time on modelled networks.
 """
 
 import asyncio
@@ -12,45 +12,45 @@
 
 
 class EventLog(Protocol):
-    """Writes an event to the log."""
+    """A function that writes an event to the log."""
 
     def __call__(self, event: str, **fields: object) -> None:
         """Write the event and its fields."""
 
 
 class Timer(Protocol):
-    """A call that has been arranged."""
+    """A scheduled call."""
 
     def cancel(self) -> None:
-        """Let the call not happen."""
+        """Cancel the call; does nothing once it was made."""
 
 
 class Clock(Protocol):
-    """Monotonic milliseconds, and timers."""
+    """A monotonic clock in milliseconds, with timers."""
 
     def now(self) -> float:
-        """Return the present time."""
+        """Return the current monotonic time."""
 
     def from_wall(self, wall_ms: float) -> float:
-        """Return the monotonic time of a Unix time."""
+        """Return the monotonic time that corresponds to a Unix time in ms."""
 
     def to_wall(self, monotonic_ms: float) -> float:
-        """Return the Unix time of a monotonic time."""
+        """Return the Unix time in ms that corresponds to a monotonic time."""
 
     def at(self, when_ms: float, call: Callable[..., object], *args: object) -> Timer:
-        """Call at a time."""
+        """Schedule a call at a monotonic time."""
 
     def after(
         self, delay_ms: float, call: Callable[..., object], *args: object
     ) -> Timer:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
 
     def soon(self, call: Callable[..., object], *args: object) -> Any:  # noqa: ANN401 - the lab's gives no timer
-        """Call as soon as what runs has returned."""
+        """Schedule a call for the next iteration of the event loop."""
 
 
 class ProtocolMachine(Protocol):
-    """What a connection calls; see `net.protocol_machine` for each call's meaning.
+    """The callbacks of a connection, see `net.protocol_machine`.
 
     Attributes:
         wire: the connection.
@@ -60,40 +60,40 @@
 
     @property
     def held_back(self) -> bool:
-        """Whether the connection is not to be attempted yet."""
+        """Whether the connection must not be opened yet."""
 
     def connected(self) -> None:
-        """The connection is established."""
+        """React to an established connection."""
 
     def carried(self) -> None:
-        """A connection that another process held is open here."""
+        """React to a connection that was adopted from another process."""
 
     def received(self, data: memoryview) -> None:
-        """Bytes were received; they are valid only until this returns."""
+        """React to received bytes; the buffer is valid only until this returns."""
 
     def ended(self) -> None:
-        """The peer sends no more."""
+        """React to the peer's end of stream."""
 
     def blocked(self, on: bool) -> None:
-        """Bytes wait to be sent, or no longer."""
+        """React to a send buffer that is no longer empty, or empty again."""
 
     def lost(self, reset: bool) -> None:
-        """The connection is over, or was never established."""
+        """React to a connection that is lost, or could not be established."""
 
     def fault(self) -> None:
-        """A call to the machine has raised an exception."""
+        """React to an exception that a callback has raised."""
 
     def let_go(self) -> None:
-        """Nothing is called any more."""
+        """Drop references to the connection, as no more callbacks follow."""
 
 
 class Connection(Protocol):
-    """A stream of bytes each way.
+    """A bidirectional byte stream.
 
     Attributes:
-        machine: the state machine that is fed.
+        machine: the state machine that gets the callbacks.
         full: whether bytes wait to be sent.
-        refused: whether the host was there, and nothing listened.
+        refused: whether the host has refused the connection.
         counted: whether the transport counts it as one of its descriptors.
     """
 
@@ -104,49 +104,49 @@
 
     @property
     def reached(self) -> bool:
-        """Whether it has ever been established."""
+        """Whether the connection was ever established."""
 
     @property
     def open(self) -> bool:
-        """Whether it is established, and neither over nor closed by the machine."""
+        """Whether it is established, and neither lost nor closed by the machine."""
 
     @property
     def quiet(self) -> bool:
-        """Whether it is open both ways, and no byte is on its way through here."""
+        """Whether both directions are open and no received or sent byte is buffered."""
 
     @property
     def drained(self) -> bool:
-        """Whether the last byte has left."""
+        """Whether all bytes were passed to the kernel."""
 
     @property
     def unread(self) -> bool:
-        """Whether received bytes wait to be read."""
+        """Whether received bytes wait in the kernel to be read."""
 
     @property
     def waited(self) -> float:
-        """The ms since bytes last came from the network."""
+        """The time in ms since bytes were last received from the network."""
 
     @property
     def to_send(self) -> int:
-        """Bytes that wait for the peer to read."""
+        """The number of bytes that wait for the peer to read."""
 
     def send(self, *parts: bytes) -> None:
-        """Send bytes, now or as soon as the peer reads."""
+        """Send bytes, buffered until the peer reads."""
 
     def hold(self, on: bool) -> None:
         """Pause or resume reading."""
 
     def copy(self) -> Any:  # noqa: ANN401 - a descriptor; in virtual time the connection
-        """Return what another process needs to have the connection; raises OSError."""
+        """Return a duplicate to pass to another process; raises OSError."""
 
     def finish(self) -> None:
-        """Send no more; what the peer sends is still received."""
+        """End the outgoing stream; what the peer sends is still received."""
 
     def part(self) -> None:
-        """Close gracefully; the machine is told nothing any more."""
+        """Close once all is sent; the machine gets no more callbacks."""
 
     def abort(self, reset: bool = False) -> None:
-        """Close at once, with a reset where that is asked for."""
+        """Close at once, optionally with a TCP reset."""
 
 
 class UnixConnection(Protocol):
@@ -154,17 +154,17 @@
 
     Attributes:
         carrier: the transport that it belongs to.
-        machine: the state machine that is fed.
+        machine: the state machine that gets the callbacks.
     """
 
     carrier: Any
     machine: Any
 
     def send(self, data: bytes, handles: Sequence[Any] = ()) -> None:
-        """Send bytes, with descriptors."""
+        """Send bytes together with descriptors."""
 
     def close(self) -> None:
-        """Close; the machine is not called any more."""
+        """Close; the machine gets no more callbacks."""
 
 
 class ServerSocket(Protocol):
@@ -172,24 +172,24 @@
 
     @property
     def waiting(self) -> bool:
-        """Whether somebody is on the way in."""
+        """Whether a client waits to be accepted."""
 
     def hold(self, on: bool) -> None:
-        """Accept nobody for now, or go on."""
+        """Pause or resume accepting connections."""
 
     def close(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting connections."""
 
 
 class UnixServerSocket(Protocol):
-    """A Unix socket at which other processes may connect."""
+    """A listening Unix socket for other processes."""
 
     def close(self) -> None:
-        """Accept nobody any more."""
+        """Stop accepting connections."""
 
 
 class DatagramSocket(Protocol):
-    """A socket for datagrams."""
+    """A UDP socket."""
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
         """Send a datagram, which may be lost."""
@@ -204,8 +204,9 @@
     Attributes:
         limits: sizes, counts and times of the proxy.
         log: writes an event.
-        sockets: descriptors that the connections hold.
-        lent: descriptors that the process which this one takes over from holds still.
+        sockets: the number of descriptors that the connections hold.
+        lent: the number of descriptors that the process before still holds during a
+            handover to this one.
         parting: connections that their machines have closed, until the sockets are
             closed.
     """
@@ -218,7 +219,7 @@
 
     @property
     def free(self) -> int:
-        """How many more descriptors connections may take; may be negative."""
+        """The number of descriptors left for connections; may be negative."""
 
     def listen(
         self,
@@ -234,16 +235,16 @@
         address: tuple[str, int],
         source: str | None = None,
     ) -> Connection:
-        """Begin to connect; the machine is told of the result."""
+        """Start connecting; the machine is told the result."""
 
     def datagrams(self, machine: Any, address: tuple[str, int]) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
-        """Bind a socket for datagrams; raises OSError."""
+        """Bind a UDP socket; raises OSError."""
 
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
-        """Take over a connection that another process has passed."""
+        """Use a connection that another process has passed."""
 
     def drop(self, handles: Sequence[Any]) -> None:
-        """Close what was passed or was meant to be."""
+        """Close duplicates that were received, or were to be passed."""
 
     def meet(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
@@ -257,11 +258,11 @@
 
 
 class SocketTransport(Transport, Protocol):
-    """What sockets on an asyncio loop need of their transport.
+    """The part of a transport that sockets on an asyncio loop use.
 
     Attributes:
         loop: the event loop.
-        buffer: the receive buffer of all connections.
+        buffer: the receive buffer that all connections share.
     """
 
     loop: asyncio.AbstractEventLoop
