--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -35,21 +35,22 @@
 
     Attributes:
         sockets: how many descriptors it holds.
-        lent: how many of its descriptors another process holds still.
+        previous_process_sockets: how many of its descriptors another process holds
+            still.
     """
 
     sockets: int
-    lent: int
+    previous_process_sockets: int
 
-    def drop(self, handles: Sequence[Handle]) -> None:
+    def close_handles(self, handles: Sequence[Handle]) -> None:
         """Close descriptors that came over or were meant to."""
 
-    def meet(
+    def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> ServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
-    def reach(
+    def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> "Connection":
         """Connect to another process's Unix socket; raises OSError."""
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -129,7 +129,7 @@
         self.limits = limits
         self.log = log
         self.sockets = 0
-        self.parting = {}
+        self.closing_connections = {}
 
     @property
     def free(self):
@@ -146,7 +146,7 @@
         )
         return wire
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return VirtualDatagrams(self, machine, tuple(address))
 
 
@@ -370,7 +370,7 @@
         self.full = False
         self.finished = False
         self.ended = False
-        self.parted = False
+        self.is_closing = False
         self.over = False
         self.held = False
         self.copied = False  # another process is to have it
@@ -439,11 +439,11 @@
                 peer.on_way -= len(data)
                 if peer.unsent:
                     self.host.net.transmit(self, self.host, peer.host, peer.pump)
-                if not self.parted:
+                if not self.is_closing:
                     self.guard(self.machine.received, memoryview(data))
 
     def eof(self):
-        if not self.ended and not self.parted:
+        if not self.ended and not self.is_closing:
             self.ended = True
             self.guard(self.machine.ended)
         self.ended = True
@@ -464,7 +464,7 @@
                 self.tell_lost(True)
 
     def tell_lost(self, reset):
-        if not self.over and not self.parted:
+        if not self.over and not self.is_closing:
             self.over = True
             self.guard(self.machine.lost, reset)
         self.over = True
@@ -497,7 +497,7 @@
         full = bool(self.unsent)
         if full is not self.full:
             self.full = full
-            if not self.over and not self.parted:
+            if not self.over and not self.is_closing:
                 self.guard(self.machine.blocked, full)
 
     def finish(self):
@@ -511,17 +511,17 @@
                 self.unsent.append(None)
                 self.pump()
 
-    def part(self):
+    def close_gracefully(self):
         if not self.open:
             return self.abort()
         self.hold(False)
         self.finish()
-        self.parted = True
+        self.is_closing = True
         if self.gone:
             return
         if self.carrier.free < self.carrier.limits.reserved_sockets:
             return self.close()
-        self.carrier.parting[self] = None
+        self.carrier.closing_connections[self] = None
         self.host.clock.after(self.carrier.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
@@ -553,7 +553,7 @@
         self.inbox.clear()
         self.unsent.clear()
         self.host.wires.pop(self, None)
-        self.carrier.parting.pop(self, None)
+        self.carrier.closing_connections.pop(self, None)
         self.count(False)
 
     def reset_peer(self):
@@ -590,12 +590,12 @@
         return self
 
     @property
-    def reached(self):
+    def was_established(self):
         return self.up
 
     @property
     def open(self):
-        return self.up and not self.over and not self.parted
+        return self.up and not self.over and not self.is_closing
 
     @property
     def waited(self):
@@ -607,7 +607,7 @@
         return bool(self.inbox)
 
     @property
-    def to_send(self):
+    def unsent_bytes(self):
         return sum(len(data) for data in self.unsent if data)
 
     @property
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -467,7 +467,7 @@
             try:
                 handles.append(client.attempt.wire.copy())
             except OSError:
-                self.transport.drop(handles)
+                self.transport.close_handles(handles)
                 raise
         except OSError:
             return []
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -125,7 +125,7 @@
             and self.attempt.wire.quiet
         )
 
-    def carried(self):
+    def adopted(self):
         """Resume reading, once both connections are in this process.
 
         What is read earlier could not be forwarded.
@@ -152,7 +152,7 @@
         """Send the final answer of a session that is not up, and close."""
         self.timer.cancel()
         self.wire.send(*parts, CRLF)
-        self.wire.part()
+        self.wire.close_gracefully()
 
     def migrate(self):
         """Send MOVE and close; return whether that was done.
@@ -165,7 +165,7 @@
             return False
         self.attempt.timer.cancel()
         self.answer(b"MOVE")
-        self.attempt.wire.part()
+        self.attempt.wire.close_gracefully()
         return True
 
     def blocked(self, on):
@@ -191,7 +191,7 @@
         if self.is_up:
             self.attempt.wire.abort(reset=reset)
 
-    def let_go(self):
+    def release(self):
         """Drop the references that would form a cycle."""
         # If a fault of the attempt ended the client, its timer still runs.
         self.timer.cancel()
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -256,7 +256,7 @@
 
     def lost(self, reset):
         """End, as the connection is over or was not established."""
-        self.end("lost" if self.wire.reached else "not reached")
+        self.end("lost" if self.wire.was_established else "not reached")
 
     def fault(self):
         """End, as a callback has raised an exception."""
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -59,13 +59,13 @@
     wire: Any
 
     @property
-    def held_back(self) -> bool:
+    def is_connect_postponed(self) -> bool:
         """Whether the connection must not be opened yet."""
 
     def connected(self) -> None:
         """React to an established connection."""
 
-    def carried(self) -> None:
+    def adopted(self) -> None:
         """React to a connection that was adopted from another process."""
 
     def received(self, data: memoryview) -> None:
@@ -83,7 +83,7 @@
     def fault(self) -> None:
         """React to an exception that a callback has raised."""
 
-    def let_go(self) -> None:
+    def release(self) -> None:
         """Drop references to the connection, as no more callbacks follow."""
 
 
@@ -103,7 +103,7 @@
     counted: bool
 
     @property
-    def reached(self) -> bool:
+    def was_established(self) -> bool:
         """Whether the connection was ever established."""
 
     @property
@@ -127,7 +127,7 @@
         """The time in ms since bytes were last received from the network."""
 
     @property
-    def to_send(self) -> int:
+    def unsent_bytes(self) -> int:
         """The number of bytes that wait for the peer to read."""
 
     def send(self, *parts: bytes) -> None:
@@ -142,7 +142,7 @@
     def finish(self) -> None:
         """End the outgoing stream; what the peer sends is still received."""
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Close once all is sent; the machine gets no more callbacks."""
 
     def abort(self, reset: bool = False) -> None:
@@ -205,17 +205,17 @@
         limits: sizes, counts and times of the proxy.
         log: writes an event.
         sockets: the number of descriptors that the connections hold.
-        lent: the number of descriptors that the process before still holds during a
-            handover to this one.
-        parting: connections that their machines have closed, until the sockets are
-            closed.
+        previous_process_sockets: the number of descriptors that the process before
+            still holds during a handover to this one.
+        closing_connections: connections that their machines have closed, until the
+            sockets are closed.
     """
 
     limits: ProxyLimits
     log: EventLog
     sockets: int
-    lent: int
-    parting: dict[Any, None]
+    previous_process_sockets: int
+    closing_connections: dict[Any, None]
 
     @property
     def free(self) -> int:
@@ -237,21 +237,25 @@
     ) -> Connection:
         """Start connecting; the machine is told the result."""
 
-    def datagrams(self, machine: Any, address: tuple[str, int]) -> DatagramSocket:  # noqa: ANN401 - takes datagrams
+    def bind_datagram_socket(
+        self,
+        machine: Any,  # noqa: ANN401 - takes datagrams
+        address: tuple[str, int],
+    ) -> DatagramSocket:
         """Bind a UDP socket; raises OSError."""
 
     def adopt(self, handle: Any, machine: ProtocolMachine) -> Connection:  # noqa: ANN401 - what `copy` gave
         """Use a connection that another process has passed."""
 
-    def drop(self, handles: Sequence[Any]) -> None:
+    def close_handles(self, handles: Sequence[Any]) -> None:
         """Close duplicates that were received, or were to be passed."""
 
-    def meet(
+    def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixServerSocket:
         """Listen for other processes on a Unix socket; raises OSError."""
 
-    def reach(
+    def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[[Any], Any]
     ) -> UnixConnection:
         """Connect to another process's Unix socket; raises OSError."""
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -231,11 +231,11 @@
         Closing with bytes unread or unsent would cut them off. It does not wait beyond
         the time after which this process may be killed.
         """
-        now, closing = self.now(), list(self.transport.parting)
+        now, closing = self.now(), list(self.transport.closing_connections)
         if closing and (
             now < linger_until_ms
             or now < self.shutdown_deadline_ms + self.limits.shutdown_linger_ms
-            and any(connection.to_send for connection in closing)
+            and any(connection.unsent_bytes for connection in closing)
         ):
             self.clock.after(
                 self.limits.shutdown_poll_interval_ms,
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -63,7 +63,7 @@
         )
 
     @property
-    def held_back(self):
+    def is_connect_postponed(self):
         """Whether unread input may cancel the attempt, and is to be read first.
 
         The client may have left, or the endpoint list may say that the server leaves,
@@ -79,7 +79,7 @@
         """Send the OPEN line, unless the attempt has become pointless."""
         if self.is_over:
             return
-        if self.held_back:
+        if self.is_connect_postponed:
             return self.clock.soon(self.connected)
         remaining_ms = self.deadline_ms - self.clock.now()
         # Without time left the session could not be accepted, yet it might run.
@@ -90,9 +90,9 @@
         if self.wire.drained:
             self.on_request_written()
 
-    def carried(self):
+    def adopted(self):
         """Resume reading, once the client's connection is here as well."""
-        self.client.carried()
+        self.client.adopted()
 
     def on_request_written(self):
         """Note, once, that the last byte of the OPEN line has left."""
@@ -243,7 +243,7 @@
             if reset:
                 self.client.wire.abort(reset=True)
             else:
-                self.client.wire.part()
+                self.client.wire.close_gracefully()
 
     def fault(self):
         """End the attempt or the session, as a callback has raised an exception."""
@@ -308,7 +308,9 @@
     def lost(self, reset):
         """React to a connection that is gone or was never established."""
         self.on_closed_by_server(
-            AttemptOutcome.RESET if self.wire.reached else AttemptOutcome.CONNECT_FAILED
+            AttemptOutcome.RESET
+            if self.wire.was_established
+            else AttemptOutcome.CONNECT_FAILED
         )
 
     def on_closed_by_server(self, outcome):
