--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -37,7 +37,7 @@
         clock: provides the time and timers.
         ready: whether it accepts sessions.
         handed_over: whether another process has taken over.
-        stopping_since_ms: since when the proxy is shutting down, in ms; None if it is not.
+        stopping_since_ms: when the shutdown began, in ms; None before it.
         known_names: names of all servers that the endpoint list has ever contained.
     """
 
