--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -94,10 +94,10 @@
     """One to a client or a server; what is sent on it is of no interest here."""
 
     open = was_established = drained = quiet = True
-    full = unread = False
-    waited = 0.0
+    is_write_blocked = has_unread_bytes = False
+    ms_since_receive = 0.0
 
-    def copy(self):
+    def duplicate(self):
         return "handle"
 
     def abort(self, reset=False):
@@ -106,14 +106,14 @@
     def ignore(self, *_):
         pass
 
-    send = hold = finish = close_gracefully = ignore
+    send = set_paused = send_eof = close_gracefully = ignore
 
 
 class UnixConnection:
     """One to another process: keeps what is sent."""
 
     def __init__(self, carrier):
-        self.carrier, self.over, self.sent = carrier, False, []
+        self.transport, self.over, self.sent = carrier, False, []
 
     def send(self, data, handles=()):
         if not self.over:
@@ -187,7 +187,7 @@
         self.transport.reaches = beside
         self.proxy = Proxy(node, self.transport, Clock(), self.note)
         self.proxy.listening_socket = types.SimpleNamespace(
-            hold=lambda on: None, close=lambda: None, waiting=False
+            set_paused=lambda on: None, close=lambda: None, waiting=False
         )
         UpgradeCoordinator(
             self.proxy, self.transport, self.proxy.clock, self.note
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -149,11 +149,11 @@
     """To the machine a `net.connection.Connection`; to the real wire a machine."""
 
     def __init__(self, carrier, machine, address, source):
-        self.carrier, self.shape, self.machine = carrier, carrier.shape, machine
+        self.transport, self.shape, self.machine = carrier, carrier.shape, machine
         self.address, self.source = address, source
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
         self.wire = None
-        self.full = self.refused = self.over = False
+        self.is_write_blocked = self.refused = self.over = False
         self.latest = {
             True: 0.0,
             False: 0.0,
@@ -181,7 +181,7 @@
 
     def dial(self):
         if not self.over:
-            self.wire = self.carrier.inner.connect(self, self.address, self.source)
+            self.wire = self.transport.inner.connect(self, self.address, self.source)
 
     # Ways
 
@@ -205,7 +205,7 @@
             self.carry(True, self.put, b"".join(parts))
 
     def put(self, data):
-        if self.wire.open and not self.wire.transport.is_closing():
+        if self.wire.open and not self.wire.asyncio_transport.is_closing():
             self.wire.send(data)
 
     def abort(self, reset=False):
@@ -228,7 +228,7 @@
 
     def leave(self):
         self.over = True
-        self.carrier.wires.pop(self, None)
+        self.transport.wires.pop(self, None)
 
     # From the real wire
 
@@ -248,7 +248,7 @@
         pass  # what is still on its way is told later
 
     def blocked(self, on):
-        self.full = on
+        self.is_write_blocked = on
         self.tell("blocked", on)
 
     def fault(self):
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -193,7 +193,7 @@
         relay.streams[self] = None
 
     def connected(self):
-        host = self.wire.transport.get_extra_info("peername")[0]
+        host = self.wire.asyncio_transport.get_extra_info("peername")[0]
         self.one = self.relay.name_of(host)
         if self.one is None:
             return self.end(True)
@@ -241,7 +241,7 @@
         if self.dead or half.other.wire is None:
             return
         if data is None:
-            return half.other.wire.finish()
+            return half.other.wire.send_eof()
         if way.then and half.passed >= 0:
             room = way.after - half.passed
             if len(data) >= room:
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -74,7 +74,7 @@
         return [
             client
             for client, connected_ms in islice(self.silent_clients.items(), count)
-            if connected_ms < connected_before and not client.wire.unread
+            if connected_ms < connected_before and not client.wire.has_unread_bytes
         ]
 
     def evict(self, client):
@@ -199,7 +199,11 @@
         That is 0 unless this process was paused.
         """
         self.detect_pause(self.now())
-        return client.wire.waited if self.now() < self.stale_input_until_ms else 0.0
+        return (
+            client.wire.ms_since_receive
+            if self.now() < self.stale_input_until_ms
+            else 0.0
+        )
 
     def detect_pause(self, now):
         """Recognise a pause of this process by a sweep that is a whole interval late.
@@ -414,7 +418,7 @@
             if (
                 client.session is not None
                 and client.unanswered_since_ms is not None
-                and not client.wire.full
+                and not client.wire.is_write_blocked
                 and now - client.unanswered_since_ms >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
@@ -463,9 +467,9 @@
             An empty list, with the session kept, if no descriptor is left.
         """
         try:
-            handles = [client.wire.copy()]
+            handles = [client.wire.duplicate()]
             try:
-                handles.append(client.attempt.wire.copy())
+                handles.append(client.attempt.wire.duplicate())
             except OSError:
                 self.transport.close_handles(handles)
                 raise
@@ -549,7 +553,7 @@
         What they say counts as known already.
         """
         return any(
-            watch and watch.wire.open and watch.wire.unread
+            watch and watch.wire.open and watch.wire.has_unread_bytes
             for watch in (self.watch, self.hedge_watch)
         )
 
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -131,8 +131,8 @@
         What is read earlier could not be forwarded.
         """
         if self.wire.open and self.attempt.wire.open:
-            self.wire.hold(False)
-            self.attempt.wire.hold(False)
+            self.wire.set_paused(False)
+            self.attempt.wire.set_paused(False)
 
     @property
     def is_idempotent(self):
@@ -171,13 +171,13 @@
     def blocked(self, on):
         """Stop reading from the server while bytes wait to be sent."""
         if self.is_up:
-            self.attempt.wire.hold(on)
+            self.attempt.wire.set_paused(on)
 
     def ended(self):
         """End the session, as the client sends no more."""
         self.owner.on_client_left(self)
         if self.is_up:
-            self.attempt.wire.finish()
+            self.attempt.wire.send_eof()
             self.attempt.set_timer(self.limits.linger_ms, self.attempt.close)
         else:
             # A session needs both directions, so it is over, but the client may still
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -27,34 +27,36 @@
     """A TCP connection that was opened, accepted, or passed by another process.
 
     Attributes:
-        carrier: the transport that this connection belongs to.
+        transport: the transport that this connection belongs to.
         machine: the protocol state machine that receives events; `NoMachine` once the
             connection has closed.
-        transport: the asyncio transport, once the connection is established.
-        full: whether bytes are waiting in the send buffer.
+        asyncio_transport: the asyncio transport, once the connection is established.
+        is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
         finished: whether this side has sent end of stream.
         ended: whether the peer has sent end of stream.
         is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
-        counted: whether the transport counts it among its open descriptors.
+        holds_descriptor: whether the transport counts it among its open descriptors.
     """
 
     def __init__(
-        self, carrier: SocketTransport, make_machine: Callable[[Connection], Any]
+        self, transport: SocketTransport, make_machine: Callable[[Connection], Any]
     ) -> None:
-        self.carrier = carrier
+        self.transport = transport
         self.machine = make_machine(self)
-        self.transport: Any = None  # asyncio.Transport; Any avoids casts at each call
+        self.asyncio_transport: Any = (
+            None  # asyncio.Transport; Any avoids casts at each call
+        )
         self._task: asyncio.Task[None] | None = None
-        self.full = False
+        self.is_write_blocked = False
         self.finished = False
         self.ended = False
         self.is_closing = False
         self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
-        self.counted = False
+        self.holds_descriptor = False
         self._is_adopted = False
         self.refused = False
 
@@ -72,11 +74,11 @@
 
     def start_adopted(self, sock: socket.socket) -> None:
         """Start on a socket passed by another process, which is already counted."""
-        self._is_adopted = self.counted = True
+        self._is_adopted = self.holds_descriptor = True
         self._start(self._register(sock))
 
     def _start(self, establish: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        task = self._task = self.carrier.loop.create_task(establish)
+        task = self._task = self.transport.loop.create_task(establish)
         task.add_done_callback(self._on_started)
         return task
 
@@ -84,12 +86,12 @@
         # A finished task references its exception, whose traceback frames reference
         # this connection; drop it to avoid a reference cycle.
         self._task = None
-        if self.transport is None:
+        if self.asyncio_transport is None:
             self._release_machine()
 
     async def _register(self, sock: socket.socket) -> None:
         try:
-            await self.carrier.loop.connect_accepted_socket(lambda: self, sock)
+            await self.transport.loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
             sock.close()
             self._set_counted(False)
@@ -100,7 +102,7 @@
         while self.machine.is_connect_postponed:
             await asyncio.sleep(0)
         try:
-            await self.carrier.loop.create_connection(
+            await self.transport.loop.create_connection(
                 lambda: self, *address, local_addr=(source, 0) if source else None
             )
         except OSError as error:
@@ -109,14 +111,14 @@
             self._report_lost(False)
 
     def _set_counted(self, on: bool) -> None:
-        self.carrier.sockets += on - self.counted
-        self.counted = on
+        self.transport.sockets += on - self.holds_descriptor
+        self.holds_descriptor = on
 
     # Called by asyncio
 
-    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `transport`
+    def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `asyncio_transport`
         """Notify the machine, unless it has aborted the connection attempt."""
-        self.transport = transport
+        self.asyncio_transport = transport
         self._set_counted(True)
         if self.over:
             transport.abort()
@@ -125,7 +127,7 @@
         # byte has been handed to the kernel.
         transport.set_write_buffer_limits(high=0)
         enable_keep_alive(
-            transport.get_extra_info("socket"), self.carrier.limits.keepalive_idle_ms
+            transport.get_extra_info("socket"), self.transport.limits.keepalive_idle_ms
         )
         if self._is_adopted:
             transport.pause_reading()
@@ -135,18 +137,18 @@
 
     def get_buffer(self, sizehint: int) -> memoryview:
         """Return the receive buffer that all connections share."""
-        return self.carrier.buffer
+        return self.transport.buffer
 
     def buffer_updated(self, nbytes: int) -> None:
         """Pass received bytes to the machine."""
         if not self.is_closing:
-            self.guard(self.machine.received, self.carrier.buffer[:nbytes])
+            self.guard(self.machine.received, self.transport.buffer[:nbytes])
             return
         # After the machine has closed, keep reading so that unread bytes do not reset
         # the connection and lose the last line sent, but only up to a limit.
         self._discarded_bytes += nbytes
-        if self._discarded_bytes > self.carrier.limits.max_buffered_bytes:
-            self.transport.pause_reading()
+        if self._discarded_bytes > self.transport.limits.max_buffered_bytes:
+            self.asyncio_transport.pause_reading()
 
     def eof_received(self) -> bool:
         """Notify the machine once; return whether the transport stays open.
@@ -164,17 +166,17 @@
 
     def pause_writing(self) -> None:
         """Notify the machine that bytes are waiting in the send buffer."""
-        self.full = True
+        self.is_write_blocked = True
         self.guard(self.machine.blocked, True)
 
     def resume_writing(self) -> None:
         """Notify the machine that the send buffer is empty."""
-        self.full = False
+        self.is_write_blocked = False
         self.guard(self.machine.blocked, False)
 
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the machine, unless it has closed the connection, and release it."""
-        self.carrier.closing_connections.pop(self, None)
+        self.transport.closing_connections.pop(self, None)
         self._set_counted(False)
         self._report_lost(error is not None)
         self._release_machine()
@@ -192,11 +194,11 @@
         """
         machine, self.machine = self.machine, NoMachine
         machine.release()
-        attributes = vars(self.transport) if self.transport else {}
+        attributes = vars(self.asyncio_transport) if self.asyncio_transport else {}
         for name in [
             name
             for name, value in attributes.items()
-            if getattr(value, "__self__", None) is self.transport
+            if getattr(value, "__self__", None) is self.asyncio_transport
         ]:
             del attributes[name]
 
@@ -205,12 +207,14 @@
     @property
     def was_established(self) -> bool:
         """Whether the connection was ever established."""
-        return self.transport is not None
+        return self.asyncio_transport is not None
 
     @property
     def open(self) -> bool:
         """Whether it is established and neither lost, aborted nor closed."""
-        return self.transport is not None and not self.over and not self.is_closing
+        return (
+            self.asyncio_transport is not None and not self.over and not self.is_closing
+        )
 
     @property
     def drained(self) -> bool:
@@ -219,8 +223,8 @@
         A failed transport has an empty buffer too, so it is checked for closing.
         """
         return (
-            not self.transport.is_closing()
-            and not self.transport.get_write_buffer_size()
+            not self.asyncio_transport.is_closing()
+            and not self.asyncio_transport.get_write_buffer_size()
         )
 
     @property
@@ -230,17 +234,17 @@
             self.open
             and not self.finished
             and not self.ended
-            and not self.full
+            and not self.is_write_blocked
             and self.drained
         )
 
     @property
-    def unread(self) -> bool:
+    def has_unread_bytes(self) -> bool:
         """Whether the kernel holds received bytes that were not read yet."""
         return is_readable(self._socket)
 
     @property
-    def waited(self) -> float:
+    def ms_since_receive(self) -> float:
         """Milliseconds since bytes last arrived from the network."""
         return last_receive_ago_ms(self._socket)
 
@@ -250,7 +254,11 @@
 
         The kernel keeps sending what it has accepted, even after this side closes.
         """
-        buffered = self.transport.get_write_buffer_size() if self.transport else 0
+        buffered = (
+            self.asyncio_transport.get_write_buffer_size()
+            if self.asyncio_transport
+            else 0
+        )
         try:
             return buffered and buffered + kernel_unsent_bytes(self._socket)
         except OSError:
@@ -258,24 +266,24 @@
 
     @property
     def _socket(self) -> socket.socket:
-        return self.transport.get_extra_info("socket")
+        return self.asyncio_transport.get_extra_info("socket")
 
     # Called by the machine
 
     def send(self, *parts: bytes) -> None:
         """Send bytes, or buffer them until the peer reads."""
         if self.open and not self.finished:
-            self.transport.writelines(parts)
+            self.asyncio_transport.writelines(parts)
 
-    def hold(self, on: bool) -> None:
+    def set_paused(self, on: bool) -> None:
         """Pause or resume reading."""
-        if self.open and not self.transport.is_closing():
+        if self.open and not self.asyncio_transport.is_closing():
             if on:
-                self.transport.pause_reading()
+                self.asyncio_transport.pause_reading()
             else:
-                self.transport.resume_reading()
+                self.asyncio_transport.resume_reading()
 
-    def copy(self) -> int:
+    def duplicate(self) -> int:
         """Return a duplicate descriptor, to be passed to another process.
 
         If the connection was quiet, this side can then be aborted without the peer
@@ -285,22 +293,22 @@
             OSError: the descriptor can't be duplicated.
         """
         descriptor = os.dup(self._socket.fileno())
-        self.carrier.sockets += 1
+        self.transport.sockets += 1
         return descriptor
 
-    def finish(self) -> None:
+    def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
-        if not self.open or self.finished or self.transport.is_closing():
+        if not self.open or self.finished or self.asyncio_transport.is_closing():
             return
         self.finished = True
         if self.ended:
-            self.transport.close()
+            self.asyncio_transport.close()
             return
         try:
-            self.transport.write_eof()
+            self.asyncio_transport.write_eof()
         except OSError:
             # The peer has reset the connection, and the loop has not noticed yet.
-            self.transport.abort()
+            self.asyncio_transport.abort()
 
     def close_gracefully(self) -> None:
         """Close gracefully; the machine gets no further events.
@@ -312,13 +320,13 @@
         if not self.open:
             self.abort()
             return
-        self.hold(False)
-        self.finish()
+        self.set_paused(False)
+        self.send_eof()
         self.is_closing = True
-        if self.carrier.free < self.carrier.limits.reserved_sockets:
-            self.transport.close()
+        if self.transport.free < self.transport.limits.reserved_sockets:
+            self.asyncio_transport.close()
             return
-        self.carrier.closing_connections[self] = None
+        self.transport.closing_connections[self] = None
         self._linger(math.inf)
 
     def _linger(self, unsent_before: float) -> None:
@@ -328,25 +336,25 @@
         """
         unsent = self.unsent_bytes
         if unsent_before is math.inf or 0 < unsent < unsent_before:
-            self.carrier.loop.call_later(
-                self.carrier.limits.linger_ms / 1000, self._linger, unsent
+            self.transport.loop.call_later(
+                self.transport.limits.linger_ms / 1000, self._linger, unsent
             )
         else:
-            self.transport.abort()
+            self.asyncio_transport.abort()
 
     def abort(self, reset: bool = False) -> None:
         """Close immediately and discard unsent bytes; `reset` forces a TCP reset."""
         if self.over:
             return
         self.over = True
-        if self.transport is None:
+        if self.asyncio_transport is None:
             if self._task:
                 self._task.cancel()
             self._set_counted(False)
             return
         if reset:
             reset_on_close(self._socket)
-        self.transport.abort()
+        self.asyncio_transport.abort()
         # asyncio closes the socket in the next loop iteration, which is before anything
         # started from now on needs a descriptor.
         self._set_counted(False)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -220,7 +220,9 @@
             or self.listening_socket
             and self.listening_socket.waiting
             or any(
-                self.handed_over or not client.ping_count or client.wire.unread
+                self.handed_over
+                or not client.ping_count
+                or client.wire.has_unread_bytes
                 for client in self.silent_clients
             )
         )
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -72,7 +72,7 @@
         """
         client = self.client.wire
         return not self.is_over and (
-            self.owner.has_unread_list or client.open and client.unread
+            self.owner.has_unread_list or client.open and client.has_unread_bytes
         )
 
     def connected(self):
@@ -205,14 +205,14 @@
         if not on:
             self.on_request_written()
         if self.is_up:
-            self.client.wire.hold(on)
+            self.client.wire.set_paused(on)
 
     def ended(self):
         """Pass the server's end of stream on, or end the attempt."""
         if not self.is_up:
             return self.give_up(self.outcome_before_up)
         self.report_end(self.outcome)
-        self.client.wire.finish()
+        self.client.wire.send_eof()
         self.set_timer(self.limits.linger_ms, self.close)
 
     @property
