--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -186,7 +186,7 @@
         self.transport = Transport(node.limits)
         self.transport.reaches = beside
         self.proxy = Proxy(node, self.transport, Clock(), self.note)
-        self.proxy.door = types.SimpleNamespace(
+        self.proxy.listening_socket = types.SimpleNamespace(
             set_paused=lambda on: None, close=lambda: None, waiting=False
         )
         UpgradeCoordinator(
@@ -212,7 +212,7 @@
 def fill_state(process):
     """The one place that names parts of the decisions: something unlike in every field that goes over."""
     proxy = process.proxy
-    proxy.listed(
+    proxy.on_endpoint_list(
         {
             "seq": 7,
             "whole": True,
@@ -283,7 +283,7 @@
             RecordedAttempt(69_900.25, servers["b"], False),
         ]
     )
-    proxy.ids.update({"id-over": None, "id ü": None})
+    proxy.session_ids.update({"id-over": None, "id ü": None})
     proxy.clock.time = 70_100.0
 
 
@@ -292,15 +292,15 @@
     proxy = process.proxy
     for key, values, server, asked, answered in SESSIONS:
         proxy.clock.time += 10.5
-        client = proxy.client(Connection())
+        client = proxy.create_client(Connection())
         client.connected()
         client.received(f"OPEN id-{key} {key} {values},at={server}\r\n".encode())
         proxy.clock.time += 1.25
-        client.dial.connected()
-        client.dial.received(b"UP r1\r\n")
+        client.attempt.connected()
+        client.attempt.received(b"UP r1\r\n")
         proxy.clock.time += 2.0
         if answered:
-            client.dial.received(answered)
+            client.attempt.received(answered)
         if asked:
             client.received(asked)
     assert len(proxy.clients) == len(SESSIONS)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -231,7 +231,7 @@
     )
     old, new, third = balanced(node), balanced(node), balanced(node)
     old.clock.from_wall = lambda wall: wall
-    old.listed(
+    old.on_endpoint_list(
         {
             "seq": 7,
             "hosts": [
@@ -257,7 +257,7 @@
         sess = Session(node.listeners[0], f"key {number}", 72_000.0)
         sess.accepted_ms = 70_000.0
         old.balancer.on_session_handed_over(70_000.0, sess, old.servers["a"])
-        old.ids[f"id {number}"] = sess
+        old.session_ids[f"id {number}"] = sess
     old.balancer.load_estimator.record_sample(70_000.0, old.servers["a"], [0.5])
     old.balancer.outlier_detector.record_attempt(70_000.0, old.servers["a"], False)
     table = old.balancer.slot_table
@@ -274,7 +274,7 @@
     assert took(new, parts) == parts
     assert (
         not new.balancer.endpoint_list.may_attempt(70_000.0, new.servers["d"], False)
-        and new.seen == 7
+        and new.list_version == 7
     )
     before = encoded_state(third)
     for at, part in enumerate(
@@ -311,7 +311,7 @@
     proxy = balanced(node)
     proxy.clock.from_wall = lambda wall: wall
     if servers:
-        proxy.listed(list_of(servers), UpdateKind.SNAPSHOT)
+        proxy.on_endpoint_list(list_of(servers), UpdateKind.SNAPSHOT)
     return proxy
 
 
@@ -370,9 +370,9 @@
 def test_the_ids_of_all_sessions_that_fit_go_over():
     """As many as the descriptors of one process allow, open ones and as many that are over."""
     old, new = (large(sockets=100_200) for _ in range(2))
-    old.ids.update({f"id {number}": None for number in range(100_000)})
+    old.session_ids.update({f"id {number}": None for number in range(100_000)})
     apply_state(new, state_messages(old))
-    assert list(new.ids) == list(old.ids)
+    assert list(new.session_ids) == list(old.session_ids)
 
 
 def test_thousands_of_servers_go_over_in_messages_that_are_taken():
@@ -416,19 +416,19 @@
     """Their drains are remembered against an agent that is behind, beside as many that are listed."""
     names = [[f"{release}-{number}" for number in range(8000)] for release in "ab"]
     proxy = large(names[0])
-    proxy.listed(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
-    assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.names)
-    proxy.listed(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
+    proxy.on_endpoint_list(list_of(names[1], seq=2), UpdateKind.SNAPSHOT)
+    assert len(proxy.servers) == 8000 and set(names[0]) <= set(proxy.known_names)
+    proxy.on_endpoint_list(list_of(names[0][:1], seq=1), UpdateKind.DELTA)
     assert names[0][0] not in {
         server.name for server in proxy.balancer.endpoint_list.servers
     }
     # No more of them than the limit, however many releases come.
     for seq in range(3, 6):
-        proxy.listed(
+        proxy.on_endpoint_list(
             list_of([f"{seq}-{number}" for number in range(8000)], seq=seq),
             UpdateKind.SNAPSHOT,
         )
-    assert len(proxy.names) == 8000 + proxy.limits.max_unlisted_names
+    assert len(proxy.known_names) == 8000 + proxy.limits.max_unlisted_names
 
 
 class Counted(dict):
@@ -446,7 +446,7 @@
     proxy.clients = Counted(
         {number: types.SimpleNamespace(quiet=number % 5 != 0) for number in range(1000)}
     )
-    proxy.hand_over = lambda sess, client: [sess, -sess]
+    proxy.hand_over_session = lambda sess, client: [sess, -sess]
     sent = []
     sender = HandoverSender(Hand("wire", []), proxy, None)
     sender.wire.transport = types.SimpleNamespace(sockets=0)
--- a/tests/test_rare_dials.py
+++ b/tests/test_rare_dials.py
@@ -332,7 +332,7 @@
         server.say("BUSY")
         second = turns.taken()
         turns.hears(second)
-        turns.proxy.no_socket(sess, stale)
+        turns.proxy.fail_without_descriptor(sess, stale)
         turns.for_ms(20)
         turns.lines.append(f"a third dial: {turns.dialled()}")
         second.say("UP r2")
@@ -353,7 +353,9 @@
             link = turns.taken()
             turns.hears(link)
             link.say("PONG x0=0.2")
-            turns.until(lambda: not turns.proxy.links[server].asked)
+            turns.until(
+                lambda: not turns.proxy.probe_connections[server].is_awaiting_answer
+            )
             server.probe_sent_ms = turns.proxy.now()
             turns.proxy.send_probe(server)
             getattr(link, ends)()
@@ -363,7 +365,7 @@
             again.say("PONG x0=0.3")
             turns.until(lambda: server.probe_sent_ms is None)
             turns.lines.append(f"answered: {server.load_samples[-1][1]}")
-            turns.proxy.links[server].end(None)
+            turns.proxy.probe_connections[server].end(None)
             again.finish()
         # One that never answered is another thing.
         turns.proxy.send_probe(server)
@@ -399,7 +401,7 @@
         turns.watched("a", "b")
         held = [turns.open(f"k{number}") for number in range(5)]
         turns.until(lambda: len(turns.proxy.clients) == 5)
-        turns.lines.append(f"known: {sorted(turns.proxy.ids)}")
+        turns.lines.append(f"known: {sorted(turns.proxy.session_ids)}")
         thief = turns.open("k4", name="thief")
         turns.hears(thief)
         del held
@@ -460,7 +462,7 @@
         other = turns.taken("b" if name == "a" else "a")
         turns.lines.append(f"asked elsewhere: {turns.hears(other)}")
         turns.lines.append(
-            f"links: {len(turns.proxy.links)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
+            f"links: {len(turns.proxy.probe_connections)}, faults {[e for e, _ in turns.logged if e == LogEvent.INTERNAL_ERROR]}"
         )
         del client
         return turns.lines[-2:]
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -71,8 +71,8 @@
         node = self.node()
         self.carrier = Transport(self.loop, node.limits, self.note)
         self.proxy = Proxy(node, self.carrier, Clock(self.loop), self.note)
-        self.proxy.door = self.carrier.listen(
-            self.proxy.client, node.listen_address, self.proxy.room
+        self.proxy.listening_socket = self.carrier.listen(
+            self.proxy.create_client, node.listen_address, self.proxy.has_room
         )
         self.proxy.start()
 
@@ -87,8 +87,8 @@
         return self
 
     def __exit__(self, *_):
-        self.proxy.door.close()
-        self.proxy.leave_watch()
+        self.proxy.listening_socket.close()
+        self.proxy.close_watch()
         while tasks := asyncio.all_tasks(self.loop):
             for task in tasks:
                 task.cancel()
@@ -246,7 +246,7 @@
         server.sock.sendall(b"x" * 998 + b"\r\n")
         turns.turn()
     turns.for_ms(20)
-    assert not carried.wire.drained and carried.dial.between_lines
+    assert not carried.wire.drained and carried.attempt.between_lines
     return client
 
 
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -154,14 +154,14 @@
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
         record = decode_session(fields)
-        self._proxy.carry(
+        self._proxy.adopt_session(
             record.open_line,
             build_session(record, self._proxy.listeners),
             handles,
-            came=record.requested_at_ms,
-            asked=record.unanswered_since_ms,
-            server=record.server_name,
-            rest=record.partial_line,
+            connected_ms=record.requested_at_ms,
+            unanswered_since_ms=record.unanswered_since_ms,
+            server_name=record.server_name,
+            partial_line=record.partial_line,
         )
 
     # Operators' calls count for all processes of a proxy
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -92,14 +92,14 @@
         """Fill a proxy that has just been made; nothing here fails."""
         proxy.servers.update(self.servers)
         proxy.addresses.update(self.addresses)
-        proxy.ids.update(dict.fromkeys(self.session_ids))
-        proxy.names.update(dict.fromkeys(self.server_names))
+        proxy.session_ids.update(dict.fromkeys(self.session_ids))
+        proxy.known_names.update(dict.fromkeys(self.server_names))
         self._apply_endpoint_list(proxy)
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
         # Versions count at one address.
         if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
-            proxy.seen = self.decisions.list_version
+            proxy.list_version = self.decisions.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
         endpoint_list = proxy.balancer.endpoint_list
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -33,10 +33,10 @@
         slots=collect_slot_table(balancer.slot_table, indexes),
         moved_keys=_collect_key_routes(balancer.slot_table.moved_keys, indexes),
         exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
-        session_ids=list(proxy.ids),
-        server_names=list(proxy.names),
+        session_ids=list(proxy.session_ids),
+        server_names=list(proxy.known_names),
         decisions=collect_decisions(
-            balancer, indexes, proxy.seen, proxy.node.discovery_address
+            balancer, indexes, proxy.list_version, proxy.node.discovery_address
         ),
     )
 
@@ -129,9 +129,9 @@
 
 def collect_session(client: Client) -> SessionRecord:
     """Return the record of a client's session, which must be up and quiet."""
-    session, attempt = client.sess, client.dial
+    session, attempt = client.session, client.attempt
     return SessionRecord(
-        open_line=client.head.line,
+        open_line=client.open_request.line,
         listener_name=session.listener.name,
         key=session.key,
         tenant=session.tenant,
@@ -141,8 +141,8 @@
         is_returning=session.returning,
         is_repeat=session.is_client_retry,
         accepted_at_ms=session.accepted_ms,
-        requested_at_ms=client.came,
-        unanswered_since_ms=client.asked,
+        requested_at_ms=client.connected_ms,
+        unanswered_since_ms=client.unanswered_since_ms,
         server_name=attempt.server.name,
-        partial_line=attempt.rest,
+        partial_line=attempt.partial_line,
     )
--- a/wheathill/lab/scale/walks.py
+++ b/wheathill/lab/scale/walks.py
@@ -38,18 +38,18 @@
     """Open, as far as the ids and the sweep know."""
     sess = Session(listener, f"k{number}", 0.0)
     client = here.clients[sess] = Client(None, here, here.limits, here.clock)
-    client.sess = sess
-    here.ids[f"id{number}"] = sess
+    client.session = sess
+    here.session_ids[f"id{number}"] = sess
     return sess
 
 
 def ids(here, listener, count):
-    """Mean ms of `note_id` for each that comes."""
+    """Mean ms of `record_session_id` for each that comes."""
     begun, done = time.process_time(), 0
     while done < MOST and time.process_time() - begun < FOR:
         sess = Session(listener, "k", 0.0)
         here.clients[sess] = None
-        here.note_id(OpenRequest(b"OPEN new%d k c=any" % done), sess)
+        here.record_session_id(OpenRequest(b"OPEN new%d k c=any" % done), sess)
         done += 1
     return 1000 * (time.process_time() - begun) / done
 
--- a/wheathill/net/admin/interfaces.py
+++ b/wheathill/net/admin/interfaces.py
@@ -37,16 +37,16 @@
         clock: provides the time and timers.
         ready: whether it accepts sessions.
         handed_over: whether another process has taken over.
-        stopping: since when the proxy is shutting down, in ms; None if it is not.
-        names: names of all servers that the endpoint list has ever contained.
+        stopping_since_ms: when the shutdown began, in ms; None before it.
+        known_names: names of all servers that the endpoint list has ever contained.
     """
 
     limits: ProxyLimits
     clock: Any
     ready: bool
     handed_over: bool
-    stopping: float | None
-    names: Container[str]
+    stopping_since_ms: float | None
+    known_names: Container[str]
 
     def now(self) -> float:
         """Return the monotonic time in ms."""
