--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -33,8 +33,8 @@
         asyncio_transport: the asyncio transport, once the connection is established.
         is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
-        finished: whether this side has sent end of stream.
-        ended: whether the peer has sent end of stream.
+        has_sent_eof: whether this side has sent end of stream.
+        has_received_eof: whether the peer has sent end of stream.
         is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
@@ -51,8 +51,8 @@
         )
         self._task: asyncio.Task[None] | None = None
         self.is_write_blocked = False
-        self.finished = False
-        self.ended = False
+        self.has_sent_eof = False
+        self.has_received_eof = False
         self.is_closing = False
         self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
@@ -158,11 +158,11 @@
         """
         # asyncio reports the same end of stream again after reading was paused and
         # resumed.
-        if not self.ended and not self.is_closing:
-            self.ended = True
+        if not self.has_received_eof and not self.is_closing:
+            self.has_received_eof = True
             self.guard(self.machine.ended)
-        self.ended = True
-        return not self.finished
+        self.has_received_eof = True
+        return not self.has_sent_eof
 
     def pause_writing(self) -> None:
         """Notify the machine that bytes are waiting in the send buffer."""
@@ -232,8 +232,8 @@
         """Whether it is open in both directions and no byte is buffered here."""
         return (
             self.open
-            and not self.finished
-            and not self.ended
+            and not self.has_sent_eof
+            and not self.has_received_eof
             and not self.is_write_blocked
             and self.drained
         )
@@ -272,7 +272,7 @@
 
     def send(self, *parts: bytes) -> None:
         """Send bytes, or buffer them until the peer reads."""
-        if self.open and not self.finished:
+        if self.open and not self.has_sent_eof:
             self.asyncio_transport.writelines(parts)
 
     def set_paused(self, on: bool) -> None:
@@ -298,10 +298,10 @@
 
     def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
-        if not self.open or self.finished or self.asyncio_transport.is_closing():
+        if not self.open or self.has_sent_eof or self.asyncio_transport.is_closing():
             return
-        self.finished = True
-        if self.ended:
+        self.has_sent_eof = True
+        if self.has_received_eof:
             self.asyncio_transport.close()
             return
         try:
