--- a/wheathill/net/metrics.py
+++ b/wheathill/net/metrics.py
@@ -41,11 +41,11 @@
         """Count the result of a session, one of `RESULTS`."""
         self.results[listener.name][result] += 1
 
-    def for_log(self) -> dict[str, Any]:
+    def log_fields(self) -> dict[str, Any]:
         """Return all counters in the form that is logged."""
         return {**self.counts, "sessions": self.results}
 
-    def for_operators(self) -> dict[str, Any]:
+    def admin_fields(self) -> dict[str, Any]:
         """Return the counters that the admin endpoint shows."""
         return {
             "downstream_requests": self.results,
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -137,7 +137,7 @@
             self.log_event(
                 LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
-                since_start=self.metrics.for_log(),
+                since_start=self.metrics.log_fields(),
             )
             self.see_off(stopped, now + self.limits.shutdown_linger_ms)
         else:
@@ -182,7 +182,7 @@
             LogEvent.METRICS,
             **self.beliefs(),
             worst_delay=round(self.worst_delay, 1),
-            since_start=self.metrics.for_log(),
+            since_start=self.metrics.log_fields(),
         )
         self.worst_delay = 0.0
 
@@ -193,7 +193,7 @@
         ]
         left_out = self.left_out(self.now())
         return {
-            **self.metrics.for_operators(),
+            **self.metrics.admin_fields(),
             "pending": len(self.clients),
             "members": len(listed),
             "members_unavailable": sum(
