--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from wheathill.net.fault_isolation import FaultIsolation
-from wheathill.net.protocol_machine import NoMachine
+from wheathill.net.protocol_machine import NullMachine
 from wheathill.net.socket_options import (
     enable_keep_alive,
     is_readable,
@@ -28,7 +28,7 @@
 
     Attributes:
         transport: the transport that this connection belongs to.
-        machine: the protocol state machine that receives events; `NoMachine` once the
+        machine: the protocol state machine that receives events; `NullMachine` once the
             connection has closed.
         asyncio_transport: the asyncio transport, once the connection is established.
         is_write_blocked: whether bytes are waiting in the send buffer.
@@ -192,7 +192,7 @@
         The asyncio transport also stores a bound method of itself, which is deleted
         here.
         """
-        machine, self.machine = self.machine, NoMachine
+        machine, self.machine = self.machine, NullMachine
         machine.release()
         attributes = vars(self.asyncio_transport) if self.asyncio_transport else {}
         for name in [
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -12,7 +12,7 @@
     from wheathill.net.interfaces import Clock
 
 
-class NoTimer:
+class NullTimer:
     """Null object that replaces a machine's timer while none is set."""
 
     @staticmethod
@@ -33,7 +33,7 @@
         clock: provides the time and timers.
         lines: buffer of received bytes that were not consumed yet.
         wire: the connection, once there is one.
-        timer: the pending timer, or `NoTimer`.
+        timer: the pending timer, or `NullTimer`.
     """
 
     def __init__(self, owner: object, limits: ProxyLimits, clock: Clock) -> None:
@@ -42,7 +42,7 @@
         self.clock = clock
         self.lines = LineBuffer(limits.max_line_bytes)
         self.wire: Any = None
-        self.timer: Any = NoTimer
+        self.timer: Any = NullTimer
 
     def set_timer(
         self, delay_ms: float, call: Callable[..., object], *args: object
@@ -54,7 +54,7 @@
     def _on_timer(self, call: Callable[..., object], *args: object) -> None:
         # An expired timer still references its callback and thus this machine; drop it
         # to avoid a reference cycle.
-        self.timer = NoTimer
+        self.timer = NullTimer
         call(*args)
 
     @property
@@ -96,7 +96,7 @@
         """
 
 
-class NoMachine:
+class NullMachine:
     """Null object for the machine of a connection that has released its own."""
 
     @staticmethod
