--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -25,7 +25,7 @@
 from wheathill.net.client import Client
 from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
-from wheathill.net.garbage import keep_collections_short
+from wheathill.net.garbage import limit_gc_pauses
 from wheathill.net.server import Dialled, ProbeLink
 
 pytestmark = pytest.mark.processes
@@ -494,7 +494,7 @@
     """With so many open, which come one after another."""
     gc.collect()
     with Walked() as walked:
-        keep_collections_short()
+        limit_gc_pauses()
         proxy, loop = slots.proxy()
         listener = Listener("any")
         for number in range(count):
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -17,7 +17,7 @@
 from wheathill.config.node import NodeConfig
 from wheathill.log_events import LogEvent
 from wheathill.net.clock import Clock
-from wheathill.net.garbage import keep_collections_short
+from wheathill.net.garbage import limit_gc_pauses
 from wheathill.net.log import EventLog
 from wheathill.net.proxy import Proxy
 from wheathill.net.transport import Transport
@@ -44,7 +44,7 @@
     try:
         node = raise_descriptor_limit(read_config())
         log = EventLog(node.name, node.limits.max_queued_log_lines)
-        keep_collections_short()
+        limit_gc_pauses()
         serving = serve(node, log, read_config)
         # Drop this reference: an endpoint list may have thousands of entries, and the
         # proxy keeps what it needs of it.
--- a/wheathill/net/garbage.py
+++ b/wheathill/net/garbage.py
@@ -18,7 +18,7 @@
 FULL_GENERATION = 2
 
 
-def keep_collections_short() -> None:
+def limit_gc_pauses() -> None:
     """Exempt objects that survive a full collection from later ones in this process.
 
     Objects that are already allocated are exempted as well.
