--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -88,7 +88,7 @@
             message = "a fault in this program; its log says where"
             self._send_error(HttpError(500, message))
 
-    def make_room(self) -> None:
+    def evict(self) -> None:
         """Close the connection immediately, as another request needs its descriptor."""
         self.lost(False)
         self.wire.abort()
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -59,7 +59,7 @@
         for request, since in self._requests.items():
             if request.done or since < silent_since and not _has_unread(request.wire):
                 del self._requests[request]
-                request.make_room()
+                request.evict()
                 return True
         return False
 
