--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -46,9 +46,8 @@
     ) -> None:
         self.transport = transport
         self.machine = make_machine(self)
-        self.asyncio_transport: Any = (
-            None  # asyncio.Transport; Any avoids casts at each call
-        )
+        # An asyncio.Transport; `Any` avoids a None check at each use.
+        self.asyncio_transport: Any = None
         self._task: asyncio.Task[None] | None = None
         self.is_write_blocked = False
         self.has_sent_eof = False
@@ -64,12 +63,12 @@
 
     def start_connecting(self, address: tuple[str, int], source: str | None) -> None:
         """Start connecting; the descriptor is counted from now on."""
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         self._start(self._connect(address, source))
 
     def start_accepted(self, sock: socket.socket) -> asyncio.Task[None]:
         """Start on an accepted socket; the task ends once the machine was notified."""
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         return self._start(self._register(sock))
 
     def start_adopted(self, sock: socket.socket) -> None:
@@ -94,7 +93,7 @@
             await self.transport.loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
             sock.close()
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             if self._is_adopted:
                 self._report_lost(False)
 
@@ -107,10 +106,10 @@
             )
         except OSError as error:
             self.refused = isinstance(error, ConnectionRefusedError)
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             self._report_lost(False)
 
-    def _set_counted(self, on: bool) -> None:
+    def _set_holds_descriptor(self, on: bool) -> None:
         self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
@@ -119,7 +118,7 @@
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `asyncio_transport`
         """Notify the machine, unless it has aborted the connection attempt."""
         self.asyncio_transport = transport
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         if self.over:
             transport.abort()
             return
@@ -177,7 +176,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the machine, unless it has closed the connection, and release it."""
         self.transport.closing_connections.pop(self, None)
-        self._set_counted(False)
+        self._set_holds_descriptor(False)
         self._report_lost(error is not None)
         self._release_machine()
 
@@ -350,11 +349,11 @@
         if self.asyncio_transport is None:
             if self._task:
                 self._task.cancel()
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             return
         if reset:
             reset_on_close(self._socket)
         self.asyncio_transport.abort()
         # asyncio closes the socket in the next loop iteration, which is before anything
         # started from now on needs a descriptor.
-        self._set_counted(False)
+        self._set_holds_descriptor(False)
