--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -155,7 +155,7 @@
     if proxy.peers:
         server.add_route("GET", "/peers", proxy.peers.status.table)
     _listen(transport, "admin_addr", server.accept, address, server.make_room)
-    log(LogEvent.ADMIN_LISTENING, at=_address_text(address))
+    log(LogEvent.ADMIN_LISTENING, at=_format_address(address))
 
 
 def _listen_for_clients(proxy: Proxy, transport: Transport, log: WriteLog) -> None:
@@ -164,7 +164,7 @@
     proxy.door = _listen(
         transport, "listen", proxy.client, address, proxy.room, inherited
     )
-    log(LogEvent.LISTENING, at=_address_text(address), inherited=inherited is not None)
+    log(LogEvent.LISTENING, at=_format_address(address), inherited=inherited is not None)
 
 
 def _listen(
@@ -182,7 +182,7 @@
         raise ConfigurationError(f"{key}: {error}") from None
 
 
-def _address_text(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return ":".join(map(str, address))
 
 
