--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -164,7 +164,9 @@
     proxy.door = _listen(
         transport, "listen", proxy.client, address, proxy.room, inherited
     )
-    log(LogEvent.LISTENING, at=_format_address(address), inherited=inherited is not None)
+    log(
+        LogEvent.LISTENING, at=_format_address(address), inherited=inherited is not None
+    )
 
 
 def _listen(
