--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -10,7 +10,7 @@
 from wheathill.net.discovery import Watch
 from wheathill.net.load_report import parse_load_report
 from wheathill.net.open_request import OpenRequest
-from wheathill.net.server import Dialled
+from wheathill.net.server import ServerAttempt
 from wheathill.net.transport import Transport
 
 
@@ -19,7 +19,7 @@
 
     open = is_write_blocked = False
     drained = True
-    ready = list_unread = False
+    ready = has_unread_list = False
     has_unread_bytes = False
 
     def __init__(self, name="", lines=None):
@@ -65,7 +65,7 @@
     )
     client.connected()
     client.received(b"OPEN id k d=9,c=any\r\n")
-    dial = client.dial = Dialled(
+    dial = client.attempt = ServerAttempt(
         client, Server("a"), Hand("door", lines), LIMITS, Hand("clock", lines)
     )
     dial.start(Hand("server", lines), 1000.0, 100.0)
@@ -91,11 +91,13 @@
     dial.connected()
     for byte in b"UP r\r\nLOAD 0.5\r\nx\r\nBYE inflight=1\r\n":
         dial.received(bytes([byte]))
-        if dial.up and dial.between_lines:
+        if dial.is_up and dial.between_lines:
             lines.append("-- between lines")
     dial.ended()
     return [
-        line for line in lines if "client send " not in line and "heard" not in line
+        line
+        for line in lines
+        if "client send " not in line and "on_server_data" not in line
     ]
 
 
@@ -103,20 +105,20 @@
     client, dial, lines = dialled()
     dial.connected()
     dial.received(b"UP r\r\nhal")
-    lines.append(f"moves at once: {client.move()}")
+    lines.append(f"moves at once: {client.migrate()}")
     dial.received(b"f\r\n")
-    lines.append(f"moves then: {client.move()}")
+    lines.append(f"moves then: {client.migrate()}")
     return lines
 
 
 def half_a_line_asks_nothing():
     client, dial, lines = dialled()
     dial.connected()
-    client.serve(dial, b"UP r\r\n")
+    client.forward_up(dial, b"UP r\r\n")
     client.received(b"half ")
-    lines.append(f"asked: {client.asked}")
+    lines.append(f"asked: {client.unanswered_since_ms}")
     client.received(b"a line\r\nand half")
-    lines.append(f"asked: {client.asked}")
+    lines.append(f"asked: {client.unanswered_since_ms}")
     return lines
 
 
@@ -124,7 +126,7 @@
     client, dial, lines = dialled()
     dial.connected()
     dial.received(b"UP r\r\n")
-    client.serve(dial, b"UP r\r\n")
+    client.forward_up(dial, b"UP r\r\n")
     for machine in (client, dial):
         machine.blocked(True)
         machine.blocked(False)
@@ -191,7 +193,7 @@
     client.connected()
     for _ in range(25):
         client.received(b"PING\r\n")
-        if "door bad_client" in lines[-1]:
+        if "door on_client_error" in lines[-1]:
             return [
                 f"{lines[-1]} after {sum('client send' in line for line in lines)} answers"
             ]
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -161,8 +161,8 @@
 def _listen_for_clients(proxy: Proxy, transport: Transport, log: WriteLog) -> None:
     node = proxy.node
     address, inherited = node.listen_address, node.listen_fd
-    proxy.door = _listen(
-        transport, "listen", proxy.client, address, proxy.room, inherited
+    proxy.listening_socket = _listen(
+        transport, "listen", proxy.create_client, address, proxy.has_room, inherited
     )
     log(
         LogEvent.LISTENING, at=_format_address(address), inherited=inherited is not None
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -41,8 +41,8 @@
         # Budgets that were given away, to be taken back if the handover is undone.
         self._slow_start_since_ms: float | None = None
         self._free_retries: float | None = None
-        proxy.upgrade = self
-        proxy.door.set_paused(True)
+        proxy.handover_coordinator = self
+        proxy.listening_socket.set_paused(True)
 
     # The new process
 
@@ -98,8 +98,8 @@
     def _serve(self, with_state: bool) -> None:
         self._await_successor()
         self._proxy.start(with_state)
-        if self._proxy.stopping is None:
-            self._proxy.door.set_paused(False)
+        if self._proxy.stopping_since_ms is None:
+            self._proxy.listening_socket.set_paused(False)
             self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
     def _await_successor(self) -> None:
@@ -124,7 +124,7 @@
     def on_state_requested(self, sender: HandoverSender) -> None:
         """Let nobody in any more."""
         self._sender = sender
-        self._proxy.door.set_paused(True)
+        self._proxy.listening_socket.set_paused(True)
 
     def on_state_sent(self) -> None:
         """Give away what may go to warming servers, and what retries are left.
@@ -160,8 +160,8 @@
         self._proxy.handed_over = False
         self._take_budgets_back()
         self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
-        if self._proxy.stopping is None:
-            self._proxy.door.set_paused(False)
+        if self._proxy.stopping_since_ms is None:
+            self._proxy.listening_socket.set_paused(False)
             if self._server_socket is None:
                 self._await_successor()
 
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -71,16 +71,16 @@
         proxy = self._proxy
         if proxy.ready and not proxy.handed_over:
             return {"status": "ready"}
-        if proxy.stopping is not None:
+        if proxy.stopping_since_ms is not None:
             raise HttpError(503, "stopping")
         if proxy.handed_over:
             raise HttpError(503, "handed over to another process")
         raise HttpError(503, "starting")
 
     def _set_maintenance(self, out: bool, name: str) -> dict[str, Any]:
-        if not self._proxy.names:
+        if not self._proxy.known_names:
             raise HttpError(503, "starting")
-        if name not in self._proxy.names:
+        if name not in self._proxy.known_names:
             raise HttpError(404, f"{name!r} was never listed here")
         try:
             is_persistent = self._proxy.set_maintenance(name, out)
