--- a/tests/golden_proxy.py
+++ b/tests/golden_proxy.py
@@ -71,7 +71,7 @@
     """The far end of one connection; keeps what it receives. The program's calls have the names of its machines."""
 
     def __init__(self, scene: "Scene", name: str) -> None:
-        self.scene, self.name, self.wire = scene, name, None
+        self.scene, self.name, self.connection = scene, name, None
 
     def connected(self) -> None:
         """The connection is up."""
@@ -105,15 +105,15 @@
     def send(self, data: bytes | str) -> None:
         """Sends bytes to the proxy."""
         data = data.encode("latin-1") if isinstance(data, str) else data
-        self.wire.send(data)
+        self.connection.send(data)
 
     def finish(self) -> None:
         """Ends sending."""
-        self.wire.send_eof()
+        self.connection.send_eof()
 
     def reset(self) -> None:
         """Breaks the connection."""
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
 
 
 # What stands around the proxy
@@ -202,7 +202,7 @@
 
         def accept(wire: Any) -> End:
             end = self.new_end(name)
-            end.wire = wire
+            end.connection = wire
             ends.append(end)
             self.note(end.name, "is", "connected")
             return end
@@ -212,7 +212,7 @@
     def connect(self, name: str, address: tuple[str, int]) -> End:
         """Returns the end of a new connection to the proxy."""
         end = self.new_end(name)
-        end.wire = self.clients.carrier.connect(end, address)
+        end.connection = self.clients.carrier.connect(end, address)
         return end
 
     def client(self, data: str = "", then_ms: float = 20.0) -> End:
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -151,11 +151,11 @@
         self.make_receiver = self.make_sender = None
 
     def connect(self, machine, address, source=None):
-        machine.wire = Connection()
-        return machine.wire
+        machine.connection = Connection()
+        return machine.connection
 
     def adopt(self, handle, machine):
-        machine.wire = Connection()
+        machine.connection = Connection()
         self.adopted += 1
 
     def close_handles(self, handles):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -342,7 +342,7 @@
         AdminServer, "make_room", lambda server: True
     )  # nobody makes room
     monkeypatch.setattr(
-        AdminRequest, "connected", lambda call: call.wire.set_paused(True)
+        AdminRequest, "connected", lambda call: call.connection.set_paused(True)
     )
     calls = play(scripts.read("experiments/callers.toml")).breaches
     assert any("an operator's call" in breach.what for breach in calls)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -76,7 +76,7 @@
 def last_byte():
     for before_the_end in ("nothing more", "the last byte leaves"):
         _, dial, lines = dialled()
-        dial.wire.drained = False
+        dial.connection.drained = False
         dial.connected()
         dial.blocked(True)
         if before_the_end == "the last byte leaves":
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -449,7 +449,7 @@
     proxy.hand_over_session = lambda sess, client: [sess, -sess]
     sent = []
     sender = HandoverSender(Hand("wire", []), proxy, None)
-    sender.wire.transport = types.SimpleNamespace(sockets=0)
+    sender.connection.transport = types.SimpleNamespace(sockets=0)
     sender.send_message = lambda message, handles=(): sent.append(
         (handles, message.encode())
     )
--- a/tests/test_scale_fleet.py
+++ b/tests/test_scale_fleet.py
@@ -568,7 +568,7 @@
 
     def lost(self, reset):
         if not self.over.done():
-            self.over.set_result(self.wire.refused)
+            self.over.set_result(self.connection.refused)
 
 
 class Two:
@@ -603,7 +603,9 @@
 
 
 def connect(two, machine):
-    machine.wire = two.one.connect(machine, two.layout.where(1), two.layout.host(0))
+    machine.connection = two.one.connect(
+        machine, two.layout.where(1), two.layout.host(0)
+    )
 
 
 @pytest.mark.processes
@@ -615,19 +617,19 @@
         assert two.loop.time() - start > 0.08
 
         def met(wire):
-            far.wire = wire
+            far.connection = wire
             return far
 
         door = two.other.listen(met, two.layout.where(1), lambda: True)
         start = two.loop.time()
         connect(two, other)
         assert await other.up - start > 0.08
-        other.wire.send(b"a", b"b")
-        other.wire.send(b"c")
+        other.connection.send(b"a", b"b")
+        other.connection.send(b"c")
         while b"".join(data for _, data in far.came) != b"abc":
             await asyncio.sleep(0.01)
         assert far.came[0][0] - start > 0.12
-        other.wire.abort()
+        other.connection.abort()
         assert await far.over is False
         door.close()
 
@@ -695,7 +697,7 @@
         one, far = two.ends[0], two.ends[1]
 
         def met(wire):
-            far.wire = wire
+            far.connection = wire
             return far
 
         door = two.other.listen(met, two.layout.where(1), lambda: True)
@@ -703,15 +705,15 @@
         await one.up
         two.shape.set_cut(1)
         for part in (b"1", b"2", b"3"):
-            one.wire.send(part)
+            one.connection.send(part)
         await asyncio.sleep(0.3)
         assert not far.came
         two.shape.set_cut(None)
-        one.wire.send(b"4")
+        one.connection.send(b"4")
         while len(b"".join(data for _, data in far.came)) < 4:
             await asyncio.sleep(0.01)
         assert b"".join(data for _, data in far.came) == b"1234"
-        one.wire.abort()
+        one.connection.abort()
         door.close()
 
     between(test)
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -32,7 +32,7 @@
     """In the place of a client that is up."""
 
     def __init__(self, sess):
-        self.session, self.unanswered_since_ms, self.is_migrating, self.wire = (
+        self.session, self.unanswered_since_ms, self.is_migrating, self.connection = (
             sess,
             None,
             False,
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -72,14 +72,14 @@
         if accept:
             self.listen()
         self.near = Writes("near", self.lines, self.clock)
-        self.near.wire = self.one.carrier.connect(self.near, self.other.where)
+        self.near.connection = self.one.carrier.connect(self.near, self.other.where)
 
     def listen(self):
         self.other.carrier.listen(self.take, self.other.where, lambda: True)
 
     def take(self, wire):
         far = Writes("far", self.lines, self.clock)
-        far.wire = wire
+        far.connection = wire
         self.taken.append(far)
         return far
 
@@ -94,26 +94,26 @@
 
 def both_ends():
     pair = Pair().run(10)
-    pair.near.wire.send(b"hello", b" there")
+    pair.near.connection.send(b"hello", b" there")
     pair.run(5)
-    pair.near.wire.send_eof()
+    pair.near.connection.send_eof()
     pair.run(5)
-    pair.far.wire.send(b"after your end")
-    pair.far.wire.send_eof()
+    pair.far.connection.send(b"after your end")
+    pair.far.connection.send_eof()
     pair.run(5)
     return pair.lines
 
 
 def held_reader_blocks_its_writer():
     pair = Pair().run(10)
-    pair.far.wire.set_paused(True)
+    pair.far.connection.set_paused(True)
     for _ in range(5):
-        pair.near.wire.send(b"x" * 100_000)
+        pair.near.connection.send(b"x" * 100_000)
     pair.run(20)
-    pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
-    pair.far.wire.set_paused(False)
+    pair.lines.append(f"drained {pair.near.connection.drained}, read {pair.far.got}")
+    pair.far.connection.set_paused(False)
     pair.run(20)
-    pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
+    pair.lines.append(f"drained {pair.near.connection.drained}, read {pair.far.got}")
     return pair.lines
 
 
@@ -126,7 +126,7 @@
     pair.other.kill()
     pair.run(5)
     again = Writes("again", pair.lines, pair.clock)
-    again.wire = pair.one.carrier.connect(again, pair.other.where)
+    again.connection = pair.one.carrier.connect(again, pair.other.where)
     pair.run(5)
     return pair.lines
 
@@ -134,9 +134,9 @@
 def machine_vanishes_and_is_back_anew():
     pair = Pair().run(10)
     pair.other.vanish()
-    pair.near.wire.send(b"anyone?")
+    pair.near.connection.send(b"anyone?")
     late = Writes("late", pair.lines, pair.clock)
-    late.wire = pair.one.carrier.connect(late, pair.other.where)
+    late.connection = pair.one.carrier.connect(late, pair.other.where)
     pair.run(500)
     pair.lines.append("-- back, and old connections look open")
     pair.other.come_back(True)
@@ -148,9 +148,9 @@
 def paused_process_still_accepts():
     pair = Pair().run(10)
     pair.other.pause()
-    pair.near.wire.send(b"one")
+    pair.near.connection.send(b"one")
     pair.run(50)
-    pair.near.wire.send(b"two")
+    pair.near.connection.send(b"two")
     pair.run(50)
     pair.lines.append("-- it goes on")
     pair.other.resume()
@@ -161,9 +161,9 @@
 def one_way_cut():
     pair = Pair().run(10)
     pair.world.cut("other", "one", False)
-    pair.near.wire.send(b"there")
+    pair.near.connection.send(b"there")
     pair.run(5)
-    pair.far.wire.send(b"and back")
+    pair.far.connection.send(b"and back")
     pair.run(50)
     pair.lines.append("-- mended")
     pair.world.mend("other", "one")
@@ -173,11 +173,11 @@
 
 def parted_with_bytes_on_the_way():
     pair = Pair().run(10)
-    pair.far.wire.send(b"the last answer")
-    pair.far.wire.close_gracefully()
-    pair.near.wire.send(b"still talking")
+    pair.far.connection.send(b"the last answer")
+    pair.far.connection.close_gracefully()
+    pair.near.connection.send(b"still talking")
     pair.run(5)
-    pair.near.wire.send_eof()
+    pair.near.connection.send_eof()
     pair.run(2000)
     pair.lines.append(
         f"sockets {pair.one.carrier.sockets} and {pair.other.carrier.sockets}"
@@ -194,9 +194,9 @@
     pair.world.net.random = lambda: 0.0 if next(lost, False) else 0.9
     pair.world.worse("one", "other", 0.0, 0.5)
     began, again = pair.clock.now(), Writes("again", [], pair.clock)
-    again.wire = pair.one.carrier.connect(again, pair.other.where)
+    again.connection = pair.one.carrier.connect(again, pair.other.where)
     pair.run(1100)
-    pair.far.wire.send(b"a line")
+    pair.far.connection.send(b"a line")
     pair.run(300)
     times = [float(line.split()[0]) - began for line in again.story]
     assert [line.split(maxsplit=1)[1] for line in again.story] == [
@@ -260,7 +260,7 @@
 def test_a_fault_of_a_stand_in_ends_the_run():
     pair = Pair().run(10)
     pair.far.received = None
-    pair.near.wire.send(b"x")
+    pair.near.connection.send(b"x")
     with pytest.raises(AssertionError):
         pair.run(5)
     with pytest.raises(AssertionError):
--- a/tests/turns.py
+++ b/tests/turns.py
@@ -242,11 +242,11 @@
     server.say("UP r1")
     turns.hears(client)
     (carried,) = turns.proxy.clients.values()
-    while not carried.wire.is_write_blocked:
+    while not carried.connection.is_write_blocked:
         server.sock.sendall(b"x" * 998 + b"\r\n")
         turns.turn()
     turns.for_ms(20)
-    assert not carried.wire.drained and carried.attempt.between_lines
+    assert not carried.connection.drained and carried.attempt.between_lines
     return client
 
 
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -57,7 +57,7 @@
         self, connection: Connection, proxy: Proxy, coordinator: Coordinator
     ) -> None:
         super().__init__(coordinator, proxy.limits, proxy.clock)
-        self.wire = connection
+        self.connection = connection
         self.is_over = False
         self._proxy = proxy
         self._coordinator = coordinator
@@ -118,7 +118,7 @@
 
     def send_object(self, fields: dict, handles: Sequence[Handle] = ()) -> None:
         """Send one JSON object, with descriptors."""
-        self.wire.send(
+        self.connection.send(
             orjson.dumps(fields, default=tuple, option=orjson.OPT_APPEND_NEWLINE),
             handles,
         )
@@ -132,8 +132,8 @@
         if not self.is_over:
             self.is_over = True
             self.timer.cancel()
-            self.wire.close()
-            self.wire.transport.close_handles(self._received_handles)
+            self.connection.close()
+            self.connection.transport.close_handles(self._received_handles)
             self._received_handles = []
             self.on_over(reason)
 
@@ -149,7 +149,7 @@
             try:
                 self._adopt_session(fields, pair)
             except ValueError as error:
-                self.wire.transport.close_handles(pair)
+                self.connection.transport.close_handles(pair)
                 self._coordinator.log_event(LogEvent.HANDOVER_ERROR, what=str(error))
 
     def _adopt_session(self, fields: dict, handles: Sequence[Handle]) -> None:
--- a/wheathill/handover/receiver.py
+++ b/wheathill/handover/receiver.py
@@ -69,9 +69,9 @@
             case messages.SESSIONS:
                 self._on_sessions(value)
             case messages.DESCRIPTORS_HELD:
-                self.wire.transport.previous_process_sockets = DescriptorsHeld.decode(
-                    value
-                ).count
+                self.connection.transport.previous_process_sockets = (
+                    DescriptorsHeld.decode(value).count
+                )
             case messages.MAINTENANCE:
                 self.apply_maintenance(value)
             case _:
@@ -100,5 +100,5 @@
 
     def on_over(self, reason: str) -> None:
         """Take back what the old process held of the descriptors."""
-        self.wire.transport.previous_process_sockets = 0
+        self.connection.transport.previous_process_sockets = 0
         self._coordinator.on_receiver_over(self, reason)
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -144,7 +144,7 @@
         self.set_timer(self.limits.handover_batch_interval_ms, self.send_sessions)
 
     def _send_descriptors_held(self) -> None:
-        held = self.wire.transport.sockets + self.limits.own_sockets
+        held = self.connection.transport.sockets + self.limits.own_sockets
         if held != self._last_descriptors_held:
             self._last_descriptors_held = held
             self.send_message(DescriptorsHeld(held))
@@ -174,7 +174,7 @@
     def _on_sessions_received(self, value: object) -> None:
         if not SessionsReceived(len(self._batch)).matches(value):
             raise HandoverError("not what was sent")
-        self.wire.transport.close_handles(self._batch_handles)
+        self.connection.transport.close_handles(self._batch_handles)
         self._batch, self._batch_handles = [], []
         self.send_sessions()
 
--- a/wheathill/lab/cast/callers.py
+++ b/wheathill/lab/cast/callers.py
@@ -18,13 +18,13 @@
 
     def connected(self):
         if self.text:
-            self.wire.send(self.text)
+            self.connection.send(self.text)
 
     def received(self, data):
         self.answer += bytes(data)
 
     def ended(self):
-        self.wire.close_gracefully()
+        self.connection.close_gracefully()
         self.over()
 
     def lost(self, reset):
@@ -34,7 +34,7 @@
         self.over()
 
     def leave(self):
-        self.wire.abort()
+        self.connection.abort()
         self.over()
 
     def over(self):
@@ -56,7 +56,7 @@
 
     def connect(self, text, wait):
         caller = Caller(self, self.limits, self.host.clock, text)
-        caller.wire = self.host.carrier.connect(caller, self.where)
+        caller.connection = self.host.carrier.connect(caller, self.where)
         caller.set_timer(wait, caller.leave)
 
     def call(self):
--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -203,7 +203,7 @@
             mid=self.mid,
             effect=f"{self.person.name}/{self.person.intention}",
         )
-        self.wire.send(
+        self.connection.send(
             b"OPEN ",
             self.name.encode(),
             b" ",
@@ -230,8 +230,8 @@
             return self.person.over("gave up")
         self.record.note("left", sess=self.name, how="changed its mind")
         self.quit()
-        self.wire.send_eof()
-        self.set_timer(2000.0, self.wire.abort)
+        self.connection.send_eof()
+        self.set_timer(2000.0, self.connection.abort)
         self.person.over("gave up")
 
     def received(self, data):
@@ -281,7 +281,7 @@
 
     def say(self):
         self.asked = self.clock.now()
-        self.wire.send(b"SAY", CRLF)
+        self.connection.send(b"SAY", CRLF)
         self.set_timer(self.crowd.silence, self.unanswered)
 
     def unanswered(self):
@@ -294,8 +294,8 @@
         self.record.note("left", sess=self.name, how="lived")
         self.over = True
         self.timer.cancel()
-        self.wire.send_eof()
-        self.set_timer(2000.0, self.wire.abort)
+        self.connection.send_eof()
+        self.set_timer(2000.0, self.connection.abort)
         self.person.over("lived")
 
     def give_up(self):
@@ -306,7 +306,7 @@
         """Gone without a word."""
         self.record.note("left", sess=self.name, how=how)
         self.quit()
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
 
     def quit(self):
         self.over = True
@@ -319,8 +319,8 @@
     def end(self, how, come_back_after=None):
         self.quit()
         self.final = True
-        self.wire.send_eof()
-        self.set_timer(2000.0, self.wire.abort)
+        self.connection.send_eof()
+        self.set_timer(2000.0, self.connection.abort)
         self.person.over(how, come_back_after)
 
     def ended(self):
@@ -334,9 +334,9 @@
     def closed(self, how):
         if self.over:
             self.timer.cancel()
-            return self.wire.abort()
+            return self.connection.abort()
         self.quit()
-        self.wire.abort()
+        self.connection.abort()
         if self.opened is None:
             # Never came up: the front will notice; nothing was asked.
             self.record.counts["not reached"] += 1
--- a/wheathill/lab/cast/discovery.py
+++ b/wheathill/lab/cast/discovery.py
@@ -115,7 +115,7 @@
 
     def tear_off(self):
         for watch in list(self.watches):
-            watch.wire.abort(reset=True)
+            watch.connection.abort(reset=True)
             self.watches.pop(watch, None)
 
     def restart(self):
@@ -144,7 +144,7 @@
             if line.startswith(b"GET "):
                 self.asked = True
             elif not line and self.asked:
-                self.wire.send(
+                self.connection.send(
                     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\n"
                     b"Transfer-Encoding: chunked\r\n\r\n"
                 )
@@ -162,7 +162,7 @@
         )
 
     def write(self, body):
-        self.wire.send(b"%x" % len(body), CRLF, body, CRLF)
+        self.connection.send(b"%x" % len(body), CRLF, body, CRLF)
 
     def still_here(self):
         self.set_timer(self.agent.registry.silence, self.still_here)
@@ -176,7 +176,7 @@
 
     def ended(self):
         self.over()
-        self.wire.close_gracefully()
+        self.connection.close_gracefully()
 
     def lost(self, reset):
         self.over()
--- a/wheathill/lab/cast/front.py
+++ b/wheathill/lab/cast/front.py
@@ -79,7 +79,7 @@
         self.set_timer(500.0, self.over, False)
 
     def connected(self):
-        self.wire.send(b"PING", CRLF)
+        self.connection.send(b"PING", CRLF)
 
     def received(self, data):
         self.lines.feed(data)
@@ -91,7 +91,7 @@
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-            self.wire.abort()
+            self.connection.abort()
             self.front.answered(self.name, well)
 
     def ended(self):
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -204,7 +204,11 @@
         if self.over:
             return
         if self.first is None:
-            self.first = self.clock.now() if self.wire.came is None else self.wire.came
+            self.first = (
+                self.clock.now()
+                if self.connection.came is None
+                else self.connection.came
+            )
         self.lines.feed(data)
         try:
             while not self.over and (line := self.lines.next_line()) is not None:
@@ -226,8 +230,8 @@
             if line == b"STATS"
             else (b"PONG", CRLF)
         )
-        if not gateway.job(gateway.probe_ms, lambda: self.wire.send(*answer)):
-            self.wire.send(b"BUSY", CRLF)
+        if not gateway.job(gateway.probe_ms, lambda: self.connection.send(*answer)):
+            self.connection.send(b"BUSY", CRLF)
 
     def open(self, line):
         gateway = self.gateway
@@ -249,7 +253,7 @@
     def set_up(self):
         """Its turn: who has gone meanwhile is dropped unread."""
         if not self.over:
-            host, life = self.gateway.host, self.wire.life
+            host, life = self.gateway.host, self.connection.life
             self.gateway.store.call(lambda well: host.gate(life, self.stored, well))
 
     def stored(self, well):
@@ -280,7 +284,7 @@
                 "not held", server=self.gateway.name, sess=self.head.id
             )
             self.note_over("not held")
-            self.wire.abort(reset=True)
+            self.connection.abort(reset=True)
 
     def answer_up(self):
         gateway = self.gateway
@@ -292,10 +296,10 @@
         gateway.record.note(
             "up", server=gateway.name, sess=self.head.id, receipt=receipt
         )
-        self.wire.send(b"UP ", receipt.encode(), CRLF)
+        self.connection.send(b"UP ", receipt.encode(), CRLF)
         if gateway.tells_load:
             # In microseconds of core time a second, as the bench's servers tell it.
-            self.wire.send(
+            self.connection.send(
                 b"LOAD %d"
                 % round(load * 1e6 * gateway.cores * gateway.speed / gateway.holds),
                 CRLF,
@@ -307,18 +311,18 @@
 
     def echo(self):
         if self.up and not self.over:
-            self.wire.send(b"DONE", CRLF)
+            self.connection.send(b"DONE", CRLF)
 
     def end(self, word):
         self.note_over("answered " + word.decode())
-        self.wire.send(word, CRLF)
-        self.wire.close_gracefully()
+        self.connection.send(word, CRLF)
+        self.connection.close_gracefully()
 
     def leave(self, word):
         """An open connection that this gateway ends by itself."""
-        self.wire.send(word, CRLF)
+        self.connection.send(word, CRLF)
         self.note_over("sent away")
-        self.wire.close_gracefully()
+        self.connection.close_gracefully()
 
     def note_over(self, how):
         if not self.over:
@@ -342,7 +346,7 @@
     def ended(self):
         self.keep()
         self.note_over("closed")
-        self.wire.close_gracefully()
+        self.connection.close_gracefully()
 
     def lost(self, reset):
         self.keep()
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -11,7 +11,7 @@
 
 class AnswersTwice(Proxy):
     def reject(self, session, retry_after_ms):
-        self.clients[session].wire.send(b"ERR", CRLF)
+        self.clients[session].connection.send(b"ERR", CRLF)
         super().reject(session, retry_after_ms)
 
 
@@ -91,7 +91,7 @@
     """Moves clients without telling them."""
 
     def migrate_client(self, client):
-        client.wire.abort(reset=True)
+        client.connection.abort(reset=True)
         client.lost(True)
 
 
--- a/wheathill/lab/scale/ends.py
+++ b/wheathill/lab/scale/ends.py
@@ -62,7 +62,7 @@
                 if self.owner.holds:
                     self.owner.held.append((self, line))
                 else:
-                    self.wire.send(line, CRLF)
+                    self.connection.send(line, CRLF)
             elif line.startswith(b"OPEN "):
                 self.open = True
                 key = line.split(b" ")[2]
@@ -72,34 +72,34 @@
                 if self.way in UNANSWERED:
                     return self.end_it(self.way)
                 self.owner.served[self] = None
-                self.wire.send(b"UP r", line.split(b" ")[1], CRLF)
+                self.connection.send(b"UP r", line.split(b" ")[1], CRLF)
             else:
-                self.wire.send(b"PONG util=0.3", CRLF)
+                self.connection.send(b"PONG util=0.3", CRLF)
 
     def end_it(self, way):
         if way == "by_bye":
-            self.wire.send(b"BYE", CRLF)
+            self.connection.send(b"BYE", CRLF)
         elif way == "by_busy":
-            self.wire.send(b"BUSY", CRLF)
+            self.connection.send(b"BUSY", CRLF)
         elif way == "by_err":
-            self.wire.send(b"ERR", CRLF)
+            self.connection.send(b"ERR", CRLF)
         if way == "by_server_reset":
             self.lost(True)
-            self.wire.abort(reset=True)
+            self.connection.abort(reset=True)
         elif way != "by_leaving":
             self.lost(False)
-            self.wire.close_gracefully()
+            self.connection.close_gracefully()
 
     def ended(self):
         self.lost(False)
-        self.wire.abort()
+        self.connection.abort()
 
     def lost(self, reset):
         self.owner.served.pop(self, None)
 
     def fault(self):
         self.lost(True)
-        self.wire.abort()
+        self.connection.abort()
 
 
 class Caller(ProtocolMachine):
@@ -114,14 +114,14 @@
 
     def come(self):
         self.lines.unconsumed, self.up = b"", False
-        self.wire = self.owner.carrier.connect(self, self.owner.proxy)
+        self.connection = self.owner.carrier.connect(self, self.owner.proxy)
 
     def connected(self):
         self.tries += 1
         group = (
             b",g=t%d" % (self.number % self.owner.groups) if self.owner.groups else b""
         )
-        self.wire.send(
+        self.connection.send(
             b"OPEN %s-%d-%d k%s-%d c=any,d=%d%s"
             % (
                 self.owner.name,
@@ -155,7 +155,7 @@
 
     def again(self, wait):
         """After that many ms at the place that holds then."""
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
         self.leave(wait)
 
     def leave(self, wait):
@@ -166,7 +166,7 @@
 
     def ended(self):
         self.lost(False)
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
 
     def lost(self, reset):
         self.owner.counts["lost" if self.up else "not up"] += 1
@@ -176,7 +176,7 @@
 
     def fault(self):
         self.lost(True)
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
 
 
 class Passer(ProtocolMachine):
@@ -189,10 +189,10 @@
 
     def connected(self):
         if self.way == "by_looking":
-            return self.wire.send(b"PING", CRLF)
+            return self.connection.send(b"PING", CRLF)
         if self.way == "by_nonsense":
-            return self.wire.send(b"WHAT", CRLF)
-        self.wire.send(
+            return self.connection.send(b"WHAT", CRLF)
+        self.connection.send(
             b"OPEN %s-%d %s-%d c=any,d=2000"
             % (self.owner.name, self.number, self.way.encode(), self.number),
             CRLF,
@@ -208,16 +208,16 @@
                 self.owner.counts["up"] += 1
                 if self.way == "by_client_reset":
                     return self.leave()
-                self.wire.send(b"a line", CRLF)
+                self.connection.send(b"a line", CRLF)
             elif self.way in ("by_finishing", "by_looking"):
-                return self.wire.send_eof()
+                return self.connection.send_eof()
 
     def leave(self):
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
         self.owner.passed()
 
     def ended(self):
-        self.wire.abort()
+        self.connection.abort()
         self.owner.passed()
 
     def lost(self, reset):
@@ -225,7 +225,7 @@
         self.owner.passed()
 
     def fault(self):
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
 
 
 class Ends:
@@ -280,7 +280,7 @@
 
     def served_at(self, wire):
         machine = Served(self, LIMITS, self.clock)
-        machine.wire = wire
+        machine.connection = wire
         return machine
 
     def do_hold(self, on, half=0):
@@ -290,12 +290,12 @@
             self.wire_half(machine, on, half)
         held, self.held = ([], self.held) if on else (self.held, [])
         for machine, line in held:
-            machine.wire.send(line, CRLF)
+            machine.connection.send(line, CRLF)
         return {}
 
     @staticmethod
     def wire_half(machine, on, half):
-        machine.wire.send(b"x" * half if on else CRLF)
+        machine.connection.send(b"x" * half if on else CRLF)
 
     def do_deliver(self, rate, seconds, seed):
         """Lines at `rate` a second to clients drawn at random; answers when the last is written."""
@@ -333,7 +333,7 @@
                 if written >= count or due > now:
                     break
                 machine = next(to)
-                machine.wire.send(line(due), CRLF)
+                machine.connection.send(line(due), CRLF)
                 written += 1
             if written >= count:
                 self.say(
@@ -375,7 +375,7 @@
 
     def begin_passing(self, number):
         passer = Passer(self, number, WAYS[number % len(WAYS)])
-        passer.wire = self.carrier.connect(passer, self.proxy)
+        passer.connection = self.carrier.connect(passer, self.proxy)
 
     def passed(self):
         self.left -= 1
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -152,7 +152,7 @@
         self.transport, self.shape, self.machine = carrier, carrier.shape, machine
         self.address, self.source = address, source
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
-        self.wire = None
+        self.connection = None
         self.is_write_blocked = self.refused = self.over = False
         self.latest = {
             True: 0.0,
@@ -181,7 +181,9 @@
 
     def dial(self):
         if not self.over:
-            self.wire = self.transport.inner.connect(self, self.address, self.source)
+            self.connection = self.transport.inner.connect(
+                self, self.address, self.source
+            )
 
     # Ways
 
@@ -205,17 +207,17 @@
             self.carry(True, self.put, b"".join(parts))
 
     def put(self, data):
-        if self.wire.open and not self.wire.asyncio_transport.is_closing():
-            self.wire.send(data)
+        if self.connection.open and not self.connection.asyncio_transport.is_closing():
+            self.connection.send(data)
 
     def abort(self, reset=False):
         """What has been sent arrives before."""
         if not self.over:
             self.leave()
-            if self.wire is not None:
+            if self.connection is not None:
                 self.shape.at(
                     max(self.shape.clock.now(), self.latest[True]),
-                    self.wire.abort,
+                    self.connection.abort,
                     reset,
                 )
 
@@ -223,8 +225,8 @@
         """Its process is dead."""
         if not self.over:
             self.leave()
-            if self.wire is not None:
-                self.wire.abort()
+            if self.connection is not None:
+                self.connection.abort()
 
     def leave(self):
         self.over = True
@@ -259,7 +261,7 @@
 
     def end(self, reset):
         if not self.over:
-            self.refused = self.wire.refused
+            self.refused = self.connection.refused
             self.leave()
             self.guard(self.machine.lost, reset)
             self.machine.release()
--- a/wheathill/lab/scale/visits.py
+++ b/wheathill/lab/scale/visits.py
@@ -34,33 +34,33 @@
 
     def __init__(self, door, name, wire):
         super().__init__(door, LIMITS, door.clock)
-        self.name, self.wire = name, wire
+        self.name, self.connection = name, wire
         self.proxy = None  # number of the one whose session it is, once it is open
 
     def received(self, data):
         self.lines.feed(data)
         while (line := self.lines.next_line()) is not None:
             if self.proxy is not None:
-                self.wire.send(line, CRLF)
+                self.connection.send(line, CRLF)
             elif line.startswith(b"OPEN "):
                 session = line.split(b" ")[1]
                 self.proxy = int(session.partition(b"-")[0])
                 self.owner.opens.append((self.name, self.proxy, self.clock.now()))
                 self.owner.open_at[self] = None
-                self.wire.send(b"UP r", session, CRLF)
+                self.connection.send(b"UP r", session, CRLF)
             else:
-                self.wire.send(b"PONG util=0.3", CRLF)
+                self.connection.send(b"PONG util=0.3", CRLF)
 
     def ended(self):
         self.lost(False)
-        self.wire.abort()
+        self.connection.abort()
 
     def lost(self, reset):
         self.owner.open_at.pop(self, None)
 
     def fault(self):
         self.lost(True)
-        self.wire.abort()
+        self.connection.abort()
 
 
 class Visit(ProtocolMachine):
@@ -74,10 +74,10 @@
         self.began = self.clock.now()
         self.up = self.over = False
         self.said = self.heard = 0
-        self.wire = door.carrier.connect(self, door.proxies[proxy])
+        self.connection = door.carrier.connect(self, door.proxies[proxy])
 
     def connected(self):
-        self.wire.send(
+        self.connection.send(
             b"OPEN %d-%d k%d-%d c=all,d=%d"
             % (self.proxy, self.number, self.proxy, self.number, self.PATIENCE),
             CRLF,
@@ -108,7 +108,7 @@
     def say(self):
         if self.clock.now() >= self.ends:
             return self.end("ended")
-        self.wire.send(b"line %d" % self.said, CRLF)
+        self.connection.send(b"line %d" % self.said, CRLF)
         self.said += 1
         self.set_timer(self.EVERY, self.say)
 
@@ -117,7 +117,7 @@
             self.over = True
             self.timer.cancel()
             self.owner.over(self, how)
-            self.wire.abort()
+            self.connection.abort()
 
     def ended(self):
         self.lost(False)
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -258,14 +258,14 @@
         self.generation = self.sent = 0
 
     def begin(self):
-        self.wire = self.world.carrier.connect(self, self.world.peers[self.on][0])
+        self.connection = self.world.carrier.connect(self, self.world.peers[self.on][0])
 
     def received(self, data):
         try:
             self.authenticator.decode_frame(bytes(data))
         except FrameRejectedError as error:
             self.generation = error.sender_generation or 0
-        self.wire.abort()
+        self.connection.abort()
         self.say()
 
     def say(self):
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -88,7 +88,7 @@
 
     def adopt(self, wire, machine):
         rehome(wire, self)
-        wire.machine, machine.wire = machine, wire
+        wire.machine, machine.connection = machine, wire
         wire.copied, wire.over, wire.held, wire.holds_descriptor = (
             False,
             wire.gone,
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -37,7 +37,7 @@
 
     def dial(self, machine, address, peer=None):
         tap = self.tap(machine, None)
-        tap.wire = self.carrier.connect(tap, address)
+        tap.connection = self.carrier.connect(tap, address)
 
     def kill(self):
         """The system resets what the process held."""
@@ -70,7 +70,7 @@
 class VirtualTap(Tap):
     @property
     def came(self):
-        return self.wire.left
+        return self.connection.left
 
 
 class Door:
--- a/wheathill/lab/worlds/processes.py
+++ b/wheathill/lab/worlds/processes.py
@@ -182,12 +182,12 @@
         self.text = b""
 
     def take(self, wire):
-        self.wire = wire
+        self.connection = wire
         return self
 
     def connected(self):
         self.set_timer(3000.0, self.over)
-        self.wire.send(b"{}\n")
+        self.connection.send(b"{}\n")
 
     def received(self, data, handles=()):
         self.text += data
@@ -206,7 +206,7 @@
 
     def over(self):
         self.timer.cancel()
-        self.wire.close()
+        self.connection.close()
         if self.seat.asker is self:
             self.seat.asker = None
 
@@ -373,17 +373,17 @@
         self.world, self.seat, self.start = world, seat, start
 
     def begin(self):
-        self.wire = self.world.carrier.connect(
+        self.connection = self.world.carrier.connect(
             self, self.world.peers[self.seat.name][0]
         )
 
     def connected(self):
-        self.wire.abort()
+        self.connection.abort()
         if self.seat.starts == self.start and self.seat.running:
             self.world.ways.ends[self.seat.name].listens(True)
 
     def lost(self, reset):
-        if not self.wire.open:
+        if not self.connection.open:
             self.clock.after(
                 self.EVERY, self.world.await_listening, self.seat, self.start
             )
--- a/wheathill/lab/worlds/relay.py
+++ b/wheathill/lab/worlds/relay.py
@@ -159,7 +159,7 @@
 
     def __init__(self, pipe, relay, wire=None):
         super().__init__(pipe, relay.carrier.limits, relay.clock)
-        self.pipe, self.wire = pipe, wire
+        self.pipe, self.connection = pipe, wire
         self.other = None
         self.waiting = []  # bytes, or None for the end
         self.passed = 0
@@ -193,13 +193,13 @@
         relay.streams[self] = None
 
     def connected(self):
-        host = self.wire.asyncio_transport.get_extra_info("peername")[0]
+        host = self.connection.asyncio_transport.get_extra_info("peername")[0]
         self.one = self.relay.name_of(host)
         if self.one is None:
             return self.end(True)
         self.far = self.other = Half(self, self.relay)
         self.far.other = self
-        self.far.wire = self.relay.carrier.connect(self.far, self.end_.private)
+        self.far.connection = self.relay.carrier.connect(self.far, self.end_.private)
         self.far.connected = self.pump
 
     def pump(self):
@@ -214,7 +214,7 @@
             while (
                 half.waiting
                 and not way.cuts
-                and half.other.wire.open
+                and half.other.connection.open
                 and not (way.then and half.passed < 0)
             ):
                 data = half.waiting.pop(0)
@@ -238,21 +238,21 @@
         return half.at
 
     def deliver(self, half, way, data):
-        if self.dead or half.other.wire is None:
+        if self.dead or half.other.connection is None:
             return
         if data is None:
-            return half.other.wire.send_eof()
+            return half.other.connection.send_eof()
         if way.then and half.passed >= 0:
             room = way.after - half.passed
             if len(data) >= room:
-                half.other.wire.send(data[:room])
+                half.other.connection.send(data[:room])
                 half.passed = -1
                 way.seen["stream " + way.then] += 1
                 return self.end(True) if way.then == "reset" else None
             half.passed += len(data)
         elif half.passed < 0:
             return  # half open: nothing passes any more
-        half.other.wire.send(data)
+        half.other.connection.send(data)
 
     def end(self, reset):
         if self.dead:
@@ -260,5 +260,5 @@
         self.dead = True
         self.relay.streams.pop(self, None)
         for half in (self, self.other):
-            if half is not None and half.wire is not None and not half.over:
-                half.wire.abort(reset)
+            if half is not None and half.connection is not None and not half.over:
+                half.connection.abort(reset)
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -160,7 +160,7 @@
     def arrive(self, inwards, call, args):
         if self.gone:
             # Its process is no more: the system answers for it.
-            return self.wire.abort(reset=True) if inwards else None
+            return self.connection.abort(reset=True) if inwards else None
         if inwards:
             self.host.gate(self.life, call, *args)
         else:
@@ -177,7 +177,7 @@
         """The host has started anew: the peer learns it as soon as it says something, or has said it."""
         self.gone = self.dead = True
         if any(inwards for inwards, *_ in self.waiting):
-            self.wire.abort(reset=True)
+            self.connection.abort(reset=True)
         self.waiting = []
 
     # From the wire
@@ -188,14 +188,14 @@
 
     def received(self, data):
         if self.gone:
-            return self.wire.abort(reset=True)
+            return self.connection.abort(reset=True)
         # What a cut holds is sent again when it heals, also by the system of one that has given it up.
         self.came = self.host.clock.now() if self.came is None else self.came
         self.pass_on(True, super().received, bytes(data))
 
     def ended(self):
         if self.gone:
-            return self.wire.abort(reset=True)
+            return self.connection.abort(reset=True)
         self.pass_on(True, super().ended)
 
     def lost(self, reset):
@@ -208,19 +208,19 @@
     """The wire as the cuts see it: what they let go still has its way before it."""
 
     def __init__(self, tap, wire):
-        self.tap, self.wire = tap, wire
+        self.tap, self.connection = tap, wire
 
     def __getattr__(self, name):
-        return getattr(self.wire, name)
+        return getattr(self.connection, name)
 
     def send(self, *parts):
-        self.tap.pass_on(False, self.wire.send, *parts)
+        self.tap.pass_on(False, self.connection.send, *parts)
 
     def send_eof(self):
-        self.tap.pass_on(False, self.wire.send_eof)
+        self.tap.pass_on(False, self.connection.send_eof)
 
     def close_gracefully(self):
-        self.tap.pass_on(False, self.wire.close_gracefully)
+        self.tap.pass_on(False, self.connection.close_gracefully)
 
 
 class SocketHost(Host):
@@ -271,18 +271,18 @@
     def tap(self, machine, wire, peer=None):
         tap = FarTap(self, machine, wire, peer, self.world.distance)
         if wire is not None:
-            tap.wire = Outwards(tap, wire)
+            tap.connection = Outwards(tap, wire)
         return tap
 
     def dial(self, machine, address, peer=None):
         tap = self.tap(machine, None, peer)
-        tap.wire = Outwards(tap, self.carrier.connect(tap, address))
+        tap.connection = Outwards(tap, self.carrier.connect(tap, address))
 
     def kill(self):
         self.close_doors()
         for tap in list(self.taps):
             tap.gone = True
-            tap.wire.abort(reset=True)
+            tap.connection.abort(reset=True)
         self.taps.clear()
         self.end()
 
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -26,15 +26,15 @@
         self.host = host
         self.life = host.life
         self.machine = machine
-        self.wire = wire
+        self.connection = wire
         self.held_in = None  # what waits behind a cut, in order
         self.held_out = None
         self.dead = False  # half-open: nothing passes any more
-        machine.wire = self
+        machine.connection = self
 
     def __getattr__(self, name):
         return getattr(
-            self.wire, name
+            self.connection, name
         )  # what no fault concerns is the wire's: open, full, hold, ...
 
     def find(self, data):
@@ -79,7 +79,7 @@
         self.machine.release()
 
     def fault(self):
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
         self.machine.lost(True)
 
     def pass_in(self, call, *args):
@@ -96,26 +96,26 @@
         if self.dead:
             return
         if self.held_out is not None:
-            self.held_out.append((self.wire.send, *parts))
+            self.held_out.append((self.connection.send, *parts))
             return
         cut = self.find(parts[0][:8]) if self.host.cuts else None
         if cut is None:
-            return self.wire.send(*parts)
+            return self.connection.send(*parts)
         data = b"".join(parts)
         if cut.first:
-            self.wire.send(data[: cut.first])
-        self.held_out = [(self.wire.send, data[cut.first :])]
+            self.connection.send(data[: cut.first])
+        self.held_out = [(self.connection.send, data[cut.first :])]
         self.host.clock.after(cut.wait, self.go_on, cut, "held_out")
 
     def send_eof(self):
-        self.pass_out(self.wire.send_eof)
+        self.pass_out(self.connection.send_eof)
 
     def close_gracefully(self):
-        self.pass_out(self.wire.close_gracefully)
+        self.pass_out(self.connection.close_gracefully)
 
     def abort(self, reset=False):
         self.dead = True
-        self.wire.abort(reset=reset)
+        self.connection.abort(reset=reset)
 
     def pass_out(self, call):
         if self.dead:
@@ -132,7 +132,7 @@
             return
         if cut.after == "reset":
             self.dead = True
-            self.wire.abort(reset=True)
+            self.connection.abort(reset=True)
             self.machine.lost(True)
         elif cut.after == "half-open":
             self.dead = True
--- a/wheathill/net/admin/request.py
+++ b/wheathill/net/admin/request.py
@@ -44,7 +44,7 @@
         clock: Any,  # noqa: ANN401 - the type of the transport's clock
     ) -> None:
         super().__init__(None, limits, clock)
-        self.wire = connection
+        self.connection = connection
         self.done = False
         self._answer = answer
         self.lines.max_length = limits.max_admin_head_bytes
@@ -83,7 +83,7 @@
     def fault(self) -> None:
         """A callback or handler raised an exception, which was logged already."""
         if self.done:
-            self.wire.abort()
+            self.connection.abort()
         else:
             message = "a fault in this program; its log says where"
             self._send_error(HttpError(500, message))
@@ -91,7 +91,7 @@
     def evict(self) -> None:
         """Close the connection immediately, as another request needs its descriptor."""
         self.lost(False)
-        self.wire.abort()
+        self.connection.abort()
 
     # Parser states. Each returns whether parsing can continue.
 
@@ -177,8 +177,8 @@
         self.done = True
         self.lines.unconsumed = b""
         self.timer.cancel()
-        self.wire.send(head, body)
-        self.wire.close_gracefully()
+        self.connection.send(head, body)
+        self.connection.close_gracefully()
 
     def _send_error(self, error: HttpError) -> None:
         self._send(error.status, {"error": error.message}, error.headers)
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -50,14 +50,18 @@
         closed.
         """
         for request in [
-            each for each in self._requests if not each.wire.holds_descriptor
+            each for each in self._requests if not each.connection.holds_descriptor
         ]:
             del self._requests[request]
         if len(self._requests) < self._proxy.limits.max_admin_requests:
             return True
         silent_since = self._proxy.now() - self._proxy.limits.min_silence_to_evict_ms
         for request, since in self._requests.items():
-            if request.done or since < silent_since and not _has_unread(request.wire):
+            if (
+                request.done
+                or since < silent_since
+                and not _has_unread(request.connection)
+            ):
                 del self._requests[request]
                 request.evict()
                 return True
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -74,14 +74,15 @@
         return [
             client
             for client, connected_ms in islice(self.silent_clients.items(), count)
-            if connected_ms < connected_before and not client.wire.has_unread_bytes
+            if connected_ms < connected_before
+            and not client.connection.has_unread_bytes
         ]
 
     def evict(self, client):
         """Close a silent client's connection."""
         del self.silent_clients[client]
         client.timer.cancel()
-        client.wire.abort()
+        client.connection.abort()
 
     def make_room_for_attempt(self):
         """Return whether an attempt may be made for a session.
@@ -142,7 +143,10 @@
             # the cached endpoint list may be outdated.
             self.early_clients[client] = received_ms
             return client.set_timer(
-                remaining_ms / 4, client.wire.guard, self.admit_before_list, client
+                remaining_ms / 4,
+                client.connection.guard,
+                self.admit_before_list,
+                client,
             )
         session = Session(
             listener=listener,
@@ -184,7 +188,7 @@
         early_clients, self.early_clients = self.early_clients, None
         for client, received_ms in (early_clients or {}).items():
             client.timer.cancel()
-            client.wire.guard(self.admit, client, received_ms)
+            client.connection.guard(self.admit, client, received_ms)
 
     def admit(self, client, received_ms):
         """Start the session of a client that has waited for the endpoint list."""
@@ -200,7 +204,7 @@
         """
         self.detect_pause(self.now())
         return (
-            client.wire.ms_since_receive
+            client.connection.ms_since_receive
             if self.now() < self.stale_input_until_ms
             else 0.0
         )
@@ -216,7 +220,7 @@
     def drop_client(self, client):
         """Close without an answer, as the client has stopped waiting for one."""
         client.timer.cancel()
-        client.wire.abort()
+        client.connection.abort()
 
     def record_session_id(self, request, session):
         """Remember the id of a session; raises ProtocolError if it was used before.
@@ -336,7 +340,7 @@
         if client.attempt and not client.is_up and not client.attempt.is_over:
             client.attempt.is_over = True
             client.attempt.timer.cancel()
-            client.attempt.wire.abort()
+            client.attempt.connection.abort()
         if session in self.clients:
             self.end_session(session, "hung up")
             self.balancer.on_client_left(self.now(), session)
@@ -418,7 +422,7 @@
             if (
                 client.session is not None
                 and client.unanswered_since_ms is not None
-                and not client.wire.is_write_blocked
+                and not client.connection.is_write_blocked
                 and now - client.unanswered_since_ms >= self.limits.unanswered_after_ms
             ):
                 self.balancer.on_message_unanswered(
@@ -442,7 +446,7 @@
         may not have been received yet.
         """
         name, now = client.open_request.values["at"], self.now()
-        if client.session is not session or not client.wire.open:
+        if client.session is not session or not client.connection.open:
             pass
         elif now >= session.deadline_ms:
             self.log_event(LogEvent.STANDING_SESSION_LOST, server=name)
@@ -467,9 +471,9 @@
             An empty list, with the session kept, if no descriptor is left.
         """
         try:
-            handles = [client.wire.duplicate()]
+            handles = [client.connection.duplicate()]
             try:
-                handles.append(client.attempt.wire.duplicate())
+                handles.append(client.attempt.connection.duplicate())
             except OSError:
                 self.transport.close_handles(handles)
                 raise
@@ -478,8 +482,8 @@
         client.attempt.is_over = True
         client.timer.cancel()
         client.attempt.timer.cancel()
-        client.wire.abort()
-        client.attempt.wire.abort()
+        client.connection.abort()
+        client.attempt.connection.abort()
         self.end_session(session, "handed over")
         self.balancer.on_client_left(self.now(), session)
         return handles
@@ -553,7 +557,7 @@
         What they say counts as known already.
         """
         return any(
-            watch and watch.wire.open and watch.wire.has_unread_bytes
+            watch and watch.connection.open and watch.connection.has_unread_bytes
             for watch in (self.watch, self.hedge_watch)
         )
 
@@ -733,7 +737,7 @@
     def open_probe_connection(self, server):
         """Return a connection for probes that is being established."""
         probe = ProbeConnection(server, self, self.limits, self.clock)
-        probe.wire = self.transport.connect(probe, self.addresses[server])
+        probe.connection = self.transport.connect(probe, self.addresses[server])
         return probe
 
     def retry_probe(self, server, deadline_ms):
--- a/wheathill/net/client.py
+++ b/wheathill/net/client.py
@@ -27,7 +27,7 @@
 
     def __init__(self, connection, owner, limits, clock):
         super().__init__(owner, limits, clock)
-        self.wire = connection
+        self.connection = connection
         self.open_request = None
         self.listener = None
         self.session = None
@@ -70,7 +70,7 @@
                     )
                     if self.lines.unconsumed or self.ping_count > max_pings:
                         raise ProtocolError("client sent more than one line at once")
-                    self.wire.send(b"PONG" if self.owner.ready else b"ERR", CRLF)
+                    self.connection.send(b"PONG" if self.owner.ready else b"ERR", CRLF)
                     self.set_timer(
                         self.limits.next_line_timeout_ms, self.on_line_timeout
                     )
@@ -101,7 +101,7 @@
         """Send the server's UP line, which starts the session."""
         self.is_up = True
         self.timer.cancel()
-        self.wire.send(line)
+        self.connection.send(line)
 
     def forward(self, data):
         """Send bytes to the server."""
@@ -109,7 +109,7 @@
         if self.unanswered_since_ms is None and b"\n" in data:
             self.unanswered_since_ms = self.clock.now()
             self.owner.on_request_forwarded(self)
-        self.attempt.wire.send(data)
+        self.attempt.connection.send(data)
 
     @property
     def quiet(self):
@@ -121,8 +121,8 @@
             self.is_up
             and not self.is_migrating
             and not self.attempt.is_over
-            and self.wire.quiet
-            and self.attempt.wire.quiet
+            and self.connection.quiet
+            and self.attempt.connection.quiet
         )
 
     def adopted(self):
@@ -130,9 +130,9 @@
 
         What is read earlier could not be forwarded.
         """
-        if self.wire.open and self.attempt.wire.open:
-            self.wire.set_paused(False)
-            self.attempt.wire.set_paused(False)
+        if self.connection.open and self.attempt.connection.open:
+            self.connection.set_paused(False)
+            self.attempt.connection.set_paused(False)
 
     @property
     def is_idempotent(self):
@@ -151,8 +151,8 @@
     def answer(self, *parts):
         """Send the final answer of a session that is not up, and close."""
         self.timer.cancel()
-        self.wire.send(*parts, CRLF)
-        self.wire.close_gracefully()
+        self.connection.send(*parts, CRLF)
+        self.connection.close_gracefully()
 
     def migrate(self):
         """Send MOVE and close; return whether that was done.
@@ -165,19 +165,19 @@
             return False
         self.attempt.timer.cancel()
         self.answer(b"MOVE")
-        self.attempt.wire.close_gracefully()
+        self.attempt.connection.close_gracefully()
         return True
 
     def blocked(self, on):
         """Stop reading from the server while bytes wait to be sent."""
         if self.is_up:
-            self.attempt.wire.set_paused(on)
+            self.attempt.connection.set_paused(on)
 
     def ended(self):
         """End the session, as the client sends no more."""
         self.owner.on_client_left(self)
         if self.is_up:
-            self.attempt.wire.send_eof()
+            self.attempt.connection.send_eof()
             self.attempt.set_timer(self.limits.linger_ms, self.attempt.close)
         else:
             # A session needs both directions, so it is over, but the client may still
@@ -189,7 +189,7 @@
         self.timer.cancel()
         self.owner.on_client_left(self)
         if self.is_up:
-            self.attempt.wire.abort(reset=reset)
+            self.attempt.connection.abort(reset=reset)
 
     def release(self):
         """Drop the references that would form a cycle."""
@@ -201,7 +201,7 @@
         """End the session, as a callback has raised an exception."""
         if self.is_up:
             self.lost(True)
-            self.wire.abort(reset=True)
+            self.connection.abort(reset=True)
         else:
             self.timer.cancel()
             self.owner.answer_without_policy(self)
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -123,7 +123,7 @@
 
     def start(self, connection):
         """Use a connection that is being established."""
-        self.wire = connection
+        self.connection = connection
         self.restart_silence_timer()
 
     def restart_silence_timer(self):
@@ -133,7 +133,7 @@
 
     def connected(self):
         """Send the request."""
-        self.wire.send(self.request)
+        self.connection.send(self.request)
 
     def received(self, data):
         """Parse as much of the response as was received."""
@@ -256,7 +256,7 @@
 
     def lost(self, reset):
         """End, as the connection is over or was not established."""
-        self.end("lost" if self.wire.was_established else "not reached")
+        self.end("lost" if self.connection.was_established else "not reached")
 
     def fault(self):
         """End, as a callback has raised an exception."""
@@ -272,4 +272,4 @@
         """Close without telling the owner; what is still received is dropped."""
         self.is_closed = True
         self.timer.cancel()
-        self.wire.abort()
+        self.connection.abort()
--- a/wheathill/net/interfaces.py
+++ b/wheathill/net/interfaces.py
@@ -53,10 +53,10 @@
     """The callbacks of a connection, see `net.protocol_machine`.
 
     Attributes:
-        wire: the connection.
+        connection: the connection.
     """
 
-    wire: Any
+    connection: Any
 
     @property
     def is_connect_postponed(self) -> bool:
--- a/wheathill/net/protocol_machine.py
+++ b/wheathill/net/protocol_machine.py
@@ -32,7 +32,7 @@
         limits: size and time limits of the proxy.
         clock: provides the time and timers.
         lines: buffer of received bytes that were not consumed yet.
-        wire: the connection, once there is one.
+        connection: the connection, once there is one.
         timer: the pending timer, or `NullTimer`.
     """
 
@@ -41,7 +41,7 @@
         self.limits = limits
         self.clock = clock
         self.lines = LineBuffer(limits.max_line_bytes)
-        self.wire: Any = None
+        self.connection: Any = None
         self.timer: Any = NullTimer
 
     def set_timer(
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -222,7 +222,7 @@
             or any(
                 self.handed_over
                 or not client.ping_count
-                or client.wire.has_unread_bytes
+                or client.connection.has_unread_bytes
                 for client in self.silent_clients
             )
         )
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -54,7 +54,7 @@
 
     def start(self, connection, timeout_ms, connect_timeout_ms):
         """Use a connection that is being established."""
-        self.wire = connection
+        self.connection = connection
         self.deadline_ms = self.started_ms + timeout_ms
         self.set_timer(
             min(timeout_ms, connect_timeout_ms),
@@ -70,7 +70,7 @@
         in the same loop iteration as the decision to try it, or while the process was
         paused.
         """
-        client = self.client.wire
+        client = self.client.connection
         return not self.is_over and (
             self.owner.has_unread_list or client.open and client.has_unread_bytes
         )
@@ -86,8 +86,8 @@
         if remaining_ms < 1.0 or not self.owner.may_send(self):
             return self.give_up(AttemptOutcome.CONNECT_FAILED)
         self.set_timer(remaining_ms, self.on_timeout)
-        self.wire.send(*self.client.open_request.encode(remaining_ms))
-        if self.wire.drained:
+        self.connection.send(*self.client.open_request.encode(remaining_ms))
+        if self.connection.drained:
             self.on_request_written()
 
     def adopted(self):
@@ -111,7 +111,7 @@
 
         The order matters: no other attempt may start while this one is open.
         """
-        self.wire.abort()
+        self.connection.abort()
         self.report_end(outcome)
 
     def report_end(self, outcome):
@@ -173,7 +173,7 @@
 
     def forward(self, data):
         """Send bytes to the client, and read the lines that they complete."""
-        self.client.wire.send(data)
+        self.client.connection.send(data)
         self.owner.on_server_data(self.server)
         *lines, self.partial_line = (self.partial_line + data).split(CRLF)
         for line in lines:
@@ -205,14 +205,14 @@
         if not on:
             self.on_request_written()
         if self.is_up:
-            self.client.wire.set_paused(on)
+            self.client.connection.set_paused(on)
 
     def ended(self):
         """Pass the server's end of stream on, or end the attempt."""
         if not self.is_up:
             return self.give_up(self.outcome_before_up)
         self.report_end(self.outcome)
-        self.client.wire.send_eof()
+        self.client.connection.send_eof()
         self.set_timer(self.limits.linger_ms, self.close)
 
     @property
@@ -232,8 +232,8 @@
         No bytes are lost by it: an end of stream is read only after all bytes before it
         were passed to the kernel.
         """
-        self.wire.abort()
-        self.client.wire.abort()
+        self.connection.abort()
+        self.client.connection.abort()
         self.report_end(self.outcome)
 
     def lost(self, reset):
@@ -241,15 +241,15 @@
         self.report_end(self.outcome if self.is_up else self.outcome_before_up)
         if self.is_up:
             if reset:
-                self.client.wire.abort(reset=True)
+                self.client.connection.abort(reset=True)
             else:
-                self.client.wire.close_gracefully()
+                self.client.connection.close_gracefully()
 
     def fault(self):
         """End the attempt or the session, as a callback has raised an exception."""
-        self.wire.abort(reset=True)
+        self.connection.abort(reset=True)
         if self.is_up:
-            self.client.wire.abort(reset=True)
+            self.client.connection.abort(reset=True)
         self.report_end(AttemptOutcome.ERROR)
 
 
@@ -276,12 +276,12 @@
         self.set_timer(
             deadline_ms - self.clock.now(), self.end, AttemptOutcome.TIMED_OUT
         )
-        if self.wire.open:
-            self.wire.send(b"STATS", CRLF)
+        if self.connection.open:
+            self.connection.send(b"STATS", CRLF)
 
     def connected(self):
         """Send the probe that waits for the connection."""
-        self.wire.send(b"STATS", CRLF)
+        self.connection.send(b"STATS", CRLF)
 
     def received(self, data):
         """Read the answer; anything else ends the connection."""
@@ -309,7 +309,7 @@
         """React to a connection that is gone or was never established."""
         self.on_closed_by_server(
             AttemptOutcome.RESET
-            if self.wire.was_established
+            if self.connection.was_established
             else AttemptOutcome.CONNECT_FAILED
         )
 
@@ -334,7 +334,7 @@
         """Close; a probe that is under way ends with this outcome."""
         was_awaiting_answer, self.is_awaiting_answer = self.is_awaiting_answer, False
         self.timer.cancel()
-        self.wire.abort()
+        self.connection.abort()
         self.owner.on_probe_connection_closed(self)
         if was_awaiting_answer:
             self.owner.on_probe_ended(self, outcome, b"")
--- a/wheathill/net/transport.py
+++ b/wheathill/net/transport.py
@@ -99,7 +99,7 @@
 
         Reading is paused until `set_paused(False)`.
         """
-        connection = machine.wire = Connection(self, lambda _: machine)
+        connection = machine.connection = Connection(self, lambda _: machine)
         connection.start_adopted(socket.socket(fileno=descriptor))
         return connection
 
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -33,7 +33,7 @@
         clock: Clock,
     ) -> None:
         super().__init__(None, limits, clock)
-        self.wire, self._handle_request = connection, handle_request
+        self.connection, self._handle_request = connection, handle_request
         self._received = b""
 
     def connected(self) -> None:
@@ -45,7 +45,7 @@
 
         Descriptors, which a Unix connection may carry, are closed.
         """
-        self.wire.transport.close_handles(handles)
+        self.connection.transport.close_handles(handles)
         self._received += data
         line, line_end, _ = self._received.partition(b"\n")
         if line_end:
@@ -65,7 +65,7 @@
         self._handle_request(request, self._reply)
 
     def _reply(self, reply: dict[str, Any]) -> None:
-        self.wire.send(orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE))
+        self.connection.send(orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE))
 
     def lost(self, reset: bool) -> None:
         """Close this end as well."""
@@ -78,4 +78,4 @@
     def end(self) -> None:
         """Close the connection."""
         self.timer.cancel()
-        self.wire.close()
+        self.connection.close()
--- a/wheathill/peers/fallback_probe.py
+++ b/wheathill/peers/fallback_probe.py
@@ -48,14 +48,14 @@
             return
         connection = ProbeConnection(self._finish, self._limits, self._clock)
         self._connections.append(connection)
-        connection.wire = self._connect(connection)
+        connection.connection = self._connect(connection)
 
     def _finish(self, result: ProbeResult) -> None:
         on_result, self._on_result = self._on_result, None
         if on_result is not None:
             on_result(result)
         for connection in self._connections:
-            connection.wire.abort()
+            connection.connection.abort()
         self._connections = []
 
 
@@ -81,5 +81,5 @@
         A host that can't be reached may be so for a moment, which is no result before
         the timeout.
         """
-        if self.wire.refused:
+        if self.connection.refused:
             self._on_result(ProbeResult.REFUSED)
--- a/wheathill/peers/streams.py
+++ b/wheathill/peers/streams.py
@@ -91,7 +91,7 @@
         self.timer.cancel()
         self._on_closed(self)
         self._discard_queue()
-        self.wire.abort()
+        self.connection.abort()
 
     def _discard_queue(self) -> None:
         """Drop what waits to be sent."""
@@ -108,14 +108,14 @@
         on_closed: Callable[["InboundStream"], object],
     ) -> None:
         super().__init__(context, on_closed)
-        self.wire = connection
+        self.connection = connection
         self._on_frame = on_frame
 
     def connected(self) -> None:
         """Send this process's generation."""
         hello = self._authenticator.encode_frame(0, [HELLO])
         self._metrics.bytes_sent += len(hello)
-        self.wire.send(hello)
+        self.connection.send(hello)
         self.set_timer(STALL_TIMEOUT_MS, self.end)
 
     def received(self, data: bytes) -> None:
@@ -182,16 +182,16 @@
             self._send_queued()
 
     def _send_queued(self) -> None:
-        while self._queue and not self.wire.is_write_blocked:
+        while self._queue and not self.connection.is_write_blocked:
             queued = self._queue.popleft()
             self._queued_bytes -= queued.frame_size
             self._metrics.bytes_sent += queued.frame_size
-            self.wire.send(
+            self.connection.send(
                 self._authenticator.encode_frame(
                     self._receiver_generation, queued.payload
                 )
             )
-        is_waiting = bool(self._queue) or self.wire.is_write_blocked
+        is_waiting = bool(self._queue) or self.connection.is_write_blocked
         self.set_timer(STALL_TIMEOUT_MS if is_waiting else IDLE_TIMEOUT_MS, self.end)
 
     def blocked(self, on: bool) -> None:
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -147,7 +147,7 @@
             remote.stream = OutboundStream(
                 self._streams, remote.address, lambda closed: _forget(remote, closed)
             )
-            remote.stream.wire = self._connect(remote.stream, remote.address)
+            remote.stream.connection = self._connect(remote.stream, remote.address)
         remote.stream.send(payload)
 
     def _connect(self, machine: ProtocolMachine, address: str) -> Connection:
