--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -17,7 +17,7 @@
 from wheathill.config.node import NodeConfig
 from wheathill.log_events import LogEvent
 from wheathill.net.clock import Clock
-from wheathill.net.garbage import keep_collections_short
+from wheathill.net.garbage import limit_gc_pauses
 from wheathill.net.log import EventLog
 from wheathill.net.proxy import Proxy
 from wheathill.net.transport import Transport
@@ -44,7 +44,7 @@
     try:
         node = raise_descriptor_limit(read_config())
         log = EventLog(node.name, node.limits.max_queued_log_lines)
-        keep_collections_short()
+        limit_gc_pauses()
         serving = serve(node, log, read_config)
         # Drop this reference: an endpoint list may have thousands of entries, and the
         # proxy keeps what it needs of it.
@@ -155,7 +155,7 @@
     if proxy.peers:
         server.add_route("GET", "/peers", proxy.peers.status.table)
     _listen(transport, "admin_addr", server.accept, address, server.make_room)
-    log(LogEvent.ADMIN_LISTENING, at=_address_text(address))
+    log(LogEvent.ADMIN_LISTENING, at=_format_address(address))
 
 
 def _listen_for_clients(proxy: Proxy, transport: Transport, log: WriteLog) -> None:
@@ -164,7 +164,9 @@
     proxy.listening_socket = _listen(
         transport, "listen", proxy.create_client, address, proxy.has_room, inherited
     )
-    log(LogEvent.LISTENING, at=_address_text(address), inherited=inherited is not None)
+    log(
+        LogEvent.LISTENING, at=_format_address(address), inherited=inherited is not None
+    )
 
 
 def _listen(
@@ -182,7 +184,7 @@
         raise ConfigurationError(f"{key}: {error}") from None
 
 
-def _address_text(address: tuple[str, int]) -> str:
+def _format_address(address: tuple[str, int]) -> str:
     return ":".join(map(str, address))
 
 
--- a/wheathill/net/connection.py
+++ b/wheathill/net/connection.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING, Any
 
 from wheathill.net.fault_isolation import FaultIsolation
-from wheathill.net.protocol_machine import NoMachine
+from wheathill.net.protocol_machine import NullMachine
 from wheathill.net.socket_options import (
     enable_keep_alive,
     is_readable,
@@ -28,13 +28,13 @@
 
     Attributes:
         transport: the transport that this connection belongs to.
-        machine: the protocol state machine that receives events; `NoMachine` once the
+        machine: the protocol state machine that receives events; `NullMachine` once the
             connection has closed.
         asyncio_transport: the asyncio transport, once the connection is established.
         is_write_blocked: whether bytes are waiting in the send buffer.
         refused: whether the host refused the connection (nothing listens there).
-        finished: whether this side has sent end of stream.
-        ended: whether the peer has sent end of stream.
+        has_sent_eof: whether this side has sent end of stream.
+        has_received_eof: whether the peer has sent end of stream.
         is_closing: whether the machine has closed the connection; it gets no further
             events.
         over: whether the machine was told of the loss, or has aborted the connection.
@@ -46,13 +46,12 @@
     ) -> None:
         self.transport = transport
         self.machine = make_machine(self)
-        self.asyncio_transport: Any = (
-            None  # asyncio.Transport; Any avoids casts at each call
-        )
+        # An asyncio.Transport; `Any` avoids a None check at each use.
+        self.asyncio_transport: Any = None
         self._task: asyncio.Task[None] | None = None
         self.is_write_blocked = False
-        self.finished = False
-        self.ended = False
+        self.has_sent_eof = False
+        self.has_received_eof = False
         self.is_closing = False
         self._discarded_bytes = 0  # received after `is_closing` was set
         self.over = False
@@ -64,12 +63,12 @@
 
     def start_connecting(self, address: tuple[str, int], source: str | None) -> None:
         """Start connecting; the descriptor is counted from now on."""
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         self._start(self._connect(address, source))
 
     def start_accepted(self, sock: socket.socket) -> asyncio.Task[None]:
         """Start on an accepted socket; the task ends once the machine was notified."""
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         return self._start(self._register(sock))
 
     def start_adopted(self, sock: socket.socket) -> None:
@@ -94,7 +93,7 @@
             await self.transport.loop.connect_accepted_socket(lambda: self, sock)
         except OSError:
             sock.close()
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             if self._is_adopted:
                 self._report_lost(False)
 
@@ -107,10 +106,10 @@
             )
         except OSError as error:
             self.refused = isinstance(error, ConnectionRefusedError)
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             self._report_lost(False)
 
-    def _set_counted(self, on: bool) -> None:
+    def _set_holds_descriptor(self, on: bool) -> None:
         self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
@@ -119,7 +118,7 @@
     def connection_made(self, transport: Any) -> None:  # noqa: ANN401 - see `asyncio_transport`
         """Notify the machine, unless it has aborted the connection attempt."""
         self.asyncio_transport = transport
-        self._set_counted(True)
+        self._set_holds_descriptor(True)
         if self.over:
             transport.abort()
             return
@@ -158,11 +157,11 @@
         """
         # asyncio reports the same end of stream again after reading was paused and
         # resumed.
-        if not self.ended and not self.is_closing:
-            self.ended = True
+        if not self.has_received_eof and not self.is_closing:
+            self.has_received_eof = True
             self.guard(self.machine.ended)
-        self.ended = True
-        return not self.finished
+        self.has_received_eof = True
+        return not self.has_sent_eof
 
     def pause_writing(self) -> None:
         """Notify the machine that bytes are waiting in the send buffer."""
@@ -177,7 +176,7 @@
     def connection_lost(self, error: Exception | None) -> None:
         """Notify the machine, unless it has closed the connection, and release it."""
         self.transport.closing_connections.pop(self, None)
-        self._set_counted(False)
+        self._set_holds_descriptor(False)
         self._report_lost(error is not None)
         self._release_machine()
 
@@ -192,7 +191,7 @@
         The asyncio transport also stores a bound method of itself, which is deleted
         here.
         """
-        machine, self.machine = self.machine, NoMachine
+        machine, self.machine = self.machine, NullMachine
         machine.release()
         attributes = vars(self.asyncio_transport) if self.asyncio_transport else {}
         for name in [
@@ -232,8 +231,8 @@
         """Whether it is open in both directions and no byte is buffered here."""
         return (
             self.open
-            and not self.finished
-            and not self.ended
+            and not self.has_sent_eof
+            and not self.has_received_eof
             and not self.is_write_blocked
             and self.drained
         )
@@ -272,7 +271,7 @@
 
     def send(self, *parts: bytes) -> None:
         """Send bytes, or buffer them until the peer reads."""
-        if self.open and not self.finished:
+        if self.open and not self.has_sent_eof:
             self.asyncio_transport.writelines(parts)
 
     def set_paused(self, on: bool) -> None:
@@ -298,10 +297,10 @@
 
     def send_eof(self) -> None:
         """Send end of stream; bytes from the peer are still received."""
-        if not self.open or self.finished or self.asyncio_transport.is_closing():
+        if not self.open or self.has_sent_eof or self.asyncio_transport.is_closing():
             return
-        self.finished = True
-        if self.ended:
+        self.has_sent_eof = True
+        if self.has_received_eof:
             self.asyncio_transport.close()
             return
         try:
@@ -350,11 +349,11 @@
         if self.asyncio_transport is None:
             if self._task:
                 self._task.cancel()
-            self._set_counted(False)
+            self._set_holds_descriptor(False)
             return
         if reset:
             reset_on_close(self._socket)
         self.asyncio_transport.abort()
         # asyncio closes the socket in the next loop iteration, which is before anything
         # started from now on needs a descriptor.
-        self._set_counted(False)
+        self._set_holds_descriptor(False)
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -197,7 +197,7 @@
             self.log_event(
                 LogEvent.SHUTDOWN_FINISHED,
                 sessions=len(self.clients),
-                since_start=self.metrics.for_log(),
+                since_start=self.metrics.log_fields(),
             )
             self.wait_until_sent(on_stopped, now + self.limits.shutdown_linger_ms)
         else:
@@ -222,7 +222,7 @@
             or any(
                 self.handed_over
                 or not client.ping_count
-                or client.wire.has_unread_bytes
+                or client.connection.has_unread_bytes
                 for client in self.silent_clients
             )
         )
@@ -257,7 +257,7 @@
             LogEvent.METRICS,
             **self.state_metrics(),
             worst_delay=round(self.max_sweep_delay_ms, 1),
-            since_start=self.metrics.for_log(),
+            since_start=self.metrics.log_fields(),
         )
         self.max_sweep_delay_ms = 0.0
 
@@ -268,7 +268,7 @@
         ]
         excluded = self.excluded_servers(self.now())
         return {
-            **self.metrics.for_operators(),
+            **self.metrics.admin_fields(),
             "pending": len(self.clients),
             "members": len(listed),
             "members_unavailable": sum(
