--- a/wheathill/peers/connections.py
+++ b/wheathill/peers/connections.py
@@ -1,21 +1,21 @@
-"""What the transport needs of a connection, whatever carries it."""
+"""Interface of the connections that the peer transport uses."""
 
 from typing import Protocol
 
 
 class Connection(Protocol):
-    """A connection of a carrier.
+    """A connection to or from another process.
 
     Attributes:
-        full: whether bytes wait to be sent, as the other end does not read.
-        refused: whether the host was there, and nothing listened.
+        full: Whether unsent bytes are buffered, as the other end does not read.
+        refused: Whether the host refused the connection because nothing listens.
     """
 
     full: bool
     refused: bool
 
     def send(self, *parts: bytes) -> None:
-        """Send bytes, now or once the other end reads."""
+        """Send bytes, or buffer them until the other end reads."""
 
     def abort(self) -> None:
-        """Close the connection, and drop what was not sent."""
+        """Close the connection and discard unsent bytes."""
--- a/wheathill/peers/fallback_probe.py
+++ b/wheathill/peers/fallback_probe.py
@@ -1,7 +1,7 @@
-"""Fallback probe over TCP, which finds whether a process listens at an address.
+"""Fallback probe over TCP, which checks whether a process listens at an address.
 
-As memberlist's TCP fallback ping, but that a connection which comes up is answer
-enough.
+Like memberlist's TCP fallback ping, except that an established connection is a
+sufficient answer.
 """
 
 from collections.abc import Callable
@@ -12,17 +12,17 @@
 from wheathill.peers.environment import Clock
 from wheathill.peers.membership import ProbeResult
 
-# Connections of one probe, one after another within its timeout. The system sends the
-# first segment of each again after one second, then after two, which is too seldom
-# where a quarter of all segments is lost.
+# Connections per probe, started at equal intervals within its timeout. The kernel
+# retransmits a SYN only after one second, then after two, which is too rare when a
+# quarter of all segments is lost.
 CONNECTION_ATTEMPTS = 5
 
 
 class FallbackProber:
-    """One probe. The first connection with a result decides it.
+    """A single probe, decided by the first of its connections that has a result.
 
-    `connect` opens a connection for a machine and returns it; `on_result` is called
-    once.
+    `connect` opens a connection for a protocol machine and returns it; `on_result` is
+    called once.
     """
 
     def __init__(
@@ -37,7 +37,7 @@
         self._connections: list[ProbeConnection] = []
 
     def start(self, timeout_ms: float) -> None:
-        """Probe for as long as `timeout_ms`."""
+        """Start the probe, which ends without an answer after `timeout_ms`."""
         self._clock.after(timeout_ms, self._finish, ProbeResult.NO_ANSWER)
         for attempt in range(CONNECTION_ATTEMPTS):
             wait_ms = attempt * timeout_ms / CONNECTION_ATTEMPTS
@@ -60,7 +60,7 @@
 
 
 class ProbeConnection(ProtocolMachine):
-    """A connection that is only to come up."""
+    """Protocol machine of a connection that only has to be established."""
 
     def __init__(
         self,
@@ -72,14 +72,14 @@
         self._on_result = on_result
 
     def connected(self) -> None:
-        """Report that a process listens there."""
+        """Report that a process listens at the address."""
         self._on_result(ProbeResult.REACHABLE)
 
     def lost(self, reset: bool) -> None:
-        """Report a refusal.
+        """Report a refused connection.
 
-        A host that can't be reached may be so for a moment, which is no result before
-        the timeout.
+        Other failures are not reported before the timeout, as the host may be
+        unreachable only briefly.
         """
         if self.wire.refused:
             self._on_result(ProbeResult.REFUSED)
--- a/wheathill/peers/frames.py
+++ b/wheathill/peers/frames.py
@@ -1,10 +1,10 @@
-"""Authenticated frames between proxies, free of I/O.
+"""Encoding and authentication of frames between proxies, without I/O.
 
-A frame is a header (magic bytes, version, length of the body, its CRC-32, the first
-half of its HMAC-SHA256 after RFC 2104) and a body in msgpack: [cluster, sender, the
-sender's generation, the receiver's generation, counter, payload]. The receiver's
-generation makes a frame valid for one process only: a frame that was recorded before
-that process started names another one. The counter makes it valid once.
+A frame consists of a header (magic bytes, version, length of the body, CRC-32 of the
+body, first half of its HMAC-SHA256 according to RFC 2104) and a MessagePack body:
+[cluster, sender, sender's generation, receiver's generation, counter, payload]. The
+receiver's generation makes a frame valid for one process only: a frame recorded before
+that process started names another generation. The counter makes it valid only once.
 """
 
 import hmac
@@ -19,12 +19,12 @@
 
 MAGIC = b"wh"
 HEADER = struct.Struct("!2sHII16s")
-# Senders of which replay windows are kept, and receivers of which counters are.
+# Limits the senders with a replay window, and the receivers with a counter.
 MAX_TRACKED_PROCESSES = 4096
 
 
 class RejectReason(StrEnum):
-    """Why a frame was not accepted. The values are those of the log and of metrics."""
+    """Why a frame was rejected; the values are used in the log and in metrics."""
 
     DAMAGED = "damaged"
     OTHER_VERSION = "another version"
@@ -38,12 +38,12 @@
 
 
 class FrameRejectedError(Exception):
-    """A frame that is not accepted.
+    """A frame was rejected.
 
     Attributes:
-        reason: why.
-        sender_generation: of a sender that has yet to learn this process's generation,
-            else None.
+        reason: Why the frame was rejected.
+        sender_generation: Generation of the sender if the frame names another receiver
+            generation than this process's, else None.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Frame:
-    """An accepted frame: what the process of that name and generation has sent."""
+    """An accepted frame with the name and generation of its sender."""
 
     sender: str
     generation: int
@@ -64,51 +64,52 @@
 
 
 class ReplayWindow:
-    """The counters that have come from one sender (as the window of RFC 4303, 3.4.3).
+    """Anti-replay window over the counters of one sender (as in RFC 4303, 3.4.3).
 
-    Frames may overtake each other, so counters a little below the highest are accepted
-    in any order, each of them once.
+    Frames may be reordered, so counters that are less than `WIDTH` below the highest
+    are accepted in any order, each of them once.
     """
 
     WIDTH = 1024
 
     def __init__(self) -> None:
         self._highest = 0
-        self._seen = 0  # bit n: the counter `_highest - n` has come
+        self._seen_bits = 0  # bit n: counter `_highest - n` was received
 
     def accept(self, counter: int) -> bool:
-        """Return whether the counter is new, and note that it has come."""
+        """Return whether the counter is new, and mark it as received."""
         ahead = counter - self._highest
         if ahead > 0:
-            shifted = self._seen << min(ahead, self.WIDTH) | 1
-            self._seen = shifted & ((1 << self.WIDTH) - 1)
+            shifted = self._seen_bits << min(ahead, self.WIDTH) | 1
+            self._seen_bits = shifted & ((1 << self.WIDTH) - 1)
             self._highest = counter
             return True
-        if -ahead >= self.WIDTH or self._seen >> -ahead & 1:
+        if -ahead >= self.WIDTH or self._seen_bits >> -ahead & 1:
             return False
-        self._seen |= 1 << -ahead
+        self._seen_bits |= 1 << -ahead
         return True
 
 
 class SendCounters:
-    """The counter of the last frame for each receiver, by its generation.
+    """Last used frame counter for each receiver, by the receiver's generation.
 
-    One counter for all receivers would pass the replay window of one whose frames wait
-    in a stream while a seed answers hundreds of processes that start.
+    With a single counter for all receivers, a seed that answers hundreds of starting
+    processes would advance it beyond the replay window of a receiver whose frames are
+    still queued in a stream.
     """
 
     def __init__(self) -> None:
-        # The receiver that was sent to longest ago first.
+        # Ordered from least to most recently used.
         self._last: OrderedDict[int, int] = OrderedDict()
-        # The highest of the receivers that were dropped: one that is sent to again goes
-        # on from there, so that no counter is used twice.
+        # Highest counter of an evicted receiver. A receiver without an entry continues
+        # from it, so that no counter is used twice.
         self._highest_dropped = 0
 
     def __contains__(self, generation: int) -> bool:
         return generation in self._last
 
     def next_counter(self, generation: int) -> int:
-        """Return the counter of the next frame for the process of that generation."""
+        """Return the counter of the next frame to the process of `generation`."""
         counter = self._last.pop(generation, self._highest_dropped) + 1
         self._last[generation] = counter
         if len(self._last) > MAX_TRACKED_PROCESSES:
@@ -122,12 +123,13 @@
 
 
 class FrameAuthenticator:
-    """Makes and checks the frames of one process.
+    """Encodes and verifies the frames of one process.
 
-    `generation` tells the process from all others, also from earlier ones of its name.
+    `generation` distinguishes the process from all others, including earlier ones of
+    its name.
 
     Attributes:
-        version: of the frames. Others are rejected.
+        version: Frame format version; frames of other versions are rejected.
     """
 
     version = 1
@@ -140,11 +142,11 @@
         self._encode = msgspec.msgpack.Encoder().encode
         self._decode = msgspec.msgpack.Decoder(list).decode
         self.counters = SendCounters()
-        # By name and generation, the sender that was silent for longest first.
-        self._windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()
+        # By name and generation, ordered from least to most recently used.
+        self._replay_windows: OrderedDict[tuple[str, int], ReplayWindow] = OrderedDict()
 
     def encode_frame(self, receiver_generation: int, payload: list[Any]) -> bytes:
-        """Return a frame; `receiver_generation` is 0 where it is not known yet."""
+        """Return an encoded frame; `receiver_generation` is 0 while it is unknown."""
         counter = self.counters.next_counter(receiver_generation)
         body = self._encode(
             [
@@ -161,17 +163,17 @@
         return header + body
 
     def encoded_size(self, value: object) -> int:
-        """Return how many bytes a value takes within a payload."""
+        """Return the size of a value within a payload, in bytes."""
         return len(self._encode(value))
 
     def frame_length(self, data: bytes | bytearray, max_body: int) -> int | None:
-        """Return the length of the frame that `data` begins with.
+        """Return the length of the frame at the start of `data`.
 
-        Returns None while its header is not complete.
+        Return None while its header is incomplete.
 
         Raises:
-            FrameRejectedError: The header is none of this version, or the body is too
-            long.
+            FrameRejectedError: The header is invalid or of another version, or the body
+                is longer than `max_body`.
         """
         if len(data) < HEADER.size:
             return None
@@ -185,10 +187,11 @@
         return HEADER.size + body_length
 
     def decode_frame(self, frame: bytes) -> Frame:
-        """Return the content of one whole frame.
+        """Verify and decode one complete frame.
 
         Raises:
-            FrameRejectedError: It is not accepted.
+            FrameRejectedError: The frame is malformed, not authentic, replayed, or not
+                for this process.
         """
         body = self._verified_body(frame)
         try:
@@ -221,17 +224,18 @@
         return body
 
     def accept_counter(self, sender: str, generation: int, counter: int) -> None:
-        """Note a counter of a sender.
+        """Mark a counter of a sender as received.
 
         Raises:
-            FrameRejectedError: It has come before, or is too far below the highest.
+            FrameRejectedError: The counter was already received, or is below the replay
+                window.
         """
         identity = sender, generation
-        window = self._windows.get(identity)
+        window = self._replay_windows.get(identity)
         if window is None:
-            window = self._windows[identity] = ReplayWindow()
-            while len(self._windows) > MAX_TRACKED_PROCESSES:
-                self._windows.popitem(last=False)
-        self._windows.move_to_end(identity)
+            window = self._replay_windows[identity] = ReplayWindow()
+            while len(self._replay_windows) > MAX_TRACKED_PROCESSES:
+                self._replay_windows.popitem(last=False)
+        self._replay_windows.move_to_end(identity)
         if not window.accept(counter):
             raise FrameRejectedError(RejectReason.REPLAYED)
--- a/wheathill/peers/sender_rate_limiter.py
+++ b/wheathill/peers/sender_rate_limiter.py
@@ -1,31 +1,29 @@
-"""A rate limit for each sender, so that one that floods costs the others nothing."""
+"""Rate limit per sender, so that a flooding sender does not affect others."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
 
-BURST_MESSAGES = 400  # messages of one sender that are accepted at once
-MESSAGES_PER_MS = (
-    200.0 / 1000
-)  # messages of one sender that are accepted in the long run
-MAX_SENDERS = 4096  # of which buckets are kept; the oldest are dropped
+BURST_MESSAGES = 400  # per sender
+MESSAGES_PER_MS = 200.0 / 1000  # sustained rate per sender
+MAX_SENDERS = 4096  # senders with a token bucket; the oldest are evicted
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """How many messages of one sender may come at `updated_ms`."""
+    """Number of messages that one sender may send, as of `updated_ms`."""
 
     tokens: float
     updated_ms: float
 
 
 class SenderRateLimiter:
-    """A token bucket for each address."""
+    """Limits received messages with one token bucket per sender address."""
 
     def __init__(self) -> None:
         self._buckets: OrderedDict[str, TokenBucket] = OrderedDict()
 
     def allow(self, now_ms: float, address: str) -> bool:
-        """Return whether a message of that address is accepted, and count it if so."""
+        """Consume a token of `address`; return whether its message is allowed."""
         bucket = self._buckets.get(address)
         if bucket is None:
             bucket = self._buckets[address] = TokenBucket(BURST_MESSAGES, now_ms)
--- a/wheathill/peers/streams.py
+++ b/wheathill/peers/streams.py
@@ -1,8 +1,8 @@
-"""Streams between proxies: frames one after another over a connection.
+"""Streams between proxies: a sequence of frames over a connection.
 
-A stream goes one way. The process that accepts it first sends its generation in a
-`hello`, which every frame on the stream then names, so that a recorded stream is valid
-for nobody. A stream without progress is closed.
+A stream is unidirectional. The accepting process first sends its generation in a
+`hello`, and every frame on the stream then names this generation, so that a recorded
+stream cannot be replayed to another process. A stream without progress is closed.
 """
 
 from collections import deque
@@ -18,15 +18,15 @@
 from wheathill.peers.transport_metrics import DropReason, TransportMetrics
 
 HELLO = "hello"
-MAX_FRAME_BODY = 262_144  # bytes
-MAX_QUEUED = 1_048_576  # bytes that wait for one receiver
-STALL_TIMEOUT_MS = 5000.0  # without any progress
+MAX_FRAME_BODY_BYTES = 262_144
+MAX_QUEUED_BYTES = 1_048_576  # per receiver
+STALL_TIMEOUT_MS = 5000.0  # without progress of a pending frame or `hello`
 IDLE_TIMEOUT_MS = 10_000.0  # without anything to send or receive
 
 
 @dataclass(frozen=True, slots=True)
 class StreamContext:
-    """What all streams of a transport share."""
+    """Dependencies shared by all streams of a transport."""
 
     authenticator: FrameAuthenticator
     metrics: TransportMetrics
@@ -35,9 +35,9 @@
 
 
 class PeerStream(ProtocolMachine):
-    """What both ends of a stream have in common.
+    """Base class of inbound and outbound streams.
 
-    `on_closed` is called with the stream once it is closed.
+    `on_closed` is called with the stream when it is closed.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         self._buffer = bytearray()
 
     def received(self, data: bytes) -> None:
-        """Handle the frames that are complete with these bytes."""
+        """Handle all frames that these bytes complete."""
         self._metrics.bytes_received += len(data)
         self._buffer += data
         try:
@@ -59,12 +59,13 @@
             self._metrics.record_drop(error.reason, "a stream")
             self.end()
             return
-        # A slow sender gets the same time for each frame, not for each byte.
+        # The stall timeout applies per frame, so that a slow sender cannot extend it
+        # with single bytes.
         if not self._buffer:
             self.set_timer(IDLE_TIMEOUT_MS, self.end)
 
     def _next_frame(self) -> bytes | None:
-        length = self._authenticator.frame_length(self._buffer, MAX_FRAME_BODY)
+        length = self._authenticator.frame_length(self._buffer, MAX_FRAME_BODY_BYTES)
         if length is None or len(self._buffer) < length:
             return None
         frame = bytes(self._buffer[:length])
@@ -75,15 +76,15 @@
         raise NotImplementedError
 
     def ended(self) -> None:
-        """Close the stream, as the other end has."""
+        """Close the stream after the other end has closed."""
         self.end()
 
     def lost(self, reset: bool) -> None:
-        """Close the stream without its connection."""
+        """Close the stream after its connection was lost."""
         self.end()
 
     def fault(self) -> None:
-        """Close the stream after an exception in it."""
+        """Close the stream after one of its callbacks raised an exception."""
         self.end()
 
     def end(self) -> None:
@@ -94,11 +95,11 @@
         self.wire.abort()
 
     def _discard_queue(self) -> None:
-        """Drop what waits to be sent."""
+        """Discard payloads that have not been sent."""
 
 
 class InboundStream(PeerStream):
-    """A stream that another process has opened and sends on."""
+    """The receiving end of a stream, which another process opened."""
 
     def __init__(
         self,
@@ -119,7 +120,7 @@
         self.set_timer(STALL_TIMEOUT_MS, self.end)
 
     def received(self, data: bytes) -> None:
-        """Handle the frames that are complete with these bytes."""
+        """Handle all frames that these bytes complete."""
         if not self._buffer:
             self.set_timer(STALL_TIMEOUT_MS, self.end)
         super().received(data)
@@ -132,17 +133,17 @@
 
 @dataclass(frozen=True, slots=True)
 class QueuedPayload:
-    """A payload that waits to be sent, and the size of its frame."""
+    """A payload waiting to be sent, and the size of its frame in bytes."""
 
     payload: list[Any]
     frame_size: int
 
 
 class OutboundStream(PeerStream):
-    """A stream to one address.
+    """The sending end of a stream to one address.
 
-    Payloads wait until the receiver has sent its generation; they are dropped where it
-    does not read.
+    Payloads are queued until the receiver has sent its generation. They are dropped if
+    the queue is full or the stream closes.
     """
 
     def __init__(
@@ -159,11 +160,11 @@
         self.set_timer(STALL_TIMEOUT_MS, self.end)
 
     def send(self, payload: list[Any]) -> None:
-        """Send a payload, or queue it."""
-        # The frame is encoded again once it is sent, for the generation known by then.
+        """Send a payload, or queue it while it cannot be sent."""
+        # Encoded again when sent, as the receiver's generation may be unknown so far.
         generation = self._receiver_generation
         size = len(self._authenticator.encode_frame(generation, payload))
-        if size > MAX_FRAME_BODY or self._queued_bytes + size > MAX_QUEUED:
+        if size > MAX_FRAME_BODY_BYTES or self._queued_bytes + size > MAX_QUEUED_BYTES:
             self._metrics.record_drop(DropReason.QUEUE_FULL, self._address)
             return
         self._queue.append(QueuedPayload(payload, size))
@@ -172,7 +173,7 @@
             self._send_queued()
 
     def _handle_frame(self, frame: bytes) -> None:
-        """Take the generation from the receiver's `hello`, which names no receiver."""
+        """Learn the generation from the receiver's `hello`, which names no receiver."""
         try:
             self._authenticator.decode_frame(frame)
         except FrameRejectedError as error:
@@ -195,7 +196,7 @@
         self.set_timer(STALL_TIMEOUT_MS if is_waiting else IDLE_TIMEOUT_MS, self.end)
 
     def blocked(self, on: bool) -> None:
-        """Give the receiver time to read, or go on once it has."""
+        """Wait for a blocked receiver, or continue sending when it reads again."""
         if on:
             self.set_timer(STALL_TIMEOUT_MS, self.end)
         else:
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -1,10 +1,10 @@
-"""Transport between proxies: short messages as datagrams, long ones on streams.
+"""Transport between proxies: datagrams for short messages, streams for long ones.
 
-It works over any carrier, and payloads are opaque to it. The first message to an
-address waits until the process there has sent its generation: a process that gets a
-frame which names none, or another one, replies `hello`, which states the generation to
-be named. So a frame that was recorded earlier is valid for nobody. Whatever is held for
-an address is bounded, and no receiver waits for another.
+Payloads are opaque to it, and the environment supplies the sockets. The first message
+to an address waits until the process there has sent its generation: a process that
+receives a frame naming no generation, or another one, replies with a `hello` that
+states its own. Frames recorded from an earlier exchange are therefore rejected. The
+state per address is bounded, and a slow receiver does not delay others.
 """
 
 from collections import OrderedDict, deque
@@ -26,37 +26,36 @@
 )
 from wheathill.peers.transport_metrics import DropReason, TransportMetrics
 
-# Bytes of a datagram; longer frames go by stream. It fits into one packet of Ethernet,
-# so that a message is not lost with any one of several fragments.
-MAX_DATAGRAM = 1400
-MAX_ADDRESSES = 4096  # of which something is held; the oldest are dropped
-# How many streams from others may be open: a part of all sockets, but no fewer than the
-# minimum.
-INBOUND_STREAMS_PART, MIN_INBOUND_STREAMS = 1 / 16, 4
-MAX_UNSENT = 4  # payloads that wait for the generation of the process at an address
-MAX_PREVIOUS_GENERATIONS = 8
+# Longer frames are sent by stream. Fits into one Ethernet packet, as a fragmented
+# datagram is lost with any one of its fragments.
+MAX_DATAGRAM_BYTES = 1400
+MAX_REMOTE_ADDRESSES = 4096  # the oldest are evicted
+# Limit of open inbound streams: a share of all sockets, but at least the minimum.
+INBOUND_STREAMS_SHARE, MIN_INBOUND_STREAMS = 1 / 16, 4
+MAX_UNSENT_PAYLOADS = 4  # per address, while the generation there is unknown
+MAX_PREVIOUS_GENERATIONS = 8  # per address
 
 
 class RemoteAddress:
-    """One address that is sent to.
+    """State of a remote address.
 
     Attributes:
-        generation: of the process there, as it stated; 0 before.
-        previous_generations: of the processes there before.
-        unsent: payloads that wait for the generation.
-        stream: the open one, or None.
+        generation: Generation stated by the process at the address; 0 while unknown.
+        previous_generations: Generations of earlier processes at the address.
+        unsent: Payloads waiting for the generation.
+        stream: The open outbound stream, or None.
     """
 
     def __init__(self, address: str) -> None:
         self.address = address
         self.generation = 0
         self.previous_generations: deque[int] = deque(maxlen=MAX_PREVIOUS_GENERATIONS)
-        self.unsent: deque[list[Any]] = deque(maxlen=MAX_UNSENT)
+        self.unsent: deque[list[Any]] = deque(maxlen=MAX_UNSENT_PAYLOADS)
         self.stream: OutboundStream | None = None
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Return host and port of "HOST:PORT"."""
+    """Split "HOST:PORT" into host and port, without brackets of an IPv6 host."""
     host, _, port = address.rpartition(":")
     return host.strip("[]"), int(port)
 
@@ -64,8 +63,9 @@
 class PeerTransport:
     """Sends and receives the messages of one process.
 
-    `on_message(frame, address)` is called for each message that is accepted; `address`
-    is None for what came on a stream. Raises OSError where a socket can't be opened.
+    `on_message(frame, address)` is called for each accepted message; `address` is None
+    for a message received on a stream. The constructor raises OSError if a socket
+    cannot be opened.
     """
 
     def __init__(
@@ -75,49 +75,49 @@
         on_message: Callable[[Frame, str | None], None],
         listen: tuple[str, int],
     ) -> None:
-        carrier, clock = environment.carrier, environment.clock
-        self._carrier, self._clock = carrier, clock
+        network, clock = environment.carrier, environment.clock
+        self._network, self._clock = network, clock
         self.metrics = TransportMetrics(clock, environment.log_event)
         self._authenticator, self._on_message = authenticator, on_message
         self._source_host = listen[0]
-        self._streams = StreamContext(
-            authenticator, self.metrics, clock, carrier.limits
+        self._stream_context = StreamContext(
+            authenticator, self.metrics, clock, network.limits
         )
         self.rate_limiter = SenderRateLimiter()
         self.remote_addresses: dict[str, RemoteAddress] = {}
-        # The oldest first.
-        self._inbound: OrderedDict[InboundStream, None] = OrderedDict()
-        self._max_inbound = max(
-            MIN_INBOUND_STREAMS, int(carrier.limits.max_sockets * INBOUND_STREAMS_PART)
+        # Ordered from oldest to newest.
+        self._inbound_streams: OrderedDict[InboundStream, None] = OrderedDict()
+        self._max_inbound_streams = max(
+            MIN_INBOUND_STREAMS, int(network.limits.max_sockets * INBOUND_STREAMS_SHARE)
         )
-        self._server = carrier.listen(
+        self._server_socket = network.listen(
             self._accept_stream, listen, self._make_room_for_stream
         )
-        self._datagrams = carrier.datagrams(self, listen)
+        self._datagram_socket = network.datagrams(self, listen)
 
     def close(self) -> None:
-        """Close all sockets."""
-        self._server.close()
-        self._datagrams.close()
+        """Close all sockets and streams."""
+        self._server_socket.close()
+        self._datagram_socket.close()
         outbound = [
             remote.stream for remote in self.remote_addresses.values() if remote.stream
         ]
-        for stream in [*self._inbound, *outbound]:
+        for stream in [*self._inbound_streams, *outbound]:
             stream.end()
 
     # Sending
 
     def remote(self, address: str) -> RemoteAddress:
-        """Return what is held for an address, from now on if there was nothing."""
+        """Return the state of an address, and create it if there is none."""
         remote = self.remote_addresses.get(address)
         if remote is None:
             remote = self.remote_addresses[address] = RemoteAddress(address)
-            while len(self.remote_addresses) > MAX_ADDRESSES:
+            while len(self.remote_addresses) > MAX_REMOTE_ADDRESSES:
                 self.remote_addresses.pop(next(iter(self.remote_addresses)))
         return remote
 
     def send(self, address: str, payload: list[Any], is_bulk: bool = False) -> None:
-        """Send a payload; by stream where it is bulk or too long for a datagram."""
+        """Send a payload, by stream if it is bulk or too long for a datagram."""
         remote = self.remote(address)
         if is_bulk:
             self.send_by_stream(remote, payload)
@@ -127,7 +127,7 @@
             self._send_hello(address, remote.generation)
             return
         frame = self._authenticator.encode_frame(remote.generation, payload)
-        if len(frame) > MAX_DATAGRAM:
+        if len(frame) > MAX_DATAGRAM_BYTES:
             self.send_by_stream(remote, payload)
         else:
             self._send_datagram(address, frame)
@@ -139,19 +139,21 @@
     def _send_datagram(self, address: str, frame: bytes) -> None:
         self.metrics.datagrams_sent += 1
         self.metrics.bytes_sent += len(frame)
-        self._datagrams.send(frame, split_address(address))
+        self._datagram_socket.send(frame, split_address(address))
 
     def send_by_stream(self, remote: RemoteAddress, payload: list[Any]) -> None:
-        """Send a payload on the stream to an address, and open that first if needed."""
+        """Send a payload on the stream to an address, which is opened if needed."""
         if remote.stream is None:
             remote.stream = OutboundStream(
-                self._streams, remote.address, lambda closed: _forget(remote, closed)
+                self._stream_context,
+                remote.address,
+                lambda closed: _detach_stream(remote, closed),
             )
             remote.stream.wire = self._connect(remote.stream, remote.address)
         remote.stream.send(payload)
 
     def _connect(self, machine: ProtocolMachine, address: str) -> Connection:
-        return self._carrier.connect(machine, split_address(address), self._source_host)
+        return self._network.connect(machine, split_address(address), self._source_host)
 
     def start_fallback_probe(
         self,
@@ -159,10 +161,10 @@
         timeout_ms: float,
         on_result: Callable[[ProbeResult], object],
     ) -> None:
-        """Find out by connections whether a process listens at an address."""
+        """Probe over TCP whether a process listens at an address."""
         prober = FallbackProber(
             self._clock,
-            self._carrier.limits,
+            self._network.limits,
             lambda machine: self._connect(machine, address),
             on_result,
         )
@@ -171,7 +173,7 @@
     # Receiving
 
     def received(self, data: bytes, source: tuple[str, int]) -> None:
-        """Handle a datagram of (host, port)."""
+        """Handle a datagram from `source`, a (host, port) pair."""
         self.metrics.bytes_received += len(data)
         address = f"{source[0]}:{source[1]}"
         if not self.rate_limiter.allow(self._clock.now(), address):
@@ -183,8 +185,8 @@
             if error.sender_generation is None:
                 self.metrics.record_drop(error.reason, address)
             else:
-                # The sender does not know this process yet, or the frame is an old one:
-                # which of the two shows in what it does with the reply.
+                # Either the sender does not know this process yet, or the frame is a
+                # replay. A genuine sender uses the generation in the reply.
                 self._send_hello(address, error.sender_generation)
             return
         self.metrics.messages_received += 1
@@ -193,7 +195,7 @@
             self._on_message(frame, address)
 
     def _learn_generation(self, remote: RemoteAddress, generation: int) -> None:
-        """Note which process is at an address, and send what has waited for that."""
+        """Record the generation at an address, and send the payloads waiting for it."""
         if generation == remote.generation or self._was_replaced(remote, generation):
             return
         if remote.generation:
@@ -209,27 +211,27 @@
         return generation in remote.previous_generations
 
     def is_replaced(self, address: str, generation: int) -> bool:
-        """Return whether a later process has answered at the address of that one."""
+        """Return whether a later process has replaced that generation at `address`."""
         remote = self.remote_addresses.get(address)
         return remote is not None and self._was_replaced(remote, generation)
 
     def _accept_stream(self, connection: Connection) -> InboundStream:
         stream = InboundStream(
-            self._streams,
+            self._stream_context,
             connection,
             lambda frame: self._on_message(frame, None),
-            lambda closed: self._inbound.pop(closed, None),
+            lambda closed: self._inbound_streams.pop(closed, None),
         )
-        self._inbound[stream] = None
+        self._inbound_streams[stream] = None
         return stream
 
     def _make_room_for_stream(self) -> bool:
-        """Close the oldest stream for a new one, which is always accepted."""
-        if len(self._inbound) >= self._max_inbound:
-            next(iter(self._inbound)).end()
+        """Close the oldest stream if the limit is reached; always accept a new one."""
+        if len(self._inbound_streams) >= self._max_inbound_streams:
+            next(iter(self._inbound_streams)).end()
         return True
 
 
-def _forget(remote: RemoteAddress, stream: OutboundStream) -> None:
+def _detach_stream(remote: RemoteAddress, stream: OutboundStream) -> None:
     if remote.stream is stream:
         remote.stream = None
--- a/wheathill/peers/transport_metrics.py
+++ b/wheathill/peers/transport_metrics.py
@@ -1,4 +1,4 @@
-"""What the transport counts, and the log line for messages that it drops."""
+"""Counters of the transport, and rate-limited logging of dropped messages."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -8,12 +8,12 @@
 from wheathill.peers.environment import Clock
 from wheathill.peers.frames import RejectReason
 
-# For each reason; a flood of bad frames must not become a flood of lines.
-LOG_INTERVAL_MS = 60_000.0
+# Per reason, so that a flood of bad frames does not flood the log.
+DROP_LOG_INTERVAL_MS = 60_000.0
 
 
 class DropReason(StrEnum):
-    """Why the transport dropped a message, beside what is wrong with its frame."""
+    """Why the transport dropped a message, other than a rejected frame."""
 
     RATE_LIMITED = "too often"
     QUEUE_FULL = "queue full"
@@ -24,11 +24,11 @@
     """Counters of one transport.
 
     Attributes:
-        datagrams_sent: frames that left as datagrams.
-        messages_received: messages that were accepted, over datagrams and streams.
-        bytes_sent: of frames.
-        bytes_received: of frames, also of those that were dropped.
-        dropped: messages by the text of the reason.
+        datagrams_sent: Frames sent as datagrams.
+        messages_received: Accepted messages, from datagrams and streams.
+        bytes_sent: Bytes of sent frames.
+        bytes_received: Bytes of received frames, including dropped ones.
+        dropped: Dropped messages by the text of the reason.
     """
 
     def __init__(self, clock: Clock, log_event: Callable[..., None]) -> None:
@@ -41,12 +41,12 @@
         self._logged_at_ms: dict[str, float] = {}
 
     def record_drop(self, reason: RejectReason | DropReason, source: str) -> None:
-        """Count a message that was dropped, and log it unless its reason just was."""
+        """Count a dropped message, and log it at most once per interval and reason."""
         text = reason.value
         self.dropped[text] = self.dropped.get(text, 0) + 1
         now_ms = self._clock.now()
-        logged_at_ms = self._logged_at_ms.get(text, -LOG_INTERVAL_MS)
-        if now_ms - logged_at_ms >= LOG_INTERVAL_MS:
+        logged_at_ms = self._logged_at_ms.get(text, -DROP_LOG_INTERVAL_MS)
+        if now_ms - logged_at_ms >= DROP_LOG_INTERVAL_MS:
             self._logged_at_ms[text] = now_ms
             self._log_event(
                 LogEvent.FRAME_DROPPED,
@@ -56,7 +56,7 @@
             )
 
     def as_dict(self) -> dict[str, Any]:
-        """Return the counters under the names that operators see."""
+        """Return the counters under their external names."""
         return {
             "sent": self.datagrams_sent,
             "taken": self.messages_received,
