--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -93,7 +93,7 @@
 class Connection:
     """One to a client or a server; what is sent on it is of no interest here."""
 
-    open = reached = drained = quiet = True
+    open = was_established = drained = quiet = True
     full = unread = False
     waited = 0.0
 
@@ -106,7 +106,7 @@
     def ignore(self, *_):
         pass
 
-    send = hold = finish = part = ignore
+    send = hold = finish = close_gracefully = ignore
 
 
 class UnixConnection:
@@ -135,7 +135,17 @@
     """Stands in for the sockets of one process."""
 
     def __init__(self, limits):
-        self.limits, self.free, self.lent, self.parting = limits, 1000, 0, {}
+        (
+            self.limits,
+            self.free,
+            self.previous_process_sockets,
+            self.closing_connections,
+        ) = (
+            limits,
+            1000,
+            0,
+            {},
+        )
         self.sockets = 40
         self.dropped = self.adopted = 0
         self.make_receiver = self.make_sender = None
@@ -148,14 +158,14 @@
         machine.wire = Connection()
         self.adopted += 1
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.dropped += len(handles)
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         self.make_sender = make_machine
         return types.SimpleNamespace(close=lambda: None)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         if not self.reaches:
             raise FileNotFoundError(2, "nobody is there")
         return self.connection(make_machine)
@@ -561,7 +571,8 @@
                     new.receiver.deliver(json.dumps(one).encode() + b"\n")
                 new.receiver.deliver(message(told=True))
         yield (
-            odd_line(f"new: {name}", new, new.receiver) + f", lent {new.transport.lent}"
+            odd_line(f"new: {name}", new, new.receiver)
+            + f", lent {new.transport.previous_process_sockets}"
         )
 
 
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -103,7 +103,7 @@
     def listen(self, make_machine, address, room):
         return self.inner.listen(make_machine, address, room)
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return ShapedPost(self, machine, address)
 
     def connect(self, machine, address, source=None):
@@ -117,7 +117,7 @@
 class ShapedPost:
     def __init__(self, carrier, machine, address):
         self.carrier, self.shape = carrier, carrier.shape
-        self.post = carrier.inner.datagrams(machine, address)
+        self.post = carrier.inner.bind_datagram_socket(machine, address)
         self.open = True
 
     def send(self, data, address):
@@ -162,8 +162,8 @@
         self.attempt(FIRST_AGAIN)
 
     @property
-    def held_back(self):
-        return self.machine.held_back
+    def is_connect_postponed(self):
+        return self.machine.is_connect_postponed
 
     def attempt(self, again):
         shape = self.shape
@@ -244,7 +244,7 @@
     def lost(self, reset):
         self.carry(False, self.end, reset)
 
-    def let_go(self):
+    def release(self):
         pass  # what is still on its way is told later
 
     def blocked(self, on):
@@ -262,7 +262,7 @@
             self.refused = self.wire.refused
             self.leave()
             self.guard(self.machine.lost, reset)
-            self.machine.let_go()
+            self.machine.release()
 
     def tell(self, what, *args):
         if not self.over:
--- a/wheathill/lab/worlds/tap.py
+++ b/wheathill/lab/worlds/tap.py
@@ -19,7 +19,7 @@
 
 
 class Tap:
-    held_back = False  # a connection of a stand-in is begun at once
+    is_connect_postponed = False  # a connection of a stand-in is begun at once
     came = None  # when the first byte left its sender, where the way here may hold it for long
 
     def __init__(self, host, machine, wire=None):
@@ -75,8 +75,8 @@
         self.dead = True
         self.machine.lost(reset)
 
-    def let_go(self):
-        self.machine.let_go()
+    def release(self):
+        self.machine.release()
 
     def fault(self):
         self.wire.abort(reset=True)
@@ -110,8 +110,8 @@
     def finish(self):
         self.pass_out(self.wire.finish)
 
-    def part(self):
-        self.pass_out(self.wire.part)
+    def close_gracefully(self):
+        self.pass_out(self.wire.close_gracefully)
 
     def abort(self, reset=False):
         self.dead = True
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -93,7 +93,7 @@
         self._server_socket = network.listen(
             self._accept_stream, listen, self._make_room_for_stream
         )
-        self._datagram_socket = network.datagrams(self, listen)
+        self._datagram_socket = network.bind_datagram_socket(self, listen)
 
     def close(self) -> None:
         """Close all sockets and streams."""
