--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -222,7 +222,7 @@
     cluster.resume("i003")
     cluster.run(10)
     assert cluster.has_converged() and any(
-        "was stalled" in line for line in cluster.lines
+        "stood still" in line for line in cluster.lines
     )
 
 
--- a/tests/test_membership_parts.py
+++ b/tests/test_membership_parts.py
@@ -306,7 +306,7 @@
     probe_next(membership, effects, late_ms=58_500.0)
     probe_next(membership, effects)
     assert effects.probes == []
-    assert effects.lines == ["peers: this process was stalled for 58500 ms"]
+    assert effects.lines == ["peers: this process stood still for 58500 ms"]
     membership.on_message(effects.next_probe_ms, "h:b", Ack(99, "b", []))
     probe_next(membership, effects)
     assert [probe.purpose for probe in effects.probes] == [
--- a/wheathill/peers/membership/failure_detector.py
+++ b/wheathill/peers/membership/failure_detector.py
@@ -80,7 +80,7 @@
         instance answers, it suspects no member and declares none dead.
         """
         self._context.effects.log(
-            f"peers: this process was stalled for {stalled_ms:.0f} ms"
+            f"peers: this process stood still for {stalled_ms:.0f} ms"
         )
         self._pending = None
         self._context.health.on_stall(now_ms)
--- a/wheathill/peers/membership/indirect_probes.py
+++ b/wheathill/peers/membership/indirect_probes.py
@@ -27,9 +27,8 @@
     def __init__(self, context: MembershipContext) -> None:
         self._context = context
         self._final_checks: dict[int, Member] = {}  # by sequence of the request
-        self._relayed_pings: dict[
-            int, RelayedPing
-        ] = {}  # by sequence of the relayed ping
+        # By sequence of the relayed ping.
+        self._relayed_pings: dict[int, RelayedPing] = {}
 
     def request(self, target: Member, sequence: int, count: int) -> int:
         """Ask up to `count` random members to ping `target`; return how many."""
--- a/wheathill/peers/membership/name_conflicts.py
+++ b/wheathill/peers/membership/name_conflicts.py
@@ -92,7 +92,7 @@
             self._context.gossip.discard(local)
             self._context.effects.log(
                 f"peers: the name {local.name} is held by {other.address}; "
-                "this instance stays out of the cluster"
+                "this instance stays alone"
             )
 
     def on_name_confirmed(self, now_ms: float) -> None:
@@ -101,13 +101,13 @@
             self.is_isolated = False
             self.held_since_ms = now_ms
             self._context.effects.log(
-                f"peers: this instance owns the name {self._context.local.name}"
+                f"peers: the name {self._context.local.name} is this instance's"
             )
 
     def on_removed(self) -> None:
         """Record that an operator removed this instance."""
         self.is_isolated = self.is_removed = True
         self._context.effects.log(
-            "peers: an operator removed this instance; "
-            "it rejoins the cluster when restarted"
+            "peers: an operator took this instance off; "
+            "it comes back with its next start"
         )
--- a/wheathill/peers/membership/refutation.py
+++ b/wheathill/peers/membership/refutation.py
@@ -17,7 +17,7 @@
         """Apply an update about this instance's own name."""
         local = self._context.local
         if update.generation != local.generation:
-            self._apply_of_other_process(now_ms, update)
+            self._apply_update_of_other_process(now_ms, update)
         elif update.state == MemberState.LEFT and not self._ownership.is_removed:
             self._ownership.on_removed()
         elif update.state == MemberState.ALIVE:
@@ -48,7 +48,9 @@
         for member in informed:
             self._context.send_ping(member.address, 0, first=self._context.local)
 
-    def _apply_of_other_process(self, now_ms: float, update: MemberUpdate) -> None:
+    def _apply_update_of_other_process(
+        self, now_ms: float, update: MemberUpdate
+    ) -> None:
         is_elsewhere = update.address != self._context.local.address
         if update.state == MemberState.ALIVE and is_elsewhere:
             self._ownership.resolve_conflict(now_ms, update)
--- a/wheathill/peers/membership/updates.py
+++ b/wheathill/peers/membership/updates.py
@@ -109,7 +109,7 @@
         was replaced at its address, is never accepted again. Of two running processes
         the one with the lower generation wins, so that all members agree.
         """
-        is_ahead = (
+        has_precedence = (
             update.incarnation,
             -update.generation,
         ) > (
@@ -117,14 +117,16 @@
             -known.generation,
         ) and known.address != update.address
         is_successor = (
-            update.incarnation > known.incarnation or is_ahead or not known.is_active
+            update.incarnation > known.incarnation
+            or has_precedence
+            or not known.is_active
         )
         if update.state != MemberState.ALIVE or not is_successor:
             return
         if known.state == MemberState.ALIVE and known.address != update.address:
             self._context.effects.log(
-                f"peers: {update.name} is now at {update.address}, "
-                f"previously at {known.address}"
+                f"peers: {update.name} is at {update.address} now, "
+                f"and was at {known.address}"
             )
         self._transitions.mark_alive(now_ms, known, update)
 
