--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -96,22 +96,22 @@
     pair = Pair().run(10)
     pair.near.wire.send(b"hello", b" there")
     pair.run(5)
-    pair.near.wire.finish()
+    pair.near.wire.send_eof()
     pair.run(5)
     pair.far.wire.send(b"after your end")
-    pair.far.wire.finish()
+    pair.far.wire.send_eof()
     pair.run(5)
     return pair.lines
 
 
 def held_reader_blocks_its_writer():
     pair = Pair().run(10)
-    pair.far.wire.hold(True)
+    pair.far.wire.set_paused(True)
     for _ in range(5):
         pair.near.wire.send(b"x" * 100_000)
     pair.run(20)
     pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
-    pair.far.wire.hold(False)
+    pair.far.wire.set_paused(False)
     pair.run(20)
     pair.lines.append(f"drained {pair.near.wire.drained}, read {pair.far.got}")
     return pair.lines
@@ -177,7 +177,7 @@
     pair.far.wire.close_gracefully()
     pair.near.wire.send(b"still talking")
     pair.run(5)
-    pair.near.wire.finish()
+    pair.near.wire.send_eof()
     pair.run(2000)
     pair.lines.append(
         f"sockets {pair.one.carrier.sockets} and {pair.other.carrier.sockets}"
--- a/wheathill/net/server.py
+++ b/wheathill/net/server.py
@@ -44,7 +44,7 @@
         calls for this dial, or while this process stood still: it is read first."""
         client = self.client.wire
         return not self.over and (
-            self.owner.list_unread or client.open and client.unread
+            self.owner.list_unread or client.open and client.has_unread_bytes
         )
 
     def connected(self):
@@ -162,13 +162,13 @@
         if not on:
             self.line_left()
         if self.up:
-            self.client.wire.hold(on)
+            self.client.wire.set_paused(on)
 
     def ended(self):
         if not self.up:
             return self.give_up(self.broken)
         self.tell_over(self.outcome)
-        self.client.wire.finish()
+        self.client.wire.send_eof()
         self.set_timer(self.limits.linger_ms, self.close)
 
     @property
--- a/wheathill/peers/connections.py
+++ b/wheathill/peers/connections.py
@@ -7,11 +7,12 @@
     """A connection to or from another process.
 
     Attributes:
-        full: Whether unsent bytes are buffered, as the other end does not read.
+        is_write_blocked: Whether unsent bytes are buffered, as the other end does not
+            read.
         refused: Whether the host refused the connection because nothing listens.
     """
 
-    full: bool
+    is_write_blocked: bool
     refused: bool
 
     def send(self, *parts: bytes) -> None:
