--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -130,7 +130,7 @@
 
     def through():
         return all(
-            peers.zone_directory.adopted_layout("c1") == 2
+            peers.zone_directory.adopted_layout_version("c1") == 2
             for peers in fleet.peers.values()
         )
 
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -310,7 +310,7 @@
         self.writer = self.another_writer(f"{own}1 5")
 
     def another_writer(self, name):
-        own = self.directory.own.name
+        own = self.directory.own_zone.name
         return SummaryWriter(own, name, self.table, 1000.0, 0.0)
 
 
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -183,7 +183,7 @@
             self.cluster_view.record_report(
                 sender.name, sender.generation, header.view, int(header.layout_version)
             )
-        elif header.zone in self.zone_directory.others:
+        elif header.zone in self.zone_directory.other_zones:
             self.zone_contacts.record_contact(now_ms, header.zone)
         else:
             raise ValueError(f"no zone of the layout: {header.zone}")
@@ -266,7 +266,7 @@
         """Return an address in each other zone, in the order of the layout."""
         return [
             self.zone_contacts.address(now_ms, zone)
-            for zone in self.zone_directory.others
+            for zone in self.zone_directory.other_zones
         ]
 
     def zone_state(self) -> ViewState:
--- a/wheathill/peers/zones/status.py
+++ b/wheathill/peers/zones/status.py
@@ -38,8 +38,8 @@
         own_zone_count = self._sources.view.max_active_proxies(now_ms)
         return {
             **super().table(),
-            "zone": directory.own.name,
-            "region": directory.own.region,
+            "zone": directory.own_zone.name,
+            "region": directory.own_zone.region,
             "layout": directory.layout.version,
             "part": round(self._zone_sources.quota.quota(), 6),
             "fleet_at_work": directory.max_active_proxies(own_zone_count),
@@ -65,9 +65,9 @@
         """Return what this proxy does because of its peers, and would not without."""
         found = super().deviations(now_ms)
         directory, quota = self._zone_sources.directory, self._zone_sources.quota
-        own = directory.own
+        own = directory.own_zone
         if quota.quota() < own.quota:
-            adopted = directory.adopted_layout(own.name)
+            adopted = directory.adopted_layout_version(own.name)
             found.append(
                 f"takes {quota.quota():.3g} for its zone's part, "
                 f"{own.quota:.3g} by its layout: not all zones hold version "
--- a/wheathill/peers/zones/summary_builder.py
+++ b/wheathill/peers/zones/summary_builder.py
@@ -19,13 +19,13 @@
         reachable_proxies=1 + len(view.reachable_names()),
         digest=view.digest() if has_agreement else "",
         unreachable_zones=tuple(sorted(contacts.unreachable_zones(now_ms))),
-        layout_version=_adopted_layout(view, directory),
+        layout_version=_adopted_layout_version(view, directory),
         leaders=tuple(ZoneLeader(leader.name, leader.address) for leader in leaders),
     )
 
 
-def _adopted_layout(view: ClusterView, directory: ZoneDirectory) -> int:
+def _adopted_layout_version(view: ClusterView, directory: ZoneDirectory) -> int:
     """Return the layout that all proxies of the own zone hold; it never falls."""
     held = [known.layout_version for known in view.members.values()]
     lowest = 0 if view.unseen_count() else min([directory.layout.version, *held])
-    return max(directory.adopted_layout(directory.own.name), lowest)
+    return max(directory.adopted_layout_version(directory.own_zone.name), lowest)
--- a/wheathill/peers/zones/zone_contacts.py
+++ b/wheathill/peers/zones/zone_contacts.py
@@ -33,7 +33,7 @@
         self._random = rng
         # By zone: when a message of it last arrived here, or since when this proxy is a
         # leader.
-        self._last_contact_ms = dict.fromkeys(directory.others, now_ms)
+        self._last_contact_ms = dict.fromkeys(directory.other_zones, now_ms)
         # The zones from which one has arrived since then.
         self._contacted: set[str] = set()
         self._remaining: list[str] = []
@@ -49,7 +49,7 @@
 
         A proxy that is no leader gets hardly any messages from other zones.
         """
-        self._last_contact_ms = dict.fromkeys(self.directory.others, now_ms)
+        self._last_contact_ms = dict.fromkeys(self.directory.other_zones, now_ms)
         self._contacted = set()
 
     def unreachable_zones(self, now_ms: float) -> list[str]:
@@ -61,7 +61,7 @@
         before = self.directory.unreachable_zones()
         return [
             zone
-            for zone in self.directory.others
+            for zone in self.directory.other_zones
             if self._silence_ms(now_ms, zone)
             > UNREACHABLE_INTERVALS * self._interval_ms
             or (zone in before and zone not in self._contacted)
@@ -85,11 +85,13 @@
     def heartbeat_addresses(self, now_ms: float) -> list[str]:
         """Return where to send heartbeats now, one address a zone."""
         if not self._remaining:
-            self._remaining = list(self.directory.others)
+            self._remaining = list(self.directory.other_zones)
             self._random.shuffle(self._remaining)
         due = self._remaining[:ZONES_PER_INTERVAL]
         self._remaining = self._remaining[ZONES_PER_INTERVAL:]
-        late = [zone for zone in self.directory.others if self._is_late(now_ms, zone)]
+        late = [
+            zone for zone in self.directory.other_zones if self._is_late(now_ms, zone)
+        ]
         return [self.address(now_ms, zone) for zone in dict.fromkeys([*due, *late])]
 
     def _is_late(self, now_ms: float, zone: str) -> bool:
--- a/wheathill/peers/zones/zone_directory.py
+++ b/wheathill/peers/zones/zone_directory.py
@@ -21,11 +21,16 @@
     """
 
     def __init__(
-        self, layout: ZoneLayout, own_zone: str, table: ReplicatedTable[ZoneSummary]
+        self,
+        layout: ZoneLayout,
+        own_zone_name: str,
+        table: ReplicatedTable[ZoneSummary],
     ) -> None:
         self.layout = layout
-        self.own = layout.zone(own_zone)
-        self.others = {zone.name: zone for zone in layout.zones if zone is not self.own}
+        self.own_zone = layout.zone(own_zone_name)
+        self.other_zones = {
+            zone.name: zone for zone in layout.zones if zone is not self.own_zone
+        }
         self._table = table
 
     def summary(self, zone: str) -> ZoneSummary | None:
@@ -41,9 +46,9 @@
         summary = self.summary(zone)
         leaders = () if summary is None else summary.leaders
         found = [leader.address for leader in leaders]
-        return list(dict.fromkeys([*found, *self.others[zone].seeds]))
+        return list(dict.fromkeys([*found, *self.other_zones[zone].seeds]))
 
-    def adopted_layout(self, zone: str) -> int:
+    def adopted_layout_version(self, zone: str) -> int:
         """Return the version of the layout that a zone is through with, 0 if unknown.
 
         All proxies that may be active there have held it. It never falls: a proxy that
@@ -57,20 +62,20 @@
 
         These are none while the leaders have stated nothing yet.
         """
-        summary = self.summary(self.own.name)
+        summary = self.summary(self.own_zone.name)
         return () if summary is None else summary.unreachable_zones
 
     # States; those of other zones, given that of the own
 
     def own_state(self, view_state: ViewState) -> ViewState:
         """Return the own zone's state; one of a single member has converged."""
-        if view_state == ViewState.STANDALONE and self.own.proxies <= 1:
+        if view_state == ViewState.STANDALONE and self.own_zone.proxies <= 1:
             return ViewState.CONVERGED
         return view_state
 
     def state(self, zone: str, own_state: ViewState) -> ViewState:
         """Return the state of one zone as far as it is known here."""
-        if zone == self.own.name:
+        if zone == self.own_zone.name:
             return own_state
         if zone in self.unreachable_zones():
             return ViewState.DIVERGED
@@ -82,9 +87,11 @@
 
         It is partitioned where no zone of any other region can be reached.
         """
-        region = self.own.region
-        elsewhere = [zone for zone in self.others.values() if zone.region != region]
-        nearby = [zone for zone in self.others.values() if zone.region == region]
+        region = self.own_zone.region
+        elsewhere = [
+            zone for zone in self.other_zones.values() if zone.region != region
+        ]
+        nearby = [zone for zone in self.other_zones.values() if zone.region == region]
         unreachable = self.unreachable_zones()
         if elsewhere and all(zone.name in unreachable for zone in elsewhere):
             return ViewState.PARTITIONED
@@ -102,7 +109,7 @@
         says.
         """
         total = own_zone_count
-        for name, zone in self.others.items():
+        for name, zone in self.other_zones.items():
             summary = self.summary(name)
             total += zone.proxies if summary is None else summary.max_active_proxies
         return total
--- a/wheathill/peers/zones/zone_quota.py
+++ b/wheathill/peers/zones/zone_quota.py
@@ -27,10 +27,10 @@
 
         It grows only once all zones whose quotas shrink are through with this layout.
         """
-        layout, own = self._directory.layout, self._directory.own
+        layout, own = self._directory.layout, self._directory.own_zone
         if self._is_outdated():
             return 0.0
-        adopted = self._directory.adopted_layout
+        adopted = self._directory.adopted_layout_version
         shrinking = [zone for zone in layout.zones if zone.quota < zone.previous_quota]
         if all(adopted(zone.name) >= layout.version for zone in shrinking):
             return own.quota
@@ -38,10 +38,10 @@
 
     def _is_outdated(self) -> bool:
         """Tell whether other proxies go by layouts that this one's file is behind."""
-        layout, adopted = self._directory.layout, self._directory.adopted_layout
+        layout, adopted = self._directory.layout, self._directory.adopted_layout_version
         return (
             self._is_superseded
-            or adopted(self._directory.own.name) > layout.version
+            or adopted(self._directory.own_zone.name) > layout.version
             or any(adopted(zone.name) > layout.version + 1 for zone in layout.zones)
         )
 
@@ -51,7 +51,7 @@
         `attempts` are the zone's. A part of an attempt is rounded by a hash of the
         server, so that those of all zones add up to no more than the whole, rounded up.
         """
-        quota = self._directory.own.quota
+        quota = self._directory.own_zone.quota
         if quota <= 0.0:
             return 0
         before = self._quota_of_zones_before()
@@ -63,7 +63,7 @@
         """Return the sum of the quotas of the zones before the own in the layout."""
         before = 0.0
         for zone in self._directory.layout.zones:
-            if zone is self._directory.own:
+            if zone is self._directory.own_zone:
                 break
             before += zone.quota
         return before
--- a/wheathill/peers/zones/zoned_limits.py
+++ b/wheathill/peers/zones/zoned_limits.py
@@ -29,7 +29,7 @@
 
     def expected_quota(self) -> float:
         """Return the quota that the configuration alone would give."""
-        return self._directory.own.quota / self._expected_proxies
+        return self._directory.own_zone.quota / self._expected_proxies
 
     def permit(self, server: str, attempts_per_capacity: float) -> float:
         """Return how many attempts a window may go to a warming server.
