--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -13,7 +13,7 @@
 from wheathill.peers.health_exchange import FRESHNESS_MS, HealthExchange
 from wheathill.peers.member_rotation import MemberRotation
 from wheathill.peers.messages import (
-    DigestNote,
+    DigestAnnouncement,
     DrainUpdate,
     HealthEvidence,
     MemberSummary,
@@ -86,7 +86,7 @@
             ViewReply(7, {"a": MemberSummary(11, "alive")}),
             ["view", 7, {"a": [11, "alive"]}],
         ),
-        (DigestNote(), ["note"]),
+        (DigestAnnouncement(), ["note"]),
     ],
 )
 def test_messages_are_read_as_they_were_written(message, words):
--- a/wheathill/peers/messages.py
+++ b/wheathill/peers/messages.py
@@ -93,7 +93,7 @@
     HEALTH = "seen"
     VIEW_REQUEST = "view?"
     VIEW_REPLY = "view"
-    DIGEST_NOTE = "note"
+    DIGEST_ANNOUNCEMENT = "note"
 
 
 @dataclass(frozen=True, slots=True)
@@ -208,12 +208,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DigestNote:
+class DigestAnnouncement:
     """Says nothing but its header: the sender's view has changed."""
 
     def encode(self) -> list[Any]:
         """Return the message as it stands in a frame."""
-        return [MessageKind.DIGEST_NOTE.value]
+        return [MessageKind.DIGEST_ANNOUNCEMENT.value]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
@@ -222,7 +222,12 @@
 
 
 Message = (
-    DrainUpdate | StartUpdate | HealthEvidence | ViewRequest | ViewReply | DigestNote
+    DrainUpdate
+    | StartUpdate
+    | HealthEvidence
+    | ViewRequest
+    | ViewReply
+    | DigestAnnouncement
 )
 
 _MESSAGES: dict[str, type[Message]] = {
@@ -231,7 +236,7 @@
     MessageKind.HEALTH: HealthEvidence,
     MessageKind.VIEW_REQUEST: ViewRequest,
     MessageKind.VIEW_REPLY: ViewReply,
-    MessageKind.DIGEST_NOTE: DigestNote,
+    MessageKind.DIGEST_ANNOUNCEMENT: DigestAnnouncement,
 }
 
 
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -31,7 +31,7 @@
 from wheathill.peers.membership import decode_message as decode_membership_message
 from wheathill.peers.membership import encode_message as encode_membership_message
 from wheathill.peers.messages import (
-    DigestNote,
+    DigestAnnouncement,
     DrainUpdate,
     HealthEvidence,
     Message,
@@ -247,7 +247,7 @@
         current = self.cluster_view.digest(), self.cluster_view.is_established
         if current != self._announced_view:
             self._announced_view = current
-            self.send_to_all(DigestNote())
+            self.send_to_all(DigestAnnouncement())
 
     def other_members(self) -> list[Member]:
         """Return the other members that count as present, suspects among them."""
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -15,7 +15,12 @@
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.health_exchange import EvidenceLimits
 from wheathill.peers.membership import FallbackProbe, Member, ProbeResult
-from wheathill.peers.messages import DigestNote, Sender, ViewHeader, ZonedViewHeader
+from wheathill.peers.messages import (
+    DigestAnnouncement,
+    Sender,
+    ViewHeader,
+    ZonedViewHeader,
+)
 from wheathill.peers.peer_service import PeerService
 from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.server_updates import ServerUpdates
@@ -152,7 +157,7 @@
         if self._announcements.is_due(self.clock.now(), self.cluster_view):
             for leader in self.zone_leaders():
                 if leader.name != self.settings.name:
-                    self.send_message(leader.address, DigestNote())
+                    self.send_message(leader.address, DigestAnnouncement())
 
     # Receiving
 
