--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -228,7 +228,7 @@
 
 
 def test_of_too_many_the_oldest_go_at_all_alike(monkeypatch):
-    monkeypatch.setattr(replicated_table, "MAX_SERVERS", 20)
+    monkeypatch.setattr(replicated_table, "MAX_SERVER_RECORDS", 20)
     records = [
         [f"s/g{place}", WALL + place, 1, "", [True, WALL + place]]
         for place in range(60)
@@ -584,7 +584,7 @@
     one.transport.send_by_stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
-    buckets = range(replicated_table.BUCKETS)
+    buckets = range(replicated_table.BUCKET_COUNT)
     found = one.zone_table.encoded_by_bucket(buckets)
     told = list(one.zone_table.bucket_batches(buckets))
     assert len(told) > 4 and [
--- a/wheathill/peers/replicated_table.py
+++ b/wheathill/peers/replicated_table.py
@@ -20,9 +20,9 @@
     TableRecord,
 )
 
-BUCKETS = 32
+BUCKET_COUNT = 32
 # Servers of which records are held; those that were written last stay.
-MAX_SERVERS = 4096
+MAX_SERVER_RECORDS = 4096
 # Clocks of machines may differ by so much; a start that lies further ahead is none.
 MAX_CLOCK_SKEW_MS = 60_000.0
 # How long a server's record is held. A drain may take a day; a start is of interest
@@ -37,7 +37,7 @@
 
 
 def _bucket_of(key: str) -> int:
-    return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % BUCKETS
+    return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
 def _age_order(record: TableRecord[SummaryT]) -> tuple[float, float, str]:
@@ -55,7 +55,7 @@
     def __init__(self, zones: Iterable[str]) -> None:
         self._zone_count = len(frozenset(zones))
         self.records: dict[str, TableRecord[SummaryT]] = {}
-        self.bucket_digests = [0] * BUCKETS
+        self.bucket_digests = [0] * BUCKET_COUNT
         self.digest = 0
 
     def _toggle_digests(self, record: TableRecord[SummaryT]) -> None:
@@ -109,7 +109,7 @@
 
     def _make_room(self, record: TableRecord[SummaryT]) -> bool:
         """Of too many the oldest goes, which is the same one at every replica."""
-        limit = MAX_SERVERS + self._zone_count
+        limit = MAX_SERVER_RECORDS + self._zone_count
         if record.key in self.records or len(self.records) < limit:
             return True
         servers = [held for held in self.records.values() if held.server is not None]
@@ -137,7 +137,7 @@
         Raises:
             ValueError: The other replica has another number of buckets.
         """
-        if len(bucket_digests) != BUCKETS:
+        if len(bucket_digests) != BUCKET_COUNT:
             raise ValueError("not as many buckets")
         pairs = zip(self.bucket_digests, bucket_digests, strict=True)
         return [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
--- a/wheathill/peers/server_records.py
+++ b/wheathill/peers/server_records.py
@@ -4,7 +4,7 @@
 
 from wheathill.peers.replicated_table import (
     MAX_CLOCK_SKEW_MS,
-    MAX_SERVERS,
+    MAX_SERVER_RECORDS,
     START_RETENTION_MS,
     ReplicatedTable,
 )
@@ -110,7 +110,7 @@
 
     def _agree(self, server: str, record: TableRecord[SummaryT]) -> None:
         self._agreed[server] = record.version
-        while len(self._agreed) > MAX_SERVERS:
+        while len(self._agreed) > MAX_SERVER_RECORDS:
             del self._agreed[next(iter(self._agreed))]
 
     def is_draining(self, server: str, started_ms: float | None) -> bool:
