--- a/tests/test_zone_parts.py
+++ b/tests/test_zone_parts.py
@@ -12,7 +12,7 @@
 from wheathill.peers.zones.record_batches import MAX_BATCH_BYTES, RecordBatcher
 from wheathill.peers.zones.table_anti_entropy import (
     MAX_ATTEMPTS,
-    MAX_REQUESTS,
+    MAX_REQUESTS_PER_INTERVAL,
     TableAntiEntropy,
 )
 from wheathill.peers.zones.table_gossip import BATCH_DELAY_MS, FANOUT, TableGossip
@@ -239,12 +239,12 @@
     anti_entropy, _, effects, table = anti_entropy
     table.replica.merge(WALL_MS, [record("mine")])
     request = TableDigestRequest("w:1", [0] * len(table.replica.bucket_digests))
-    for _ in range(MAX_REQUESTS + 3):
+    for _ in range(MAX_REQUESTS_PER_INTERVAL + 3):
         anti_entropy.on_request(request)
-    assert len(effects.sent) == MAX_REQUESTS
-    anti_entropy.on_interval()
+    assert len(effects.sent) == MAX_REQUESTS_PER_INTERVAL
+    anti_entropy.start_interval()
     anti_entropy.on_request(request)
-    assert len(effects.sent) == MAX_REQUESTS + 1
+    assert len(effects.sent) == MAX_REQUESTS_PER_INTERVAL + 1
 
 
 # Reports of a view
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -362,7 +362,7 @@
     assert one.directory.state("w", converged) == ViewState.DIVERGED
     assert one.directory.region_state(converged) == converged
     next_one = ZoneParts(parts=parts, held=one.table)
-    next_one.contacts.restart(16_500.0)
+    next_one.contacts.reset(16_500.0)
     assert next_one.contacts.unreachable_zones(17_000.0) == ["v"]
     next_one.contacts.record_contact(17_500.0, "v")
     assert next_one.contacts.unreachable_zones(18_000.0) == []
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -14,7 +14,7 @@
 class ReplicatedServerUpdates(ServerUpdates):
     """Writes to the table what is new in the own list, and reads what others wrote.
 
-    `wall_ms()` returns the present time (Unix). `pass_on(record)` sends a record that
+    `wall_ms()` returns the present time (Unix). `publish(record)` sends a record that
     this proxy wrote.
     """
 
@@ -23,12 +23,12 @@
         proxy: ServedProxy,
         records: ServerRecords[ZoneSummary],
         wall_ms: Callable[[], float],
-        pass_on: Callable[[ZoneTableRecord], None],
+        publish: Callable[[ZoneTableRecord], None],
     ) -> None:
         super().__init__(proxy)
         self._records = records
         self._wall_ms = wall_ms
-        self._pass_on = pass_on
+        self._publish = publish
 
     def handle(
         self, now_ms: float, sender: Sender, update: DrainUpdate | StartUpdate
@@ -50,7 +50,7 @@
             entry.process_start_ms,
         )
         if record is not None:
-            self._pass_on(record)
+            self._publish(record)
 
     def _latest_start_ms(self, server: str, listed_start_ms: float) -> float:
         return self._records.latest_start_ms(server, listed_start_ms)
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -118,7 +118,7 @@
 
     def _create_server_updates(self) -> ServerUpdates:
         return ReplicatedServerUpdates(
-            self.proxy, self.server_records, self.wall_ms, self.pass_on_own
+            self.proxy, self.server_records, self.wall_ms, self.publish_record
         )
 
     def _create_status(self) -> StatusReporter:
@@ -221,7 +221,7 @@
                 record.server for record in newer if record.server is not None
             )
 
-    def pass_on_own(self, record: ZoneTableRecord) -> None:
+    def publish_record(self, record: ZoneTableRecord) -> None:
         """Send a record that this proxy wrote."""
         self.table_gossip.add_own(record)
         self._on_table_changed(self.clock.now())
@@ -270,7 +270,7 @@
     def other_zone_addresses(self, now_ms: float) -> list[str]:
         """Return an address in each other zone, in the order of the layout."""
         return [
-            self.zone_contacts.address(now_ms, zone)
+            self.zone_contacts.choose_address(now_ms, zone)
             for zone in self.zone_directory.other_zones
         ]
 
@@ -283,7 +283,7 @@
     def tick(self) -> None:
         """Do what is done once each probe interval."""
         now_ms = self.clock.now()
-        self.table_anti_entropy.on_interval()
+        self.table_anti_entropy.start_interval()
         self.replicated_table.remove_expired(self.wall_ms())
         super().tick()
         leaders = self.zone_leaders()
@@ -301,12 +301,12 @@
         summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
         if record is not None:
-            self.pass_on_own(record)
+            self.publish_record(record)
 
     def _send_heartbeats(self, now_ms: float, leaders: list[Member]) -> None:
         """Send heartbeats to other zones, where this proxy is a leader."""
         if all(leader.name != self.settings.name for leader in leaders):
-            self.zone_contacts.restart(now_ms)
+            self.zone_contacts.reset(now_ms)
             return
         for address in self.zone_contacts.heartbeat_addresses(now_ms):
             records = self.zone_table.encoded_summary(self._zone)
--- a/wheathill/peers/zones/table_anti_entropy.py
+++ b/wheathill/peers/zones/table_anti_entropy.py
@@ -17,7 +17,7 @@
 
 # Requests under way, and requests answered, in a probe interval: a bound on what
 # members with many differences cost each other.
-MAX_REQUESTS = 8
+MAX_REQUESTS_PER_INTERVAL = 8
 # Probe intervals until an answer would be there, and how often a request is sent.
 RETRY_INTERVALS, MAX_ATTEMPTS = 0.3, 4
 # Probe intervals without a change, from which a difference is no longer taken for
@@ -49,7 +49,7 @@
         self._unanswered_since_ms: dict[str, float] = {}
         self._answered_in_interval = 0
 
-    def on_interval(self) -> None:
+    def start_interval(self) -> None:
         """Begin another probe interval."""
         self._answered_in_interval = 0
 
@@ -85,7 +85,7 @@
         if is_settling or now_ms - last_ms < interval_ms:
             return
         self._forget_old_requests(now_ms)
-        if len(self._requested_ms) < MAX_REQUESTS:
+        if len(self._requested_ms) < MAX_REQUESTS_PER_INTERVAL:
             self._requested_ms[address] = self._same_ms = now_ms
             self._unanswered_since_ms[address] = now_ms
             self.send_request(address, now_ms, MAX_ATTEMPTS)
@@ -142,7 +142,7 @@
 
         Raises ValueError or TypeError where it doesn't state a digest of each bucket.
         """
-        if self._answered_in_interval >= MAX_REQUESTS:
+        if self._answered_in_interval >= MAX_REQUESTS_PER_INTERVAL:
             return
         self._answered_in_interval += 1
         buckets = self._replica.differing_buckets(request.bucket_digests)
--- a/wheathill/peers/zones/zone_contacts.py
+++ b/wheathill/peers/zones/zone_contacts.py
@@ -44,7 +44,7 @@
         self._last_contact_ms[zone] = now_ms
         self._contacted.add(zone)
 
-    def restart(self, now_ms: float) -> None:
+    def reset(self, now_ms: float) -> None:
         """Count the silence of other zones from now on.
 
         A proxy that is no leader gets hardly any messages from other zones.
@@ -67,7 +67,7 @@
             or (zone in before and zone not in self._contacted)
         ]
 
-    def address(self, now_ms: float, zone: str) -> str:
+    def choose_address(self, now_ms: float, zone: str) -> str:
         """Return an address in another zone.
 
         Where nothing arrives from there each is tried in turn: its leaders may be gone.
@@ -92,7 +92,9 @@
         late = [
             zone for zone in self.directory.other_zones if self._is_late(now_ms, zone)
         ]
-        return [self.address(now_ms, zone) for zone in dict.fromkeys([*due, *late])]
+        return [
+            self.choose_address(now_ms, zone) for zone in dict.fromkeys([*due, *late])
+        ]
 
     def _is_late(self, now_ms: float, zone: str) -> bool:
         """Tell whether a zone is silent, and not yet unreachable."""
