--- a/wheathill/peers/messages.py
+++ b/wheathill/peers/messages.py
@@ -1,7 +1,7 @@
-"""What proxies send each other, as types, and how it stands in a frame. Free of I/O.
+"""Messages between proxies as data types, and their encoding in frames. Free of I/O.
 
-A frame's payload is a list: a header, which says what the sender's view of the fleet
-is, and then the message itself as a list of its kind and its arguments.
+The payload of a frame is a list: the fields of a header, which describes the sender's
+view of the fleet, followed by the message, itself a list of its kind and its arguments.
 """
 
 from collections.abc import Sequence
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Sender:
-    """The process that a message came from.
+    """The process that sent a message.
 
-    `address` is None for what came on a stream.
+    `address` is None for messages received on a stream.
     """
 
     name: str
@@ -28,13 +28,14 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewHeader:
-    """What each message says of its sender's view of the fleet.
+    """The header of every message in a fleet without zones.
 
     Attributes:
-        digest: of the processes that may be active; equal where views agree.
-        is_established: whether all have agreed on the sender once.
-        capacity_estimate: connections a second that a warm server bears of the
-            sender's, as the sender finds.
+        digest: digest of the processes that may be active in the sender's view; equal
+            digests mean equal views.
+        is_established: whether all members have at some time agreed on the sender.
+        capacity_estimate: the sender's estimate of how many of its own connections per
+            second a warm server can handle.
     """
 
     digest: str
@@ -42,14 +43,14 @@
     capacity_estimate: float
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the header as it stands before a message."""
+        """Return the header fields that precede a message in a frame."""
         return self.digest, self.is_established, round(self.capacity_estimate, 2)
 
     @classmethod
     def decode(cls, fields: Sequence[Any]) -> Self:
-        """Read the header of a message.
+        """Return the header with the given fields.
 
-        Raises ValueError or TypeError where it is none.
+        Raises ValueError or TypeError if the fields are not a header.
         """
         digest, is_established, capacity_estimate = fields
         return cls(digest, bool(is_established), capacity_estimate)
@@ -57,13 +58,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ZonedViewHeader:
-    """What each message says of its sender, in a fleet of several zones.
+    """The header of every message in a fleet of several zones.
 
     Attributes:
-        zone: the sender's.
-        view: of the sender's zone.
-        layout_version: the layout of zones that the sender's configuration states.
-        table_digest: of the sender's copy of the replicated table.
+        zone: the sender's zone.
+        view: the sender's view of its own zone.
+        layout_version: version of the zone layout in the sender's configuration.
+        table_digest: digest of the sender's replica of the replicated table.
     """
 
     zone: str
@@ -72,21 +73,21 @@
     table_digest: int
 
     def encode(self) -> tuple[Any, ...]:
-        """Return the header as it stands before a message."""
+        """Return the header fields that precede a message in a frame."""
         return self.zone, *self.view.encode(), self.layout_version, self.table_digest
 
     @classmethod
     def decode(cls, fields: Sequence[Any]) -> Self:
-        """Read the header of a message.
+        """Return the header with the given fields.
 
-        Raises ValueError or TypeError where it is none.
+        Raises ValueError or TypeError if the fields are not a header.
         """
         zone, *view, layout_version, table_digest = fields
         return cls(zone, ViewHeader.decode(view), layout_version, table_digest)
 
 
 class MessageKind(StrEnum):
-    """The first word of a message; membership has kinds of its own."""
+    """The first element of an encoded message; membership defines further kinds."""
 
     DRAINS = "drains"
     STARTS = "starts"
@@ -98,12 +99,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainUpdate:
-    """Servers that drain, or no longer do, as the sender's own list says."""
+    """Drains that have begun or ended according to the sender's endpoint list."""
 
     records: tuple[DrainRecord, ...]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [
             MessageKind.DRAINS.value,
             [record.encode() for record in self.records],
@@ -111,18 +112,18 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(tuple(DrainRecord.decode(fields) for fields in arguments[0]))
 
 
 @dataclass(frozen=True, slots=True)
 class StartUpdate:
-    """Starts of servers' processes, the latest that the sender knows."""
+    """The latest process starts of servers that the sender knows of."""
 
     records: tuple[StartRecord, ...]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [
             MessageKind.STARTS.value,
             [record.encode() for record in self.records],
@@ -130,18 +131,18 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(tuple(StartRecord.decode(fields) for fields in arguments[0]))
 
 
 @dataclass(frozen=True, slots=True)
 class HealthEvidence:
-    """What the sender itself has seen of servers lately."""
+    """The sender's own recent observations of servers' health."""
 
     reports: tuple[HealthReport, ...]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [
             MessageKind.HEALTH.value,
             [report.encode() for report in self.reports],
@@ -149,9 +150,9 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message.
+        """Return the message with the given arguments.
 
-        Reports whose health this version doesn't know are left out.
+        Reports with a health value that is unknown to this version are skipped.
         """
         reports = [HealthReport.decode(fields) for fields in arguments[0]]
         return cls(tuple(report for report in reports if report is not None))
@@ -159,23 +160,23 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewRequest:
-    """Asks for the receiver's whole view, for an operator who compares them."""
+    """Requests the receiver's complete view, for an operator's comparison of views."""
 
     request_id: int
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [MessageKind.VIEW_REQUEST.value, self.request_id]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(arguments[0])
 
 
 @dataclass(frozen=True, slots=True)
 class MemberSummary:
-    """One member in a view that is compared: its process and its state."""
+    """The generation and the state of one member in a view that is compared."""
 
     generation: int
     state: str
@@ -183,13 +184,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ViewReply:
-    """The sender's whole view: by name, what it holds of each member."""
+    """The sender's complete view: a summary of each member, by name."""
 
     request_id: int
     members: dict[str, MemberSummary]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         members = {
             name: [member.generation, member.state]
             for name, member in self.members.items()
@@ -198,7 +199,7 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         request_id, members = arguments[0], arguments[1]
         summaries = {
             str(name): MemberSummary(generation, str(state))
@@ -209,15 +210,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DigestAnnouncement:
-    """Says nothing but its header: the sender's view has changed."""
+    """Announces that the sender's view has changed.
+
+    It has no arguments: the digest of the view is in the header.
+    """
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [MessageKind.DIGEST_ANNOUNCEMENT.value]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message, which is ignored."""
+        """Return the message; any arguments are ignored."""
         return cls()
 
 
@@ -230,7 +234,7 @@
     | DigestAnnouncement
 )
 
-_MESSAGES: dict[str, type[Message]] = {
+_MESSAGE_TYPES: dict[str, type[Message]] = {
     MessageKind.DRAINS: DrainUpdate,
     MessageKind.STARTS: StartUpdate,
     MessageKind.HEALTH: HealthEvidence,
@@ -240,13 +244,13 @@
 }
 
 
-def decode_message(words: Sequence[Any]) -> Message | None:
-    """Read a message, given as it stands in a frame, without its header.
+def decode_message(encoded: Sequence[Any]) -> Message | None:
+    """Decode a message without its header.
 
-    Returns None where its kind is none of these, such as those of membership. Raises
-    ValueError, TypeError, KeyError, IndexError or AttributeError where it can't be
-    read.
+    Returns None if the kind is not a `MessageKind`, as for membership messages. Raises
+    ValueError, TypeError, KeyError, IndexError or AttributeError if the message is
+    malformed.
     """
-    kind, *arguments = words
-    message_type = _MESSAGES.get(kind)
+    kind, *arguments = encoded
+    message_type = _MESSAGE_TYPES.get(kind)
     return None if message_type is None else message_type.decode(arguments)
