--- a/wheathill/peers/replicated_table.py
+++ b/wheathill/peers/replicated_table.py
@@ -1,13 +1,14 @@
-"""A small table that every proxy of a fleet of zones holds whole, free of I/O.
+"""A small table, fully replicated to every proxy of a fleet of zones. Free of I/O.
 
-Of two records with one key the one with the greater version is held (last writer
-wins, by the clocks of Lamport, "Time, Clocks, and the Ordering of Events in a
-Distributed System", 1978), so the order of arrival changes nothing.
+Of two records with the same key, the table keeps the one with the greater version: last
+writer wins, by logical clocks (Lamport, "Time, Clocks, and the Ordering of Events in a
+Distributed System", 1978). The result doesn't depend on the order of arrival.
 
-Two replicas are compared by digests of buckets, which are kept up to date and not
-recomputed (anti-entropy: Demers et al., "Epidemic Algorithms for Replicated Database
-Maintenance", 1987). A digest request carries the digests of all buckets, the reply all
-records of the buckets that differ, and a delta what the requester has newer than those.
+Replicas are compared by the digests of buckets of keys, which are maintained
+incrementally (anti-entropy: Demers et al., "Epidemic Algorithms for Replicated Database
+Maintenance", 1987). A digest request contains the digests of all buckets, the reply all
+records in the buckets that differ, and the requester then sends back the records in
+these buckets of which it has newer versions.
 """
 
 import hashlib
@@ -21,12 +22,13 @@
 )
 
 BUCKET_COUNT = 32
-# Servers of which records are held; those that were written last stay.
+# Maximum number of servers with a record; the least recently written are evicted.
 MAX_SERVER_RECORDS = 4096
-# Clocks of machines may differ by so much; a start that lies further ahead is none.
+# Maximum difference between the clocks of machines. A process start that is further in
+# the future is rejected.
 MAX_CLOCK_SKEW_MS = 60_000.0
-# How long a server's record is held. A drain may take a day; a start is of interest
-# only while the server warms up and lists are still behind.
+# How long the record of a server is kept. A drain may take a day; a start matters only
+# while the server warms up and some endpoint lists are not yet up to date.
 DRAIN_RETENTION_MS = 86_400_000.0
 START_RETENTION_MS = 600_000.0
 
@@ -36,20 +38,25 @@
     return int.from_bytes(hashlib.blake2b(text, digest_size=6).digest(), "big")
 
 
-def _bucket_of(key: str) -> int:
+def _bucket_index(key: str) -> int:
     return hashlib.blake2b(key.encode(), digest_size=1).digest()[0] % BUCKET_COUNT
 
 
-def _age_order(record: TableRecord[SummaryT]) -> tuple[float, float, str]:
-    """Return what servers' records are sorted by, the one to be dropped first."""
+def _eviction_order(record: TableRecord[SummaryT]) -> tuple[float, float, str]:
+    """Return the sort key of servers' records by age; the lowest is evicted first."""
     return record.server_state.written_ms, record.epoch, record.key
 
 
 class ReplicatedTable(Generic[SummaryT]):
-    """One member's replica of the table, with a record for each of `zones` at most.
+    """The replica of one member.
 
-    `digest` is the XOR of the digests of all records, and `bucket_digests` of those in
-    each bucket, so that a record is added and removed by the same operation.
+    `zones` are the names of the zones that may have a record.
+
+    Attributes:
+        records: the records by key.
+        bucket_digests: for each bucket, the XOR of the digests of its records.
+        digest: the XOR of the digests of all records. With XOR the same operation adds
+            a record to a digest and removes it.
     """
 
     def __init__(self, zones: Iterable[str]) -> None:
@@ -60,18 +67,18 @@
 
     def _toggle_digests(self, record: TableRecord[SummaryT]) -> None:
         digest = _record_digest(record)
-        self.bucket_digests[_bucket_of(record.key)] ^= digest
+        self.bucket_digests[_bucket_index(record.key)] ^= digest
         self.digest ^= digest
 
     def _put(self, record: TableRecord[SummaryT]) -> None:
-        held = self.records.pop(record.key, None)
-        if held is not None:
-            self._toggle_digests(held)
+        current = self.records.pop(record.key, None)
+        if current is not None:
+            self._toggle_digests(current)
         self.records[record.key] = record
         self._toggle_digests(record)
 
     def remove(self, key: str) -> None:
-        """Drop the record of `key`, which must be held."""
+        """Remove the record of `key`, which must be in the table."""
         self._toggle_digests(self.records.pop(key))
 
     # Merging
@@ -79,7 +86,7 @@
     def merge(
         self, wall_ms: float, records: Iterable[TableRecord[SummaryT]]
     ) -> list[TableRecord[SummaryT]]:
-        """Take the records that are newer than those held, and return these."""
+        """Add the records that are newer than the replica's, and return these."""
         newer = []
         for record in records:
             if self._merge_one(wall_ms, record):
@@ -87,16 +94,16 @@
         return newer
 
     def _merge_one(self, wall_ms: float, record: TableRecord[SummaryT]) -> bool:
-        held = self.records.get(record.key)
-        if held is not None and held.version >= record.version:
+        current = self.records.get(record.key)
+        if current is not None and current.version >= record.version:
             return False
-        if record.server is not None and not self._accepts(wall_ms, record):
+        if record.server is not None and not self._admit(wall_ms, record):
             return False
         self._put(record)
         return True
 
-    def _accepts(self, wall_ms: float, record: TableRecord[SummaryT]) -> bool:
-        """Whether a server's record may be held; drops another one to make room."""
+    def _admit(self, wall_ms: float, record: TableRecord[SummaryT]) -> bool:
+        """Tell whether to add a server's record, and evict another one if needed."""
         if record.epoch > wall_ms + MAX_CLOCK_SKEW_MS:
             return False
         return not self._is_expired(wall_ms, record) and self._make_room(record)
@@ -108,19 +115,23 @@
         return max(record.epoch, state.written_ms) + retention < wall_ms
 
     def _make_room(self, record: TableRecord[SummaryT]) -> bool:
-        """Of too many the oldest goes, which is the same one at every replica."""
+        """Evict the oldest record of a server if the table is full.
+
+        Returns False if `record` itself is the oldest. The order of eviction is the
+        same at every replica.
+        """
         limit = MAX_SERVER_RECORDS + self._zone_count
         if record.key in self.records or len(self.records) < limit:
             return True
-        servers = [held for held in self.records.values() if held.server is not None]
-        oldest = min(servers, key=_age_order)
-        if _age_order(oldest) >= _age_order(record):
+        servers = [entry for entry in self.records.values() if entry.server is not None]
+        oldest = min(servers, key=_eviction_order)
+        if _eviction_order(oldest) >= _eviction_order(record):
             return False
         self.remove(oldest.key)
         return True
 
     def remove_expired(self, wall_ms: float) -> None:
-        """Drop servers' records that are past their retention."""
+        """Remove the records of servers whose retention time has passed."""
         expired = [
             key
             for key, record in self.records.items()
@@ -135,50 +146,53 @@
         """Return the buckets whose digests differ from those of another replica.
 
         Raises:
-            ValueError: The other replica has another number of buckets.
+            ValueError: The other replica has a different number of buckets.
         """
         if len(bucket_digests) != BUCKET_COUNT:
-            raise ValueError("not as many buckets")
+            raise ValueError("wrong number of bucket digests")
         pairs = zip(self.bucket_digests, bucket_digests, strict=True)
         return [bucket for bucket, (own, other) in enumerate(pairs) if own != other]
 
     def records_by_bucket(
         self, buckets: Iterable[int]
     ) -> dict[int, list[TableRecord[SummaryT]]]:
-        """Return the records in each of `buckets`, in the order of their keys."""
-        found: dict[int, list[TableRecord[SummaryT]]] = {
+        """Return the records in each of `buckets`, sorted by key."""
+        by_bucket: dict[int, list[TableRecord[SummaryT]]] = {
             bucket: [] for bucket in buckets
         }
         for key in sorted(self.records):
-            bucket = _bucket_of(key)
-            if bucket in found:
-                found[bucket].append(self.records[key])
-        return found
+            bucket = _bucket_index(key)
+            if bucket in by_bucket:
+                by_bucket[bucket].append(self.records[key])
+        return by_bucket
 
     def newer_records(
         self, buckets: Iterable[int], records: Iterable[TableRecord[SummaryT]]
     ) -> list[TableRecord[SummaryT]]:
-        """Return what a replica that holds `records` in `buckets` lacks there."""
+        """Return the records in `buckets` that another replica lacks.
+
+        `records` are all records that the other replica has in these buckets.
+        """
         versions = {record.key: record.version for record in records}
         return [
             record
-            for held in self.records_by_bucket(buckets).values()
-            for record in held
+            for bucket_records in self.records_by_bucket(buckets).values()
+            for record in bucket_records
             if record.key not in versions or versions[record.key] < record.version
         ]
 
     # Zones
 
     def summary(self, zone: str) -> TableRecord[SummaryT] | None:
-        """Return the record of a zone's last summary, or None if there is none yet."""
+        """Return the record of a zone's latest summary, or None if there is none."""
         return self.records.get(ZONE_PREFIX + zone)
 
     def write_summary(
         self, zone: str, writer: str, summary: SummaryT
     ) -> TableRecord[SummaryT]:
-        """Hold a new summary of a zone, and return its record, which is to be sent."""
-        held = self.summary(zone)
-        counter = (held.counter if held else 0) + 1
+        """Store a new summary of a zone, and return its record for sending."""
+        current = self.summary(zone)
+        counter = (current.counter if current else 0) + 1
         record = TableRecord(ZONE_PREFIX + zone, 0, counter, writer, summary)
         self._put(record)
         return record
