--- a/wheathill/peers/zones/__init__.py
+++ b/wheathill/peers/zones/__init__.py
@@ -1,4 +1,5 @@
-"""A fleet of zones: membership within each zone, and between zones what leaders send.
+"""Peers in a fleet of zones: membership within zones, and summaries between them.
 
-Imported only where the operator's file names a zone. docs/design/zones.md.
+The leaders of each zone exchange the summaries. This package is imported only if the
+configuration file names a zone. See docs/design/zones.md.
 """
--- a/wheathill/peers/zones/effects.py
+++ b/wheathill/peers/zones/effects.py
@@ -1,4 +1,4 @@
-"""What the parts of a zoned peer service ask of it."""
+"""Effects that the components of a zoned peer service call for."""
 
 from typing import Protocol
 
@@ -8,21 +8,21 @@
 
 
 class ZoneEffects(Protocol):
-    """Carries out what the parts decide, and says who there is to send to."""
+    """Carries out the decisions of the components, and provides their recipients."""
 
     def send_table_message(self, address: str, message: TableMessage) -> None:
-        """Send a message to one proxy; it may be lost."""
+        """Send a message to one proxy, without a guarantee of delivery."""
 
     def other_members(self) -> list[Member]:
-        """Return the other members of the own zone that count as present."""
+        """Return the other active members of the own zone."""
 
     def zone_leaders(self) -> list[Member]:
-        """Return the leaders of the own zone, by this proxy's view."""
+        """Return the leaders of the own zone according to this proxy's view."""
 
     def other_zone_addresses(self, now_ms: float) -> list[str]:
-        """Return an address in each other zone, in the order of the layout."""
+        """Return one address in each other zone, in the order of the layout."""
 
     def merge_records(
         self, now_ms: float, records: list[ZoneTableRecord], zone: str
     ) -> None:
-        """Take in records that came from a member of `zone`."""
+        """Merge records received from a member of `zone` into the replica."""
--- a/wheathill/peers/zones/leaders.py
+++ b/wheathill/peers/zones/leaders.py
@@ -1,19 +1,20 @@
-"""Which members speak for a zone."""
+"""Selection of the leaders of a zone."""
 
 from collections.abc import Iterable
 
 from wheathill.peers.membership import Member
 from wheathill.peers.zones.rendezvous import rendezvous_weight
 
-# A zone is heard while one of them is; more would only repeat each other.
+# A zone stays in contact with the others while one of its leaders does; more leaders
+# would only send the same messages again.
 MAX_LEADERS = 3
 
 
 def select_leaders(zone: str, members: Iterable[Member]) -> list[Member]:
-    """Return the zone's leaders, the first of whom writes its summary.
+    """Return the leaders of a zone; the first one writes the zone's summary.
 
-    They are chosen by rendezvous hashing, so that equal views choose alike, and a death
-    promotes the next.
+    Leaders are selected by rendezvous hashing: members with equal views select the same
+    leaders, and when a leader dies, the next member in the order takes its place.
     """
     ranked = sorted(
         members,
--- a/wheathill/peers/zones/messages.py
+++ b/wheathill/peers/zones/messages.py
@@ -1,9 +1,10 @@
-"""Messages about the replicated table, which pass within zones and between them.
+"""Messages about the replicated table, sent within zones and between them.
 
-Each is a list of its kind and its arguments, as the messages of `peers.messages` are.
-Records stand in them encoded: how many fit a datagram is measured on that form, and a
-reply is an answer even where a record in it can't be read, as one of a zone that this
-member's layout doesn't name yet.
+An encoded message is a list of its kind and its arguments, as in `peers.messages`. The
+messages contain records in encoded form, for two reasons: the number of records that
+fit into a datagram depends on their encoded size, and a reply counts as received even
+if one of its records can't be decoded, such as the record of a zone that this member's
+layout doesn't contain yet.
 """
 
 from collections.abc import Sequence
@@ -15,7 +16,7 @@
 
 
 class TableMessageKind(StrEnum):
-    """The first word of a message about the table."""
+    """The first element of an encoded message about the table."""
 
     UPDATE = "news"
     DIGEST_REQUEST = "differ"
@@ -31,29 +32,29 @@
     records: Sequence[EncodedRecord]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [TableMessageKind.UPDATE.value, self.records]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(arguments[0])
 
 
 @dataclass(frozen=True, slots=True)
 class TableDigestRequest:
-    """Asks for the records in buckets that differ.
+    """Requests the records in the buckets that differ.
 
     Attributes:
-        reply_address: where to.
-        bucket_digests: of the sender's replica.
+        reply_address: the address to send the reply to.
+        bucket_digests: the digests of all buckets of the sender's replica.
     """
 
     reply_address: str
     bucket_digests: Sequence[int]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [
             TableMessageKind.DIGEST_REQUEST.value,
             self.reply_address,
@@ -62,19 +63,20 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         reply_address, bucket_digests = arguments
         return cls(reply_address, bucket_digests)
 
 
 @dataclass(frozen=True, slots=True)
 class DeltaReply:
-    """Answers a digest request with all records of some of the buckets that differ.
+    """Answers a digest request with all records in some of the buckets that differ.
 
     Attributes:
-        reply_address: the sender's, to which goes what it lacks.
-        buckets: of which `records` are all that the sender has.
-        records: in the order of the buckets.
+        reply_address: the address to send the records to that the sender lacks.
+        buckets: the buckets that the reply covers.
+        records: all of the sender's records in these buckets, in the order of the
+            buckets.
     """
 
     reply_address: str
@@ -82,7 +84,7 @@
     records: Sequence[EncodedRecord]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [
             TableMessageKind.DELTA_REPLY.value,
             self.reply_address,
@@ -92,46 +94,50 @@
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         reply_address, buckets, records = arguments
         return cls(reply_address, buckets, records)
 
 
 @dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """A leader's message to another zone, with its own zone's summary.
+    """A leader's periodic message to another zone.
 
     Attributes:
-        reply_address: where the reply goes.
-        records: that of the summary, if there is one.
+        reply_address: the address to send the reply to.
+        records: the record of the sender's zone summary; empty if there is none yet.
     """
 
     reply_address: str
     records: Sequence[EncodedRecord]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [TableMessageKind.HEARTBEAT.value, self.reply_address, self.records]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(arguments[0], arguments[1])
 
 
 @dataclass(frozen=True, slots=True)
 class HeartbeatReply:
-    """Answers a heartbeat, with the summary of the sender's zone, if there is one."""
+    """Answers a heartbeat.
+
+    Attributes:
+        records: the record of the sender's zone summary; empty if there is none yet.
+    """
 
     records: Sequence[EncodedRecord]
 
     def encode(self) -> list[Any]:
-        """Return the message as it stands in a frame."""
+        """Return the message as it is sent in a frame."""
         return [TableMessageKind.HEARTBEAT_REPLY.value, self.records]
 
     @classmethod
     def decode(cls, arguments: Sequence[Any]) -> Self:
-        """Read what follows the kind of such a message."""
+        """Return the message with the given arguments."""
         return cls(arguments[0])
 
 
@@ -139,7 +145,7 @@
     TableUpdate | TableDigestRequest | DeltaReply | Heartbeat | HeartbeatReply
 )
 
-_MESSAGES: dict[str, type[TableMessage]] = {
+_MESSAGE_TYPES: dict[str, type[TableMessage]] = {
     TableMessageKind.UPDATE: TableUpdate,
     TableMessageKind.DIGEST_REQUEST: TableDigestRequest,
     TableMessageKind.DELTA_REPLY: DeltaReply,
@@ -149,10 +155,10 @@
 
 
 def decode_table_message(kind: str, arguments: Sequence[Any]) -> TableMessage | None:
-    """Read a message, given by its kind and what follows it in a frame.
+    """Decode a message, given its kind and its arguments.
 
-    Returns None where the kind is none of these. Raises ValueError, TypeError or
-    IndexError where it can't be read.
+    Returns None if the kind is not a `TableMessageKind`. Raises ValueError, TypeError
+    or IndexError if the message is malformed.
     """
-    message_type = _MESSAGES.get(kind)
+    message_type = _MESSAGE_TYPES.get(kind)
     return None if message_type is None else message_type.decode(arguments)
--- a/wheathill/peers/zones/record_batches.py
+++ b/wheathill/peers/zones/record_batches.py
@@ -1,6 +1,7 @@
-"""Splits encoded records into what a datagram takes, which needs no connection first.
+"""Splits encoded records into batches that fit into a datagram.
 
-A stream's first segment, where it is lost, is sent again after a second.
+A datagram needs no connection, whereas a stream whose first segment is lost is delayed
+by a second until the retransmission.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Mapping, Sequence
@@ -8,21 +9,24 @@
 
 from wheathill.peers.zones.messages import EncodedRecord
 
-# Bytes of records in a datagram, which leave room for a frame's head and the header
-# within an Ethernet frame.
+# Maximum size of the records in a datagram. It leaves room for the start of the peer
+# frame and the view header within one Ethernet frame.
 MAX_BATCH_BYTES = 1150
 
 
 @dataclass(slots=True)
 class BucketBatch:
-    """Some buckets, and all records in them, in the order of the buckets."""
+    """Some buckets and all records in them, in the order of the buckets."""
 
     buckets: list[int] = field(default_factory=list)
     records: list[EncodedRecord] = field(default_factory=list)
 
 
 class RecordBatcher:
-    """Splits by size; `encoded_size(value)` is in bytes, within a frame's payload."""
+    """Splits records by their encoded size.
+
+    `encoded_size(value)` returns the size of a value in a frame's payload, in bytes.
+    """
 
     def __init__(self, encoded_size: Callable[[object], int]) -> None:
         self._encoded_size = encoded_size
@@ -30,7 +34,7 @@
     def split_records(
         self, records: Iterable[EncodedRecord]
     ) -> Iterator[list[EncodedRecord]]:
-        """Yield the records in batches; a record that is larger has one of its own."""
+        """Yield the records in batches; an oversized record gets a batch of its own."""
         batch: list[EncodedRecord] = []
         batch_bytes = 0
         for record in records:
@@ -48,7 +52,8 @@
     ) -> Iterator[BucketBatch]:
         """Yield whole buckets in batches.
 
-        What is sent of a bucket is all of it, and goes by stream where that is larger.
+        A bucket is always sent completely; one that is too large for a datagram is sent
+        by stream.
         """
         batch, batch_bytes = BucketBatch(), 0
         for bucket, records in records_by_bucket.items():
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -1,4 +1,4 @@
-"""Drains and starts of servers, shared by way of the replicated table."""
+"""Drains and starts of servers, shared through the replicated table."""
 
 from collections.abc import Callable
 
@@ -12,10 +12,10 @@
 
 
 class ReplicatedServerUpdates(ServerUpdates):
-    """Writes to the table what is new in the own list, and reads what others wrote.
+    """Writes changes of the own endpoint list to the table, and reads others' changes.
 
-    `wall_ms()` returns the present time (Unix). `publish(record)` sends a record that
-    this proxy wrote.
+    `wall_ms()` returns the current Unix time in milliseconds. `publish(record)` sends a
+    record that this proxy wrote.
     """
 
     def __init__(
@@ -33,14 +33,20 @@
     def handle(
         self, now_ms: float, sender: Sender, update: DrainUpdate | StartUpdate
     ) -> None:
-        """Refuse a message, as members use the table instead.
+        """Refuse the message: members of zones share updates through the table.
 
         Raises ValueError.
         """
-        raise ValueError("drains and starts go over the replicated table")
+        raise ValueError(
+            "drains and starts are shared through the replicated table, not by messages"
+        )
 
     def send_all(self, address: str) -> None:
-        """Send nothing: each message lets the receiver compare the tables."""
+        """Send nothing.
+
+        Lost updates are recovered by anti-entropy: every message has a digest of the
+        table in its header.
+        """
 
     def _share_entry(self, server: str, entry: ServerEntry) -> None:
         record = self._records.update_from_list(
