--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -227,7 +227,7 @@
             if known.state != MemberState.DEAD
         )
 
-    def may_stand_alone(self, now_ms: float) -> bool:
+    def is_startup_wait_over(self, now_ms: float) -> bool:
         """Tell whether others, if there were any, would have answered by now."""
         return now_ms >= self._standalone_from_ms
 
@@ -280,7 +280,7 @@
             return 0.0
         equal_part = 1.0 / self.max_active_proxies(now_ms)
         if self.state == ViewState.STANDALONE:
-            return equal_part if self.may_stand_alone(now_ms) else 0.0
+            return equal_part if self.is_startup_wait_over(now_ms) else 0.0
         if self.is_established:
             return equal_part
         established = [known for known in self.members.values() if known.is_established]
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -291,7 +291,7 @@
         if not leaders or leaders[0].name != self.settings.name:
             return
         view = self.cluster_view
-        if view.state == ViewState.STANDALONE and not view.may_stand_alone(now_ms):
+        if view.state == ViewState.STANDALONE and not view.is_startup_wait_over(now_ms):
             return  # others may be about to answer
         summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
