--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -170,7 +170,7 @@
 
 
 def test_a_new_process_takes_no_quota_while_others_may_still_answer():
-    view = cluster_view(startup_silence_ms=3000.0)
+    view = cluster_view(startup_wait_ms=3000.0)
     assert view.quota(2999.0) == 0.0 and not view.is_startup_wait_over(2999.0)
     assert view.quota(3000.0) == 1 / 5 and view.is_startup_wait_over(3000.0)
 
--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -54,7 +54,7 @@
         expected_proxies: how many the configuration names, which is a floor.
         expected_members: names of those that are expected, where it says so.
         ended_process_hold_ms: how long a process that has surely ended still counts.
-        startup_silence_ms: after the start, the time in which an answer of others
+        startup_wait_ms: after the start, the time in which an answer of others
             would have come. Until then, or the first answer, this proxy takes no
             quota: the others may have taken over what the process before it left.
     """
@@ -64,7 +64,7 @@
     expected_proxies: int
     expected_members: tuple[str, ...] = ()
     ended_process_hold_ms: float = 0.0
-    startup_silence_ms: float = 0.0
+    startup_wait_ms: float = 0.0
 
 
 @dataclass(slots=True)
@@ -108,7 +108,7 @@
 
     def __init__(self, config: ClusterViewConfig, now_ms: float) -> None:
         self.config = config
-        self._standalone_from_ms = now_ms + config.startup_silence_ms
+        self._standalone_from_ms = now_ms + config.startup_wait_ms
         self.members: dict[str, KnownMember] = {}
         # All names ever seen, the longest known first.
         self._known_names: dict[str, None] = {config.name: None}
--- a/wheathill/peers/derived_config.py
+++ b/wheathill/peers/derived_config.py
@@ -45,5 +45,5 @@
         expected_proxies=expected_proxies,
         expected_members=tuple(settings.expected_members),
         ended_process_hold_ms=ENDED_PROCESS_HOLD_MS,
-        startup_silence_ms=silence_ms if has_other_seeds else 0.0,
+        startup_wait_ms=silence_ms if has_other_seeds else 0.0,
     )
