--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -218,7 +218,7 @@
             name for name in sorted(members) if members[name].state != MemberState.DEAD
         ]
 
-    def have_all_reported_same(self) -> bool:
+    def all_digests_match(self) -> bool:
         """Tell whether all reachable members have reported this view's digest."""
         own = self.digest()
         return all(
@@ -268,7 +268,7 @@
         return total > 1 and 2 * (1 + reachable_count) <= total
 
     def _has_agreement(self) -> bool:
-        return self.confirmed_digest == self.digest() or self.have_all_reported_same()
+        return self.confirmed_digest == self.digest() or self.all_digests_match()
 
     def quota(self, now_ms: float) -> float:
         """Return this proxy's part of a limit over all, between 0 and 1.
--- a/wheathill/peers/zones/summary_builder.py
+++ b/wheathill/peers/zones/summary_builder.py
@@ -12,7 +12,7 @@
 ) -> ZoneSummary:
     """Return the summary of the own zone, whose view is `view`."""
     directory = contacts.directory
-    has_agreement = view.have_all_reported_same()
+    has_agreement = view.all_digests_match()
     return ZoneSummary(
         state=directory.own_state(view.state),
         max_active_proxies=view.max_active_proxies(now_ms),
