--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -532,15 +532,15 @@
     fleet = small(4)
     fleet.run(8)
     one, asked = fleet.peers["a1-1"], []
-    send_words = one.send_words
+    send_encoded = one.send_encoded
 
     def lossy(address, words, is_bulk=False):
         if words[0] == TableMessageKind.DIGEST_REQUEST:
             asked.append(fleet.clock.now())
         if words[0] != TableMessageKind.DIGEST_REQUEST or len(asked) > 1:
-            send_words(address, words, is_bulk)
+            send_encoded(address, words, is_bulk)
 
-    one.send_words = lossy
+    one.send_encoded = lossy
     fleet.cut(["a1-1"])
     fleet.change("missed", "b1-0")
     fleet.run(1)
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -194,7 +194,7 @@
         if evidence is not None:
             words = evidence.encode()
             for member in recipients:
-                self.send_words(member.address, words)
+                self.send_encoded(member.address, words)
 
     # What the proxy asks for
 
@@ -222,7 +222,7 @@
         view = self.cluster_view
         return ViewHeader(view.digest(), view.is_established, self.capacity_estimate())
 
-    def send_words(
+    def send_encoded(
         self, address: str, words: Sequence[Any], is_bulk: bool = False
     ) -> None:
         """Send a message that is encoded already; one in bulk goes by stream."""
@@ -230,7 +230,7 @@
 
     def send_message(self, address: str, message: Message) -> None:
         """Send a message to one member."""
-        self.send_words(address, message.encode())
+        self.send_encoded(address, message.encode())
 
     def send_to_all(self, message: Message) -> None:
         """Send a message to all members that can be reached, up to a bound."""
@@ -330,7 +330,7 @@
         if address is None:
             raise ValueError("a message on a stream names no address to answer to")
         words = encode_membership_message(message)
-        self.send_words(address, words, is_bulk=isinstance(message, StateSync))
+        self.send_encoded(address, words, is_bulk=isinstance(message, StateSync))
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
         """Check by connections whether a process listens at a member's address."""
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -142,7 +142,7 @@
 
     def send_table_message(self, address: str, message: TableMessage) -> None:
         """Send a message about the table to a proxy of any zone."""
-        self.send_words(address, message.encode())
+        self.send_encoded(address, message.encode())
 
     def announce_view(self) -> None:
         """Notify the leaders of a view that has changed.
