--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -48,9 +48,7 @@
 
 
 def shares(fleet, names):
-    return sum(
-        fleet.peers[name].quota_in_force for name in names if name in fleet.peers
-    )
+    return sum(fleet.peers[name].applied_quota for name in names if name in fleet.peers)
 
 
 def test_a_zone_renamed_in_place_is_two_zones_for_a_while_and_parts_still_hold():
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -609,7 +609,7 @@
     fleet.run(5)
     region = fleet.of_region("a")
     rest = [name for name in fleet.peers if name not in region]
-    before = {name: peers.quota_in_force for name, peers in fleet.peers.items()}
+    before = {name: peers.applied_quota for name, peers in fleet.peers.items()}
     fleet.cut(region)
     fleet.run(30)
     assert {state[1] for state in fleet.states(region)} == {ViewState.PARTITIONED}
@@ -617,7 +617,7 @@
     assert {state[1:] for state in fleet.states(rest)} == {
         (ViewState.CONVERGED, ViewState.DIVERGED)
     }
-    assert {name: peers.quota_in_force for name, peers in fleet.peers.items()} == before
+    assert {name: peers.applied_quota for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
     assert len(fleet.in_force("in", inside, region)) == len(
@@ -757,7 +757,7 @@
     )
     for name, peers in fleet.peers.items():
         assert abs(peers.zone_quota.quota() - parts[fleet.zone_of[name]]) < 1e-9
-    assert abs(sum(peers.quota_in_force for peers in fleet.peers.values()) - 1.0) < 1e-9
+    assert abs(sum(peers.applied_quota for peers in fleet.peers.values()) - 1.0) < 1e-9
 
 
 # Frames and files
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -228,7 +228,7 @@
             self.look()
 
     def look(self):
-        total = sum(peers.quota_in_force or 0.0 for peers in self.peers.values())
+        total = sum(peers.applied_quota or 0.0 for peers in self.peers.values())
         self.largest = max(self.largest, total)
         if total > 1.0 + 1e-9:
             self.over.append((self.clock.now(), total))
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -67,7 +67,7 @@
     OSError where a socket can't be opened.
 
     Attributes:
-        quota_in_force: the quota that the balancer was last given, None before.
+        applied_quota: the quota that the balancer was last given, None before.
     """
 
     EVIDENCE_LIMITS = EvidenceLimits(recipients=8, servers=64)
@@ -96,7 +96,7 @@
         self.comparison = ViewComparison(
             self.membership, self.clock, self.send_message, self.status.table
         )
-        self.quota_in_force: float | None = None
+        self.applied_quota: float | None = None
         # What the others were last notified of: the digest, and whether established.
         self._announced_view: tuple[str, bool] | None = None
         self.operator_requests = OperatorRequests(
@@ -378,6 +378,6 @@
         if state != state_before:
             self.events.view_changed(view, state_before, since_ms, now_ms)
         quota = self.limits.quota(now_ms)
-        if quota != self.quota_in_force:
-            self.quota_in_force = quota
+        if quota != self.applied_quota:
+            self.applied_quota = quota
             self.proxy.balancer.on_quota_changed(now_ms, quota)
