--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -245,12 +245,12 @@
     view = ClusterView(ClusterViewConfig("a", 1, 4, ended_process_hold_ms=1.0), 0.0)
     limits = FleetLimits(view, 4, lambda: 2.0)
     assert limits.quota(1.0) == limits.expected_quota() == 0.25
-    assert limits.is_fleet_as_expected(1.0)
+    assert limits.has_expected_fleet_size(1.0)
     assert limits.permit("g", 3.0) == 6.0
     view.update_member(2.0, "b", 2, "dead", False)
     for name in "cde":
         view.update_member(2.0, name, 3, "alive", False)
-    assert not limits.is_fleet_as_expected(2.0) and limits.quota(2.0) == 0.2
+    assert not limits.has_expected_fleet_size(2.0) and limits.quota(2.0) == 0.2
     assert view.update_state(2.0, 0) == ViewState.DIVERGED
 
 
--- a/wheathill/peers/fleet_limits.py
+++ b/wheathill/peers/fleet_limits.py
@@ -30,7 +30,7 @@
         """Return the quota that the configuration alone would give."""
         return 1 / self._expected_proxies
 
-    def is_fleet_as_expected(self, now_ms: float) -> bool:
+    def has_expected_fleet_size(self, now_ms: float) -> bool:
         """Tell whether as many proxies may be active as the configuration names."""
         return self._view.max_active_proxies(now_ms) == self._expected_proxies
 
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -77,7 +77,7 @@
                 "is cut off: serves with what it has, tells and takes no evidence of "
                 "servers"
             )
-        if not sources.limits.is_fleet_as_expected(now_ms):
+        if not sources.limits.has_expected_fleet_size(now_ms):
             quota = _format_quota(sources.limits.quota(now_ms))
             expected = _format_quota(sources.limits.expected_quota())
             found.append(f"takes {quota} of what all may do, {expected} by its file")
