--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -99,7 +99,7 @@
             self._log_event(
                 LogEvent.PEER_HEALTH_VERDICT,
                 fail_for_all=list(verdict.failing_for_all),
-                fail_here_alone=list(verdict.failing_here_alone),
+                fail_here_alone=list(verdict.failing_locally_only),
             )
         if verdict:
             servers = self._proxy.servers
@@ -108,7 +108,7 @@
                 [servers[name] for name in verdict.failing_for_all if name in servers],
                 [
                     servers[name]
-                    for name in verdict.failing_here_alone
+                    for name in verdict.failing_locally_only
                     if name in servers
                 ],
             )
--- a/wheathill/peers/peer_health_reports.py
+++ b/wheathill/peers/peer_health_reports.py
@@ -78,11 +78,11 @@
     """What follows from all reports: names of servers, in order."""
 
     failing_for_all: tuple[str, ...] = ()
-    failing_here_alone: tuple[str, ...] = ()
+    failing_locally_only: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
         """Tell whether any server fails."""
-        return bool(self.failing_for_all or self.failing_here_alone)
+        return bool(self.failing_for_all or self.failing_locally_only)
 
 
 class PeerHealthReports:
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -93,8 +93,8 @@
             found.append(
                 f"tries with one session at a time {names}: they fail for others"
             )
-        if verdict.failing_here_alone:
-            names = ", ".join(verdict.failing_here_alone)
+        if verdict.failing_locally_only:
+            names = ", ".join(verdict.failing_locally_only)
             found.append(f"takes for its own way's fault that {names} fail here")
         return found
 
