--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -195,7 +195,7 @@
             self._digest = hashlib.blake2b(text.encode(), digest_size=6).hexdigest()
         return self._digest
 
-    def unseen_count(self) -> int:
+    def unseen_proxy_count(self) -> int:
         """Return how many proxies are expected and were never seen."""
         if self.config.expected_members:
             return sum(
@@ -208,7 +208,9 @@
         hold_ms = self.config.ended_process_hold_ms
         while self.ended_at_ms and now_ms - self.ended_at_ms[0] >= hold_ms:
             self.ended_at_ms.popleft()
-        counted = 1 + len(self.members) + len(self.ended_at_ms) + self.unseen_count()
+        counted = (
+            1 + len(self.members) + len(self.ended_at_ms) + self.unseen_proxy_count()
+        )
         return max(self.minimum_proxies, counted)
 
     def reachable_names(self) -> list[str]:
@@ -263,7 +265,7 @@
 
     def _is_minority(self, reachable_count: int) -> bool:
         """Tell whether this side of a split, if there is one, is at most half."""
-        unseen = self.unseen_count() if self.config.expected_members else 0
+        unseen = self.unseen_proxy_count() if self.config.expected_members else 0
         total = 1 + len(self.members) + unseen
         return total > 1 and 2 * (1 + reachable_count) <= total
 
--- a/wheathill/peers/zones/summary_builder.py
+++ b/wheathill/peers/zones/summary_builder.py
@@ -27,5 +27,5 @@
 def _adopted_layout(view: ClusterView, directory: ZoneDirectory) -> int:
     """Return the layout that all proxies of the own zone hold; it never falls."""
     held = [known.layout_version for known in view.members.values()]
-    lowest = 0 if view.unseen_count() else min([directory.layout.version, *held])
+    lowest = 0 if view.unseen_proxy_count() else min([directory.layout.version, *held])
     return max(directory.adopted_layout(directory.own.name), lowest)
