--- a/wheathill/lab/scale/hollow.py
+++ b/wheathill/lab/scale/hollow.py
@@ -154,7 +154,7 @@
     longest_ms = peers.membership.config.sync_interval_ms
     peers.membership.anti_entropy.interval_ms = longest_ms
     peers.cluster_view.is_established = True
-    peers.cluster_view.ended_at_ms.clear()
+    peers.cluster_view.process_end_times_ms.clear()
     digest = peers.cluster_view.digest()
     for known in peers.cluster_view.members.values():
         known.is_established, known.digest = True, digest
--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -103,7 +103,7 @@
             of one that has collected them: whoever has the same agrees.
         minimum_proxies: the smallest number of which a quota is taken, whichever
             processes have surely ended.
-        ended_at_ms: when processes have surely ended, oldest first.
+        process_end_times_ms: when processes have surely ended, oldest first.
     """
 
     def __init__(self, config: ClusterViewConfig, now_ms: float) -> None:
@@ -113,7 +113,7 @@
         # All names ever seen, the longest known first.
         self._known_names: dict[str, None] = {config.name: None}
         # A process that starts may follow one that spent its quota a moment ago.
-        self.ended_at_ms = deque([now_ms])
+        self.process_end_times_ms = deque([now_ms])
         self.is_established = False
         self.is_isolated = False
         self.state, self.state_since_ms = ViewState.STANDALONE, now_ms
@@ -141,7 +141,7 @@
                 return
             # The process before it has ended for good; the new one has no quota until
             # all agree.
-            self.ended_at_ms.append(now_ms)
+            self.process_end_times_ms.append(now_ms)
             known = None
         if is_present or state == MemberState.DEAD and not is_death_certain:
             if known is None:
@@ -152,7 +152,7 @@
             known.state = state
         elif known is not None:
             del self.members[name]
-            self.ended_at_ms.append(now_ms)
+            self.process_end_times_ms.append(now_ms)
         self._remember_name(name)
 
     def _remember_name(self, name: str) -> None:
@@ -206,10 +206,16 @@
     def max_active_proxies(self, now_ms: float) -> int:
         """Return the largest number of proxies that may be active, with this one."""
         hold_ms = self.config.ended_process_hold_ms
-        while self.ended_at_ms and now_ms - self.ended_at_ms[0] >= hold_ms:
-            self.ended_at_ms.popleft()
+        while (
+            self.process_end_times_ms
+            and now_ms - self.process_end_times_ms[0] >= hold_ms
+        ):
+            self.process_end_times_ms.popleft()
         counted = (
-            1 + len(self.members) + len(self.ended_at_ms) + self.unseen_proxy_count()
+            1
+            + len(self.members)
+            + len(self.process_end_times_ms)
+            + self.unseen_proxy_count()
         )
         return max(self.minimum_proxies, counted)
 
