--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -38,7 +38,7 @@
         """
         entry = self._listed[server] = ServerEntry(phase, process_start_ms)
         if phase is not Phase.GONE:
-            self._share_entry(server, entry)
+            self._propagate_entry(server, entry)
         return self._effective_entry(server, entry)
 
     def listed_entry(self, server: str) -> ServerEntry:
@@ -74,7 +74,7 @@
         """Send a member all that it may not have got."""
 
     @abstractmethod
-    def _share_entry(self, server: str, entry: ServerEntry) -> None:
+    def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
         """Pass on what is new in an entry of the own list."""
 
     @abstractmethod
@@ -141,7 +141,7 @@
         if starts:
             self._send(address, StartUpdate(tuple(starts)))
 
-    def _share_entry(self, server: str, entry: ServerEntry) -> None:
+    def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
         start_ms = entry.process_start_ms
         if start_ms:
             start = StartRecord(server, start_ms)
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -42,7 +42,7 @@
     def send_all(self, address: str) -> None:
         """Send nothing: each message lets the receiver compare the tables."""
 
-    def _share_entry(self, server: str, entry: ServerEntry) -> None:
+    def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
         record = self._records.update_from_list(
             self._wall_ms(),
             server,
