--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -150,7 +150,7 @@
     found.record_list_entry("g", Phase.GONE, 5.0)
     assert sent[1:] == [(None, ["drains", [["g", 1, True, 5.0]]])]
     del sent[:]
-    found.send_all("b:1")
+    found.send_all_records("b:1")
     assert sent == [
         ("b:1", ["drains", [["g", 1, True, 5.0]]]),
         ("b:1", ["starts", [["g", 5.0]]]),
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -181,7 +181,7 @@
             self._send_evidence(now_ms, recipients, observations)
         if recipients:
             # What was sent to all at once may have been lost.
-            self.server_updates.send_all(recipients[0].address)
+            self.server_updates.send_all_records(recipients[0].address)
         self.health.apply_verdict(now_ms, observations, is_partitioned)
 
     def _send_evidence(
@@ -362,7 +362,7 @@
             self.health.forget_source(member.name)
         self.events.member_changed(member, previous_state)
         if previous_state is None and state == MemberState.ALIVE:
-            self.server_updates.send_all(member.address)
+            self.server_updates.send_all_records(member.address)
         self.update_view(now_ms)
 
     def log(self, text: str) -> None:
--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -70,7 +70,7 @@
         """
 
     @abstractmethod
-    def send_all(self, address: str) -> None:
+    def send_all_records(self, address: str) -> None:
         """Send a member all that it may not have got."""
 
     @abstractmethod
@@ -132,7 +132,7 @@
             wall_ms = self._clock.to_wall(now_ms)
             self.apply(self._starts.merge(wall_ms, update.records))
 
-    def send_all(self, address: str) -> None:
+    def send_all_records(self, address: str) -> None:
         """Send a member all that it may not have got."""
         drains = self._drains.own_records()
         if drains:
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -39,7 +39,7 @@
         """
         raise ValueError("drains and starts go over the replicated table")
 
-    def send_all(self, address: str) -> None:
+    def send_all_records(self, address: str) -> None:
         """Send nothing: each message lets the receiver compare the tables."""
 
     def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
