--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wheathill.peers.cluster_view import (
-    UNANSWERED_PROBES,
+    PARTITIONED_AFTER_UNANSWERED_PROBES,
     ClusterView,
     ClusterViewConfig,
     ViewState,
@@ -185,7 +185,10 @@
     assert view.update_state(2.0, 0) == ViewState.PARTITIONED
     named = cluster_view(expected_members=("a", "b", "c"))
     assert named.max_active_proxies(0.0) == 3
-    assert view.update_state(3.0, UNANSWERED_PROBES) == ViewState.PARTITIONED
+    assert (
+        view.update_state(3.0, PARTITIONED_AFTER_UNANSWERED_PROBES)
+        == ViewState.PARTITIONED
+    )
 
 
 def test_no_split_with_newcomers_on_any_side_sums_past_the_whole():
--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -27,7 +27,7 @@
 # Names of members that are remembered, a bound on memory.
 MAX_NAMES = 4096
 # Probes in a row that nobody answers: whoever is alive can't be reached from here.
-UNANSWERED_PROBES = 3
+PARTITIONED_AFTER_UNANSWERED_PROBES = 3
 # Bounds of what another proxy may state as its capacity estimate.
 MAX_CAPACITY_ESTIMATE = 1e6
 
@@ -259,7 +259,7 @@
         reachable = self.reachable_names()
         if (
             self.is_isolated
-            or unanswered_probes >= UNANSWERED_PROBES
+            or unanswered_probes >= PARTITIONED_AFTER_UNANSWERED_PROBES
             or self._is_minority(len(reachable))
         ):
             return ViewState.PARTITIONED
--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -18,7 +18,7 @@
 # Milliseconds; what was seen longer ago is no evidence.
 FRESHNESS_MS = 3000.0
 # Probes in a row without an answer, from which a server counts as failing.
-UNANSWERED_PROBES = 2
+FAILING_AFTER_UNANSWERED_PROBES = 2
 
 
 @dataclass(frozen=True, slots=True)
@@ -121,7 +121,7 @@
     if server.recent_results:
         seen_at_ms, is_success = server.recent_results[-1]
         seen.append((seen_at_ms, ServerHealth(bool(is_success))))
-    if server.unanswered_probes >= UNANSWERED_PROBES:
+    if server.unanswered_probes >= FAILING_AFTER_UNANSWERED_PROBES:
         seen.append((server.last_probe_ms, ServerHealth.FAILING))
     last_seen_at_ms, health = max(seen)
     return HealthObservation(health, last_seen_at_ms)
