--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -26,12 +26,12 @@
     """How much evidence of servers is sent, however many members there are.
 
     Attributes:
-        recipients: members that it is sent to each probe interval.
-        servers: that one message names.
+        recipients_per_interval: members that it is sent to each probe interval.
+        servers_per_message: that one message names.
     """
 
-    recipients: int
-    servers: int
+    recipients_per_interval: int
+    servers_per_message: int
 
 
 class HealthExchange:
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -70,7 +70,7 @@
         applied_quota: the quota that the balancer was last given, None before.
     """
 
-    EVIDENCE_LIMITS = EvidenceLimits(recipients=8, servers=64)
+    EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=8, servers_per_message=64)
 
     def __init__(
         self,
@@ -88,8 +88,10 @@
         self.membership = self._create_membership(generation)
         self.cluster_view = self._create_view(generation, expected_proxies)
         evidence = self.EVIDENCE_LIMITS
-        self.health = HealthExchange(self.proxy, self.log_event, evidence.servers)
-        self._rotation = MemberRotation(self.random, evidence.recipients)
+        self.health = HealthExchange(
+            self.proxy, self.log_event, evidence.servers_per_message
+        )
+        self._rotation = MemberRotation(self.random, evidence.recipients_per_interval)
         self.limits = self._create_limits(expected_proxies)
         self.server_updates = self._create_server_updates()
         self.status = self._create_status()
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -53,7 +53,7 @@
     where a socket can't be opened.
     """
 
-    EVIDENCE_LIMITS = EvidenceLimits(recipients=4, servers=12)
+    EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=4, servers_per_message=12)
 
     def __init__(
         self,
