--- a/wheathill/lab/scale/member.py
+++ b/wheathill/lab/scale/member.py
@@ -75,8 +75,8 @@
             told_of,
         )
         if crew.shape:
-            carrier = ShapedCarrier(environment.carrier, crew.shape, self.number)
-            environment = replace(environment, carrier=carrier)
+            carrier = ShapedCarrier(environment.transport, crew.shape, self.number)
+            environment = replace(environment, transport=carrier)
         self.peers = create(
             told,
             environment,
--- a/wheathill/peers/environment.py
+++ b/wheathill/peers/environment.py
@@ -38,12 +38,12 @@
 
     Attributes:
         proxy: the one that it serves.
-        carrier: opens sockets.
+        transport: opens sockets.
         clock: gives the time and sets timers.
         log_event: writes an event, with keyword fields, to the log.
     """
 
     proxy: ServedProxy
-    carrier: Any
+    transport: Any
     clock: Clock
     log_event: Callable[..., None]
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -32,12 +32,12 @@
         Raises OSError where it can't be opened.
         """
         folder, name = os.path.split(path)
-        carrier, clock = self._environment.carrier, self._environment.clock
-        return carrier.meet(
+        transport, clock = self._environment.transport, self._environment.clock
+        return transport.meet(
             folder or ".",
             name,
             lambda connection: ControlConnection(
-                connection, self.handle, carrier.limits, clock
+                connection, self.handle, transport.limits, clock
             ),
         )
 
--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -75,7 +75,7 @@
         on_message: Callable[[Frame, str | None], None],
         listen: tuple[str, int],
     ) -> None:
-        carrier, clock = environment.carrier, environment.clock
+        carrier, clock = environment.transport, environment.clock
         self._carrier, self._clock = carrier, clock
         self.metrics = TransportMetrics(clock, environment.log_event)
         self._authenticator, self._on_message = authenticator, on_message
