--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -41,7 +41,7 @@
 def call_with_peers(proxy: Any, instance: Any, data: bytes) -> bytes:
     """Returns the answer of a proxy's HTTP endpoint that also has the path of its peers."""
     server, wire = AdminServer(proxy), Sink()
-    server.add_route("GET", "/peers", instance.status.table)
+    server.add_route("GET", "/peers", instance.status.report)
     request = server.accept(wire)
     request.connected()
     request.received(data)
--- a/wheathill/daemon.py
+++ b/wheathill/daemon.py
@@ -149,7 +149,7 @@
 
     server = AdminServer(proxy)
     if proxy.peers:
-        server.add_route("GET", "/peers", proxy.peers.status.table)
+        server.add_route("GET", "/peers", proxy.peers.status.report)
     _listen(carrier, "admin_addr", server.accept, address, server.make_room)
     log(LogEvent.ADMIN_LISTENING, at=_address_text(address))
 
--- a/wheathill/lab/worlds/seat.py
+++ b/wheathill/lab/worlds/seat.py
@@ -85,7 +85,7 @@
     def ask(self):
         """What it believes; one that stands still says nothing."""
         if self.running and not self.paused and self.proxy.peers:
-            self.world.believes(self, self.proxy.peers.status.table())
+            self.world.believes(self, self.proxy.peers.status.report())
 
     def kill(self):
         self.host.kill()
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -50,7 +50,7 @@
         elif "remove" in request:
             on_done(self._remove_member(request["remove"]))
         else:
-            on_done(self._status.table())
+            on_done(self._status.report())
 
     def _remove_member(self, name: object) -> dict[str, Any]:
         if self._membership.remove_member(self._environment.clock.now(), str(name)):
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -96,7 +96,7 @@
         self.server_updates = self._create_server_updates()
         self.status = self._create_status()
         self.comparison = ViewComparison(
-            self.membership, self.clock, self.send_message, self.status.table
+            self.membership, self.clock, self.send_message, self.status.report
         )
         self.applied_quota: float | None = None
         # What the others were last notified of: the digest, and whether established.
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -36,7 +36,7 @@
     def __init__(self, sources: StatusSources) -> None:
         self._sources = sources
 
-    def table(self) -> dict[str, Any]:
+    def report(self) -> dict[str, Any]:
         """Return all that operators are shown; the keys are part of the interface."""
         sources, now_ms = self._sources, self._sources.clock.now()
         view, membership = sources.view, sources.membership
--- a/wheathill/peers/view_comparison.py
+++ b/wheathill/peers/view_comparison.py
@@ -16,7 +16,7 @@
 class ViewComparison:
     """Asks the others for their views and reports where they differ.
 
-    `send(address, message)` sends to a member; `status_table()` is what the report
+    `send(address, message)` sends to a member; `status_report()` is what the report
     begins with.
     """
 
@@ -25,12 +25,12 @@
         membership: Membership,
         clock: Clock,
         send: Callable[[str, Message], None],
-        status_table: Callable[[], dict[str, Any]],
+        status_report: Callable[[], dict[str, Any]],
     ) -> None:
         self._membership = membership
         self._clock = clock
         self._send = send
-        self._status_table = status_table
+        self._status_report = status_report
         self._last_request_id = 0
         # By the number of the request, then by the name of the member.
         self._views: dict[int, dict[str, View]] = {}
@@ -75,7 +75,7 @@
         ]
         on_done(
             {
-                **self._status_table(),
+                **self._status_report(),
                 "answered": sorted(views),
                 "silent": silent,
                 "views_differ": _differences(views),
--- a/wheathill/peers/zones/status.py
+++ b/wheathill/peers/zones/status.py
@@ -30,14 +30,14 @@
         super().__init__(sources)
         self._zone_sources = zone_sources
 
-    def table(self) -> dict[str, Any]:
+    def report(self) -> dict[str, Any]:
         """Return all that operators are shown; the keys are part of the interface."""
         directory = self._zone_sources.directory
         own_state = self._zone_sources.zone_state()
         now_ms = self._sources.clock.now()
         own_zone_count = self._sources.view.max_active_proxies(now_ms)
         return {
-            **super().table(),
+            **super().report(),
             "zone": directory.own.name,
             "region": directory.own.region,
             "layout": directory.layout.version,
