--- a/wheathill/peers/__init__.py
+++ b/wheathill/peers/__init__.py
@@ -1,6 +1,7 @@
-"""The other proxies of one cluster: membership, and what follows from it.
+"""Coordination between the proxies of one cluster, built on membership.
 
-Off unless an operator's file switches it on; nothing of it is imported before.
+Disabled unless the operator's configuration file enables it; the service modules are
+imported only then.
 """
 
 from typing import TYPE_CHECKING
@@ -18,11 +19,17 @@
     generation: int,
     expected_proxies: int,
 ) -> "PeerService":
-    """Return the service that `settings` ask for, with zones or without.
+    """Return the peer service for `settings`, with or without zones.
 
-    `generation` is a number that no other process of this name has.
-    `expected_proxies`: how many the configuration names, this one included. Raises
-    OSError where a socket can't be opened.
+    Args:
+        settings: the checked `[peers]` settings.
+        environment: the proxy, sockets, clock and log that the service uses.
+        generation: a number that no other process of this name uses.
+        expected_proxies: how many proxies the configuration expects, including this
+            one.
+
+    Raises:
+        OSError: A socket can't be opened.
     """
     if settings.layout is None:
         from wheathill.peers.peer_service import PeerService
--- a/wheathill/peers/cluster_view.py
+++ b/wheathill/peers/cluster_view.py
@@ -1,18 +1,18 @@
-"""What a proxy may count on while views of the fleet differ.
-
-Free of I/O. A limit over all proxies is a whole of which each takes a quota, and the
-quotas must never sum past it, whoever sees whom. So every process that may be active
-counts: the suspected, those that can't be reached (they may only be partitioned off),
-those that are expected and were never seen, and, for a while, what those that have
-surely ended may still have under way. Only a death that was observed, or an operator,
-frees a quota.
-
-A process that has just started is counted by those that have seen it. Until all agree
-on it, it and the others that are new split the part of the whole that stands with those
-it reaches: of n that were there before, r on this side hold r/n of the whole, and k
-newcomers with them make that r/(n + k) each for the old and (r/n)/(n + k) each for the
-new, r/n in all. Both sides of any split together thus hold the whole and no more
-(docs/design/fleet.md).
+"""The set of possibly active proxies, and the safe quota of fleet-wide limits.
+
+Performs no I/O. Each proxy takes a quota of every fleet-wide limit, and the quotas must
+never sum to more than the limit, even while views of the fleet differ. Every process
+that may be active therefore counts: suspected members, unreachable members (they may
+only be partitioned), expected members that were never seen and, for a limited time,
+processes that have certainly ended, because their work may still be in progress. Only
+an observed death or an operator releases a quota.
+
+A process that has just started is counted by the members that have seen it. Until all
+members agree on it, it gets a fraction of an equal quota: the fraction of established
+members that it reaches and that have the same view. With n established members of which
+r are on this side of a partition, and k new ones, each established member takes at most
+1/(n + k) and each new one (r/n)/(n + k), so this side takes r/n in total, and all sides
+of any partition together never exceed the limit (docs/design/fleet.md).
 """
 
 import hashlib
@@ -24,39 +24,43 @@
 from wheathill.peers.membership import MemberState
 from wheathill.peers.messages import ViewHeader
 
-# Names of members that are remembered, a bound on memory.
+# Member names that are remembered; bounds memory.
 MAX_NAMES = 4096
-# Probes in a row that nobody answers: whoever is alive can't be reached from here.
+# Consecutive probes without an answer from any member, after which this proxy counts as
+# partitioned.
 PARTITIONED_AFTER_UNANSWERED_PROBES = 3
-# Bounds of what another proxy may state as its capacity estimate.
+# Upper bound applied to capacity estimates that other proxies report.
 MAX_CAPACITY_ESTIMATE = 1e6
 
 
 class ViewState(StrEnum):
-    """How far this proxy's view of the fleet can be relied on.
+    """How reliable this proxy's view of the fleet is.
 
-    The values are those of messages, the log and the operators' table.
+    The values appear in messages, in the log and in the status shown to operators.
     """
 
-    CONVERGED = "agreed"  # all members are reached and have the same view
-    DIVERGED = "in doubt"  # some are suspected, out of reach, or have another view
-    PARTITIONED = "cut off"  # most are out of reach, or this proxy is isolated
+    CONVERGED = "agreed"  # all members are reachable and have the same view
+    DIVERGED = "in doubt"  # some are suspected, unreachable, or have another view
+    PARTITIONED = "cut off"  # most are unreachable, or this proxy is isolated
     STANDALONE = "never heard of peers"
 
 
 @dataclass(frozen=True, slots=True)
 class ClusterViewConfig:
-    """What a view is built from.
+    """Configuration of a cluster view.
 
     Attributes:
-        name: of this proxy.
-        generation: tells this process from all others of its name.
-        expected_proxies: how many the configuration names, which is a floor.
-        expected_members: names of those that are expected, where it says so.
-        ended_process_hold_ms: how long a process that has surely ended still counts.
-        startup_wait_ms: after the start, the time in which an answer of others
-            would have come. Until then, or the first answer, this proxy takes no
-            quota: the others may have taken over what the process before it left.
+        name: name of this proxy.
+        generation: distinguishes this process from all others of its name.
+        expected_proxies: how many proxies the configuration expects; the fleet is never
+            counted as smaller.
+        expected_members: names of the expected members, if the configuration lists
+            them.
+        ended_process_hold_ms: how long a process that has certainly ended still counts.
+        startup_wait_ms: time after the start within which other proxies would have
+            answered. Until it has passed, or the first answer has arrived, this proxy
+            takes no quota: the others may have taken over the quota of its previous
+            process.
     """
 
     name: str
@@ -72,13 +76,14 @@
     """One other process that may be active.
 
     Attributes:
-        generation: tells it from other processes of its name.
-        state: as membership has it.
-        is_established: whether all have agreed on it once. A process that is known by
-            hearsay alone is taken for one that was there before.
-        digest: of its own view, as it last reported.
-        capacity_estimate: as it last reported.
-        layout_version: the layout of zones that it holds, as it last reported.
+        generation: distinguishes it from other processes of its name.
+        state: its state according to membership.
+        is_established: whether all members have agreed on it at least once. A process
+            known only through gossip, under a name not seen before, counts as
+            established until it reports otherwise.
+        digest: digest of its own view, as it last reported.
+        capacity_estimate: its capacity estimate, as it last reported.
+        layout_version: version of the zone layout that it holds, as it last reported.
     """
 
     generation: int
@@ -90,39 +95,39 @@
 
 
 class ClusterView:
-    """The processes that may be active, and what follows from them for limits.
+    """The processes that may be active, and this proxy's quota and permits.
 
     Attributes:
         members: the other processes that may be active, by name.
-        state: how far this view can be relied on.
-        state_since_ms: when it came to that state.
-        is_established: whether all have agreed on this process once.
-        is_isolated: whether another process holds its name, or an operator has removed
-            it: nobody counts it.
-        confirmed_digest: a digest that all reachable members have reported, on the word
-            of one that has collected them: whoever has the same agrees.
-        minimum_proxies: the smallest number of which a quota is taken, whichever
-            processes have surely ended.
-        process_end_times_ms: when processes have surely ended, oldest first.
+        state: how reliable this view is.
+        state_since_ms: when the view entered that state.
+        is_established: whether all members have agreed on this process at least once.
+        is_isolated: whether another process holds this proxy's name, or an operator has
+            removed it, so that no other member counts it.
+        confirmed_digest: a digest that all reachable members have reported, according
+            to a member that collects the reports. A view with the same digest agrees.
+        minimum_proxies: lower bound of the number of proxies among which a limit is
+            divided, even if more processes have certainly ended.
+        process_end_times_ms: when processes have certainly ended, oldest first.
     """
 
     def __init__(self, config: ClusterViewConfig, now_ms: float) -> None:
         self.config = config
-        self._standalone_from_ms = now_ms + config.startup_wait_ms
+        self._startup_wait_end_ms = now_ms + config.startup_wait_ms
         self.members: dict[str, KnownMember] = {}
-        # All names ever seen, the longest known first.
+        # All names seen so far, in the order in which they were first seen.
         self._known_names: dict[str, None] = {config.name: None}
-        # A process that starts may follow one that spent its quota a moment ago.
+        # A previous process of this name may have used its quota just before the start.
         self.process_end_times_ms = deque([now_ms])
         self.is_established = False
         self.is_isolated = False
         self.state, self.state_since_ms = ViewState.STANDALONE, now_ms
         self.confirmed_digest: str | None = None
         self.minimum_proxies = 1
-        # The digest of `members`, until these change: each message states it.
+        # Cached until `members` changes, because every message carries it.
         self._digest: str | None = None
 
-    # What is reported
+    # Input from membership and from other proxies
 
     def update_member(
         self,
@@ -132,15 +137,15 @@
         state: MemberState,
         is_death_certain: bool,
     ) -> None:
-        """Take in what membership has found of the process `generation` of a member."""
+        """Apply a state change of a member's process, as found by membership."""
         self._digest = None
         known = self.members.get(name)
         is_present = state in (MemberState.ALIVE, MemberState.SUSPECT)
         if known is not None and known.generation != generation:
             if not is_present:
                 return
-            # The process before it has ended for good; the new one has no quota until
-            # all agree.
+            # The previous process has certainly ended. The new one gets a reduced quota
+            # until all members agree on it.
             self.process_end_times_ms.append(now_ms)
             known = None
         if is_present or state == MemberState.DEAD and not is_death_certain:
@@ -166,12 +171,14 @@
     def record_report(
         self, name: str, generation: int, header: ViewHeader, layout_version: int = 0
     ) -> None:
-        """Take in what a member says of its own view.
+        """Store what a member reports about its own view.
 
-        Raises ValueError or TypeError where the capacity estimate is no number.
+        Raises:
+            ValueError: The capacity estimate is not a number.
+            TypeError: The capacity estimate is not a number.
         """
-        stated = float(header.capacity_estimate)
-        capacity_estimate = min(MAX_CAPACITY_ESTIMATE, max(0.0, stated))
+        reported = float(header.capacity_estimate)
+        capacity_estimate = min(MAX_CAPACITY_ESTIMATE, max(0.0, reported))
         known = self.members.get(name)
         if known is not None and known.generation == generation:
             known.digest = header.digest
@@ -179,12 +186,12 @@
             known.capacity_estimate = capacity_estimate
             known.layout_version = layout_version
 
-    # What follows
+    # Results
 
     def digest(self) -> str:
         """Return a digest of all processes that may be active.
 
-        It is equal where the views on that agree.
+        Proxies whose views contain the same processes have the same digest.
         """
         if self._digest is None:
             processes = [(self.config.name, self.config.generation)]
@@ -196,7 +203,7 @@
         return self._digest
 
     def unseen_proxy_count(self) -> int:
-        """Return how many proxies are expected and were never seen."""
+        """Return how many expected proxies have never been seen."""
         if self.config.expected_members:
             return sum(
                 name not in self._known_names for name in self.config.expected_members
@@ -204,7 +211,7 @@
         return max(0, self.config.expected_proxies - len(self._known_names))
 
     def max_active_proxies(self, now_ms: float) -> int:
-        """Return the largest number of proxies that may be active, with this one."""
+        """Return how many proxies may be active at most, including this one."""
         hold_ms = self.config.ended_process_hold_ms
         while (
             self.process_end_times_ms
@@ -220,14 +227,14 @@
         return max(self.minimum_proxies, counted)
 
     def reachable_names(self) -> list[str]:
-        """Return the names of the members that aren't taken for dead, in order."""
+        """Return the sorted names of the members that are not considered dead."""
         members = self.members
         return [
             name for name in sorted(members) if members[name].state != MemberState.DEAD
         ]
 
     def all_digests_match(self) -> bool:
-        """Tell whether all reachable members have reported this view's digest."""
+        """Return whether all reachable members have reported this view's digest."""
         own = self.digest()
         return all(
             known.digest == own
@@ -236,13 +243,13 @@
         )
 
     def is_startup_wait_over(self, now_ms: float) -> bool:
-        """Tell whether others, if there were any, would have answered by now."""
-        return now_ms >= self._standalone_from_ms
+        """Return whether other proxies, if any, would have answered by now."""
+        return now_ms >= self._startup_wait_end_ms
 
     def update_state(self, now_ms: float, unanswered_probes: int) -> ViewState:
-        """Work out the state of this view anew.
+        """Recompute and return the state of this view.
 
-        `unanswered_probes`: how many probes in a row nobody has answered.
+        `unanswered_probes` is the number of consecutive probes without any answer.
         """
         state = self._determine_state(unanswered_probes)
         if state != self.state:
@@ -260,29 +267,31 @@
         if (
             self.is_isolated
             or unanswered_probes >= PARTITIONED_AFTER_UNANSWERED_PROBES
-            or self._is_minority(len(reachable))
+            or self._is_at_most_half(len(reachable))
         ):
             return ViewState.PARTITIONED
-        if len(reachable) < len(self.members) or not self._has_agreement():
+        if len(reachable) < len(self.members) or not self._is_view_agreed():
             return ViewState.DIVERGED
         if any(self.members[name].state == MemberState.SUSPECT for name in reachable):
             return ViewState.DIVERGED
         return ViewState.CONVERGED
 
-    def _is_minority(self, reachable_count: int) -> bool:
-        """Tell whether this side of a split, if there is one, is at most half."""
+    def _is_at_most_half(self, reachable_count: int) -> bool:
+        """Return whether at most half of the members are on this side of a partition.
+
+        `reachable_count` is the number of reachable members, without this proxy.
+        """
         unseen = self.unseen_proxy_count() if self.config.expected_members else 0
         total = 1 + len(self.members) + unseen
         return total > 1 and 2 * (1 + reachable_count) <= total
 
-    def _has_agreement(self) -> bool:
+    def _is_view_agreed(self) -> bool:
         return self.confirmed_digest == self.digest() or self.all_digests_match()
 
     def quota(self, now_ms: float) -> float:
-        """Return this proxy's part of a limit over all, between 0 and 1.
+        """Return this proxy's fraction of a fleet-wide limit, between 0 and 1.
 
-        A process that is new takes nothing that those who were there before have not
-        yet left to it.
+        A new process takes no quota that established members have not yet given up.
         """
         if self.is_isolated:
             return 0.0
@@ -307,50 +316,60 @@
         server: str,
         own_capacity: float,
         attempts_per_capacity: float,
-        round_permits: Callable[[str, float], int] | None = None,
+        permit_count: Callable[[str, float], int] | None = None,
     ) -> float:
-        """Return how many attempts a window this proxy may send to a warming server.
-
-        All proxies together may send `attempts_per_capacity` for each connection that
-        the server bears; of those this proxy finds `own_capacity` to be its own.
-
-        Where that is less than one attempt for each proxy, only some hold a permit, see
-        `_holds_permit`; `round_permits(server, attempts)` then says how many, where
-        this is a part of a larger fleet.
+        """Return how many attempts per window this proxy may send to a warming server.
+
+        If that is less than one attempt for each proxy, only some proxies hold a
+        permit, see `_holds_permit`.
+
+        Args:
+            server: name of the server that is warming up.
+            own_capacity: the part of the server's capacity that this proxy estimates to
+                be its own, in connections.
+            attempts_per_capacity: attempts per window that all proxies together may
+                send for each connection of the server's capacity.
+            permit_count: returns the number of permits for a server name and a number
+                of attempts. Used if this view covers one zone of a larger fleet;
+                without it, the attempts are rounded down, to at least one permit.
         """
         members = sorted(self.members.items())
         established = [name for name, known in members if known.is_established]
         attempts = attempts_per_capacity * self._total_capacity(own_capacity)
-        is_anyone_established = self.is_established or bool(established)
+        has_established_process = self.is_established or bool(established)
         if (
             self.state == ViewState.STANDALONE
-            or not is_anyone_established
+            or not has_established_process
             or attempts >= 1 + len(established)
         ):
-            # Before a process may stand alone its quota is 0, and with it the capacity.
+            # During the startup wait the quota is 0, and so is own_capacity.
             return attempts_per_capacity * own_capacity
         if not self.is_established or self.is_isolated:
             return 0.0
-        if round_permits is None:
-            holders = max(1, int(attempts))
+        if permit_count is None:
+            permits = max(1, int(attempts))
         else:
-            holders = round_permits(server, attempts)
-        return 1.0 if self._holds_permit(server, established, holders) else 0.0
-
-    def _holds_permit(self, server: str, established: list[str], holders: int) -> bool:
-        """Tell whether this proxy is among the `holders` that may try the server.
-
-        Parts of attempts would add up by chance to more than the whole. So only as many
-        proxies as there are whole attempts hold a permit, of one attempt a window: the
-        first by rendezvous (highest random weight: Thaler and Ravishankar, 1998) among
-        all that were agreed on once, those out of reach included. Both sides of a split
-        thus name the same, and a death passes on one permit alone.
+            permits = permit_count(server, attempts)
+        return 1.0 if self._holds_permit(server, established, permits) else 0.0
+
+    def _holds_permit(self, server: str, established: list[str], permits: int) -> bool:
+        """Return whether this proxy holds one of the server's `permits`.
+
+        If every proxy rounded a fraction of an attempt by itself, the sum could by
+        chance exceed the limit. So there is one permit, of one attempt per window, for
+        each whole attempt. The permits go to the first proxies in rendezvous hashing
+        order (highest random weight: Thaler and Ravishankar, 1998) among all
+        established ones, including unreachable ones. Both sides of a partition thus
+        choose the same proxies, and a death moves only one permit.
         """
         names = [self.config.name, *established]
-        return self.config.name in _rank_by_rendezvous(server, names)[:holders]
+        return self.config.name in _rank_by_rendezvous(server, names)[:permits]
 
     def _total_capacity(self, own_capacity: float) -> float:
-        """Add up the estimates of all; one that has reported none is as this one."""
+        """Return the sum of all capacity estimates.
+
+        A member that has not reported one is assumed to have this proxy's estimate.
+        """
         return own_capacity + sum(
             own_capacity if known.capacity_estimate is None else known.capacity_estimate
             for known in self.members.values()
--- a/wheathill/peers/environment.py
+++ b/wheathill/peers/environment.py
@@ -1,4 +1,4 @@
-"""What a peer service runs in: the proxy that it serves, its clock, sockets and log."""
+"""The dependencies of a peer service: its proxy, clock, sockets and log."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -9,18 +9,18 @@
 
 
 class Closeable(Protocol):
-    """An open socket of whatever kind."""
+    """An open socket of any kind."""
 
     def close(self) -> None:
-        """Close it."""
+        """Close the socket."""
 
 
 class ServedProxy(Protocol):
-    """The proxy that the service informs, and whose servers it has seen.
+    """The proxy that a peer service works for.
 
     Attributes:
-        servers: by name.
-        balancer: decides where sessions go.
+        servers: the servers of its endpoint list, by name.
+        balancer: selects the servers of sessions.
     """
 
     servers: Mapping[str, Server]
@@ -29,18 +29,18 @@
     def on_peer_update(
         self, server: Server, phase: Phase, process_start_ms: float
     ) -> None:
-        """Take in a drain, its end or a new start that the own list doesn't say."""
+        """Apply a phase or a process start that the own endpoint list doesn't have."""
 
 
 @dataclass(frozen=True, slots=True)
 class PeerEnvironment:
-    """Everything around a peer service but its settings.
+    """The dependencies of a peer service, other than its settings.
 
     Attributes:
-        proxy: the one that it serves.
+        proxy: the proxy that the service works for.
         transport: opens sockets.
-        clock: gives the time and sets timers.
-        log_event: writes an event, with keyword fields, to the log.
+        clock: returns the time and sets timers.
+        log_event: writes an event with keyword fields to the log.
     """
 
     proxy: ServedProxy
