--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -150,7 +150,7 @@
                 self._send_to_all(StartUpdate((start,)))
         is_draining = entry.phase is Phase.DRAINING
         drain = self._drains.record_list_entry(server, is_draining, start_ms)
-        if drain is not None and (drain.is_draining or drain.count > 1):
+        if drain is not None and (drain.is_draining or drain.sequence > 1):
             self._send_to_all(DrainUpdate((drain,)))
 
     def _latest_start_ms(self, server: str, listed_start_ms: float) -> float:
