--- a/wheathill/peers/command.py
+++ b/wheathill/peers/command.py
@@ -1,4 +1,4 @@
-"""The command `wheathill peers`: shows what a running proxy knows of its peers."""
+"""The command `wheathill peers`: shows a running proxy's view of its peers."""
 
 import json
 
@@ -15,13 +15,20 @@
 
 
 def run(file: str, as_json: bool, compare: bool, remove: str | None) -> int:
-    """Print the status of the proxy of an operator's file, or remove a member.
+    """Print the status of a running proxy, or remove a member.
 
-    Returns the exit code: whether the proxy's view has converged, and with `compare`
-    whether all views are alike.
+    Returns the exit code: `EXIT_CONVERGED` if the proxy's view has converged and, with
+    `compare`, all views agree.
+
+    Args:
+        file: path of the operator's configuration file of that proxy.
+        as_json: print the reply as JSON.
+        compare: compare the views of all reachable proxies.
+        remove: name of the member to remove, or None to print the status.
 
     Raises:
-        ConfigurationError: The file names no control socket, or nobody replies there.
+        ConfigurationError: The file configures no control socket, or no proxy replies
+            on it.
     """
     path = _control_socket_path(file)
     if remove is not None:
@@ -41,7 +48,7 @@
     settings = operator.check_file(checked.load_toml(file))
     if settings.peers is None or settings.peers.control is None:
         raise ConfigurationError(
-            "peers.control: is missing, so that the instance can't be asked"
+            "peers.control: not set, so the proxy has no control socket to query"
         )
     path: str = settings.peers.control
     return path
@@ -49,5 +56,5 @@
 
 def _remove_member(path: str, member: str) -> int:
     reply = call_control_socket(path, {"remove": member})
-    click.echo(reply.get("wrong") or f"{member} is taken off")
+    click.echo(reply.get("wrong") or f"removed {member}")
     return EXIT_FAILED if "wrong" in reply else EXIT_CONVERGED
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -1,7 +1,7 @@
-"""The control socket: a Unix socket of the proxy's owner, a line of JSON each way.
+"""Server side of the control socket: one JSON line as request, one as reply.
 
-It works however busy the proxy is, as it takes none of the descriptors that clients may
-hold.
+It is a Unix socket that only the proxy's owner can use. It stays available when the
+proxy is fully loaded, because it doesn't use the descriptors available to clients.
 """
 
 from collections.abc import Callable, Sequence
@@ -13,22 +13,23 @@
 from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.environment import Clock
 
-MAX_REQUEST = 65_536  # bytes
-REQUEST_TIMEOUT_MS = 5000.0  # from the connection to its end
+MAX_REQUEST_BYTES = 65_536
+CONNECTION_TIMEOUT_MS = 5000.0  # from the connection's start to its end
 
-OnDone = Callable[[dict[str, Any]], None]
+ReplyCallback = Callable[[dict[str, Any]], None]
 
 
 class ControlConnection(ProtocolMachine):
-    """One caller.
+    """One connection to the control socket.
 
-    `handle_request(request, on_done)` calls `on_done` with the reply, now or later.
+    `handle_request(request, on_reply)` calls `on_reply` with the reply, immediately or
+    later.
     """
 
     def __init__(
         self,
-        connection: Any,  # noqa: ANN401  # a Unix connection of the carrier
-        handle_request: Callable[[dict[str, Any], OnDone], None],
+        connection: Any,  # noqa: ANN401  # a Unix connection of the transport
+        handle_request: Callable[[dict[str, Any], ReplyCallback], None],
         limits: ProxyLimits,
         clock: Clock,
     ) -> None:
@@ -37,13 +38,13 @@
         self._received = b""
 
     def connected(self) -> None:
-        """Give the caller a limited time."""
-        self.set_timer(REQUEST_TIMEOUT_MS, self.end)
+        """Start the timer that limits the connection's duration."""
+        self.set_timer(CONNECTION_TIMEOUT_MS, self.end)
 
     def received(self, data: bytes, handles: Sequence[int] = ()) -> None:
-        """Handle the request once its line is complete.
+        """Buffer the data, and handle the request once its line is complete.
 
-        Descriptors, which a Unix connection may carry, are closed.
+        Any descriptors passed over the Unix connection are closed.
         """
         self.wire.carrier.drop(handles)
         self._received += data
@@ -51,16 +52,16 @@
         if line_end:
             self._received = b""
             self._on_request_line(line)
-        elif len(self._received) > MAX_REQUEST:
+        elif len(self._received) > MAX_REQUEST_BYTES:
             self.end()
 
     def _on_request_line(self, line: bytes) -> None:
         try:
             request = orjson.loads(line)
             if not isinstance(request, dict):
-                raise ValueError("no object")
+                raise ValueError("expected a JSON object")
         except ValueError as error:
-            self._reply({"wrong": f"not a request: {error}"})
+            self._reply({"wrong": f"invalid request: {error}"})
             return
         self._handle_request(request, self._reply)
 
@@ -68,11 +69,11 @@
         self.wire.send(orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE))
 
     def lost(self, reset: bool) -> None:
-        """Close this end as well."""
+        """Close this end after the peer has closed the connection."""
         self.end()
 
     def fault(self) -> None:
-        """Close the connection after an exception in it."""
+        """Close the connection after an exception in its handler."""
         self.end()
 
     def end(self) -> None:
