--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -397,7 +397,7 @@
     (first, second), running, _ = two
     wait_until(lambda: run_cli("peers", str(first)).returncode == 0)
     shown = run_cli("peers", str(first), "--compare").stdout
-    assert "all views alike" in shown and "asked: a, b" in shown
+    assert "all views agree" in shown and "asked: a, b" in shown
     running[1].kill()
     running[1].wait()
     wait_until(lambda: "dead (seen)" in run_cli("peers", str(first)).stdout)
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -1,4 +1,4 @@
-"""What a proxy tells operators of its peers: the status table and the log's metrics."""
+"""The status of a peer service: the report for operators and the logged metrics."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -12,13 +12,13 @@
 from wheathill.peers.server_updates import ServerUpdates
 from wheathill.peers.transport import PeerTransport
 
-# Quotas under this are shown by two digits, those above by three decimal places.
+# Smaller quotas are shown with two significant digits, others with three decimals.
 SMALL_QUOTA = 0.01
 
 
 @dataclass(frozen=True, slots=True)
 class StatusSources:
-    """The parts of a peer service that its status is read from."""
+    """The components of a peer service that provide its status."""
 
     settings: PeerSettings
     clock: Clock
@@ -31,13 +31,13 @@
 
 
 class StatusReporter:
-    """Reads the status of a peer service from its parts."""
+    """Collects the status of a peer service from its components."""
 
     def __init__(self, sources: StatusSources) -> None:
         self._sources = sources
 
     def report(self) -> dict[str, Any]:
-        """Return all that operators are shown; the keys are part of the interface."""
+        """Return the status for operators; its keys are part of the interface."""
         sources, now_ms = self._sources, self._sources.clock.now()
         view, membership = sources.view, sources.membership
         return {
@@ -58,7 +58,7 @@
         }
 
     def metrics(self) -> dict[str, Any]:
-        """Return what the log states regularly."""
+        """Return the metrics that are logged periodically."""
         sources, now_ms = self._sources, self._sources.clock.now()
         return {
             "state": sources.view.state.value,
@@ -69,34 +69,39 @@
         }
 
     def deviations(self, now_ms: float) -> list[str]:
-        """Return what this proxy does because of its peers, and would not without."""
+        """Describe how this proxy's behavior differs because of its peers."""
         sources = self._sources
-        found = []
+        deviations = []
         if sources.view.state == ViewState.PARTITIONED:
-            found.append(
-                "is cut off: serves with what it has, tells and takes no evidence of "
-                "servers"
+            deviations.append(
+                "is cut off: keeps serving, but neither sends nor accepts health "
+                "evidence about servers"
             )
         if not sources.limits.has_expected_fleet_size(now_ms):
             quota = _format_quota(sources.limits.quota(now_ms))
             expected = _format_quota(sources.limits.expected_quota())
-            found.append(f"takes {quota} of what all may do, {expected} by its file")
+            deviations.append(
+                f"takes a quota of {quota} instead of the configured {expected}"
+            )
         drained = sources.server_updates.drained_by_peers()
         if drained:
-            found.append(
-                f"sends nothing new to {', '.join(drained)}: "
-                "a peer was told that they drain"
+            deviations.append(
+                f"sends no new sessions to {', '.join(drained)}: "
+                "peers report them as draining"
             )
         verdict = sources.health.verdict
         if verdict.failing_for_all:
             names = ", ".join(verdict.failing_for_all)
-            found.append(
-                f"tries with one session at a time {names}: they fail for others"
+            deviations.append(
+                f"tries {names} with one session at a time: they fail for other proxies"
             )
         if verdict.failing_locally_only:
             names = ", ".join(verdict.failing_locally_only)
-            found.append(f"takes for its own way's fault that {names} fail here")
-        return found
+            deviations.append(
+                f"attributes failures of {names} to its own network path: "
+                "they serve other proxies"
+            )
+        return deviations
 
     def _member_row(self, now_ms: float, member: Member) -> dict[str, Any]:
         is_self = member is self._sources.membership.local
--- a/wheathill/peers/status_view.py
+++ b/wheathill/peers/status_view.py
@@ -1,7 +1,7 @@
-"""The status of a proxy among its peers, as it replies over the control socket.
+"""The status of a peer service, decoded from its reply over the control socket.
 
-Each class is decoded from one object of the reply; keys of the reply are those that
-operators see.
+Each class is decoded from one object of the reply. The keys of the reply are part of
+the interface for operators.
 """
 
 from collections.abc import Mapping
@@ -11,11 +11,12 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRow:
-    """One member in the proxy's view; times are seconds ago.
+    """One member in the proxy's view; times are seconds before the reply.
 
     Attributes:
-        last_seen_s: None of the proxy itself.
-        is_surely_gone: its end was observed, or it has left.
+        last_seen_s: time since its last message, None for the proxy itself.
+        is_surely_gone: whether its death was observed, or it has left.
+        agrees: whether it last reported the same view.
     """
 
     name: str
@@ -29,7 +30,7 @@
 
     @classmethod
     def decode(cls, fields: Mapping[str, Any]) -> Self:
-        """Return the row of one member."""
+        """Decode the row of one member."""
         return cls(
             name=fields["name"],
             address=fields["address"],
@@ -44,7 +45,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneRow:
-    """One zone in the proxy's view; None is what its leaders have not stated yet."""
+    """One zone in the proxy's view; None for values not yet reported by its leaders."""
 
     name: str
     region: str
@@ -59,7 +60,7 @@
 
     @classmethod
     def decode(cls, fields: Mapping[str, Any]) -> Self:
-        """Return the row of one zone."""
+        """Decode the row of one zone."""
         return cls(
             name=fields["name"],
             region=fields["region"],
@@ -76,7 +77,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetStatus:
-    """What a proxy of a fleet of zones states beyond its own zone."""
+    """The status of the whole fleet, reported by a proxy of a fleet with zones."""
 
     zone: str
     region: str
@@ -89,7 +90,7 @@
 
     @classmethod
     def decode(cls, fields: Mapping[str, Any]) -> Self | None:
-        """Return what the reply says of zones, or None where the fleet has none."""
+        """Decode the fleet status, or return None if the fleet has no zones."""
         if "zones" not in fields:
             return None
         return cls(
@@ -106,10 +107,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ComparisonResult:
-    """Whose views were compared, and where they differ.
+    """The result of comparing the views of all reachable proxies.
 
     Attributes:
-        differing_views: member -> {whose view it is: the member's state in it}.
+        replied: proxies whose views were compared.
+        silent: proxies that didn't reply.
+        differing_views: for each member with differing views, its state by proxy.
     """
 
     replied: list[str]
@@ -118,7 +121,7 @@
 
     @classmethod
     def decode(cls, fields: Mapping[str, Any]) -> Self | None:
-        """Return the result of a comparison, or None where none was asked for."""
+        """Decode a comparison, or return None if none was requested."""
         if "answered" not in fields:
             return None
         return cls(fields["answered"], fields["silent"], fields["views_differ"])
@@ -126,12 +129,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerStatus:
-    """The whole reply.
+    """The complete reply.
 
     Attributes:
-        state: of the proxy's view, as `ViewState`.
-        dropped: messages that its transport dropped, by reason.
-        deviations: what it does because of its peers and would not do without.
+        state: state of the proxy's view, a value of `ViewState`.
+        dropped: number of messages dropped by its transport, by reason.
+        deviations: how its behavior differs because of its peers.
     """
 
     name: str
@@ -149,7 +152,7 @@
 
     @classmethod
     def decode(cls, fields: Mapping[str, Any]) -> Self:
-        """Return the status that a reply states."""
+        """Decode the status from a reply."""
         return cls(
             name=fields["name"],
             cluster=fields["cluster"],
--- a/wheathill/peers/view_comparison.py
+++ b/wheathill/peers/view_comparison.py
@@ -1,4 +1,4 @@
-"""Views of all reachable proxies, set side by side for an operator."""
+"""Compares the views of all reachable proxies for an operator."""
 
 from collections.abc import Callable
 from typing import Any
@@ -7,17 +7,17 @@
 from wheathill.peers.membership import Membership
 from wheathill.peers.messages import MemberSummary, Message, ViewReply, ViewRequest
 
-# Milliseconds for the views of others to come.
+# Time for the other proxies to reply with their views.
 REPLY_WAIT_MS = 1000.0
 
 View = dict[str, MemberSummary]
 
 
 class ViewComparison:
-    """Asks the others for their views and reports where they differ.
+    """Requests the views of other members and reports their differences.
 
-    `send(address, message)` sends to a member; `status_report()` is what the report
-    begins with.
+    `send(address, message)` sends to a member. `status_report()` returns the status to
+    which the result of the comparison is added.
     """
 
     def __init__(
@@ -32,29 +32,29 @@
         self._send = send
         self._status_report = status_report
         self._last_request_id = 0
-        # By the number of the request, then by the name of the member.
+        # By request ID, then by name of the member.
         self._views: dict[int, dict[str, View]] = {}
 
-    def begin(self, on_done: Callable[[dict[str, Any]], None]) -> None:
-        """Ask all that can be reached, and call `on_done` with the report in a second.
+    def begin(self, on_report: Callable[[dict[str, Any]], None]) -> None:
+        """Request all views, and call `on_report` after `REPLY_WAIT_MS`.
 
-        What has not come by then is left out.
+        Views that arrive later are left out.
         """
         self._last_request_id += 1
         request_id = self._last_request_id
-        me = self._membership.local
-        self._views[request_id] = {me.name: self._own_view()}
+        local = self._membership.local
+        self._views[request_id] = {local.name: self._own_view()}
         for member in self._membership.active_members():
-            if member is not me:
+            if member is not local:
                 self._send(member.address, ViewRequest(request_id))
-        self._clock.after(REPLY_WAIT_MS, self._finish, request_id, on_done)
+        self._clock.after(REPLY_WAIT_MS, self._finish, request_id, on_report)
 
     def reply(self, request: ViewRequest) -> ViewReply:
-        """Return the answer to another's request."""
+        """Return the reply to another proxy's request."""
         return ViewReply(request.request_id, self._own_view())
 
     def record_reply(self, source: str, reply: ViewReply) -> None:
-        """Take in the view of the member `source`, unless it comes too late."""
+        """Store the view of the member `source`, unless it arrives too late."""
         if reply.request_id in self._views:
             self._views[reply.request_id][source] = reply.members
 
@@ -65,7 +65,7 @@
         }
 
     def _finish(
-        self, request_id: int, on_done: Callable[[dict[str, Any]], None]
+        self, request_id: int, on_report: Callable[[dict[str, Any]], None]
     ) -> None:
         views = self._views.pop(request_id)
         silent = [
@@ -73,7 +73,7 @@
             for member in self._membership.active_members()
             if member.name not in views
         ]
-        on_done(
+        on_report(
             {
                 **self._status_report(),
                 "answered": sorted(views),
@@ -84,13 +84,15 @@
 
 
 def _differences(views: dict[str, View]) -> dict[str, dict[str, str]]:
-    """Return, for each member that is seen differently, its state by viewer."""
+    """Return the state by viewer of each member whose views differ."""
     unknown = MemberSummary(0, "unknown")
     differences = {}
     for name in sorted({name for view in views.values() for name in view}):
-        seen = {
+        summaries = {
             viewer: view.get(name, unknown) for viewer, view in sorted(views.items())
         }
-        if len(set(seen.values())) > 1:
-            differences[name] = {viewer: each.state for viewer, each in seen.items()}
+        if len(set(summaries.values())) > 1:
+            differences[name] = {
+                viewer: summary.state for viewer, summary in summaries.items()
+            }
     return differences
