--- a/wheathill/peers/event_log.py
+++ b/wheathill/peers/event_log.py
@@ -1,4 +1,4 @@
-"""The events of a peer service in the log; docs/fleet.md has their meaning."""
+"""Writes the log events of a peer service, which docs/fleet.md describes."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,13 @@
 
 
 class PeerEventLog:
-    """Writes each kind of event with its fields by `log_event`."""
+    """Writes each kind of event with its fields through `log_event`."""
 
     def __init__(self, log_event: Callable[..., None]) -> None:
         self.log_event = log_event
 
     def started(self, settings: PeerSettings) -> None:
-        """Log that the service joins its cluster."""
+        """Log that the service starts and joins its cluster."""
         self.log_event(
             LogEvent.MEMBERSHIP,
             at=settings.advertise_address,
@@ -23,14 +23,14 @@
             seeds=len(settings.seeds),
         )
 
-    def membership_note(self, text: str) -> None:
-        """Log what membership has to say of this proxy's own name or clock."""
+    def membership_message(self, text: str) -> None:
+        """Log a message of membership about this proxy's own name or clock."""
         self.log_event(LogEvent.MEMBERSHIP, what=text)
 
     def member_changed(
         self, member: Member, previous_state: MemberState | None
     ) -> None:
-        """Log a member's change; without a previous state it is new."""
+        """Log a member's state change; a new member has no previous state."""
         is_suspect = member.state == MemberState.SUSPECT
         is_dead = member.state == MemberState.DEAD
         self.log_event(
@@ -50,7 +50,7 @@
         previous_since_ms: float,
         now_ms: float,
     ) -> None:
-        """Log the new state of the view, and how long the one before lasted."""
+        """Log the new state of the view and how long the previous one lasted."""
         self.log_event(
             LogEvent.CLUSTER_VIEW_CHANGED,
             state=view.state.value,
--- a/wheathill/peers/fleet_limits.py
+++ b/wheathill/peers/fleet_limits.py
@@ -1,4 +1,4 @@
-"""This proxy's part of what all proxies of the fleet may do together."""
+"""This proxy's quota of fleet-wide limits, and its permits for warming servers."""
 
 from collections.abc import Callable
 
@@ -8,8 +8,9 @@
 class FleetLimits:
     """Quota and permits of one proxy in a fleet without zones.
 
-    `expected_proxies`: how many the configuration names. `capacity_estimate()`: what a
-    warm server bears of this proxy's connections, as it finds.
+    `expected_proxies` is the number of proxies that the configuration expects.
+    `capacity_estimate()` returns this proxy's estimate of how many of its connections
+    a warm server can handle.
     """
 
     def __init__(
@@ -23,19 +24,19 @@
         self._capacity_estimate = capacity_estimate
 
     def quota(self, now_ms: float) -> float:
-        """Return this proxy's part of a limit over all, between 0 and 1."""
+        """Return this proxy's fraction of a fleet-wide limit, between 0 and 1."""
         return self._view.quota(now_ms)
 
     def expected_quota(self) -> float:
-        """Return the quota that the configuration alone would give."""
+        """Return the quota that follows from the configuration alone."""
         return 1 / self._expected_proxies
 
     def has_expected_fleet_size(self, now_ms: float) -> bool:
-        """Tell whether as many proxies may be active as the configuration names."""
+        """Return whether as many proxies may be active as the configuration expects."""
         return self._view.max_active_proxies(now_ms) == self._expected_proxies
 
     def permit(self, server: str, attempts_per_capacity: float) -> float:
-        """Return how many attempts a window may go to a warming server.
+        """Return how many attempts per window may go to a warming server.
 
         See `ClusterView.permit`.
         """
--- a/wheathill/peers/health_exchange.py
+++ b/wheathill/peers/health_exchange.py
@@ -1,4 +1,4 @@
-"""Health of servers, exchanged with other proxies, and what follows from it here."""
+"""Exchanges server health with other proxies, and applies the resulting verdict."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
@@ -15,19 +15,19 @@
     ServerHealth,
 )
 
-# Milliseconds; what was seen longer ago is no evidence.
+# Older observations are not used as evidence.
 FRESHNESS_MS = 3000.0
-# Probes in a row without an answer, from which a server counts as failing.
+# Consecutive probes without an answer after which a server counts as failing.
 FAILING_AFTER_UNANSWERED_PROBES = 2
 
 
 @dataclass(frozen=True, slots=True)
 class EvidenceLimits:
-    """How much evidence of servers is sent, however many members there are.
+    """Bounds of the health evidence sent, independent of the number of members.
 
     Attributes:
-        recipients_per_interval: members that it is sent to each probe interval.
-        servers_per_message: that one message names.
+        recipients_per_interval: members that get evidence in each probe interval.
+        servers_per_message: servers reported in one message.
     """
 
     recipients_per_interval: int
@@ -35,9 +35,12 @@
 
 
 class HealthExchange:
-    """Reports what this proxy has seen of servers, and judges what others report.
+    """Reports this proxy's server observations, and evaluates those of other proxies.
 
-    `max_servers`: in one message. `verdict` is what was last found.
+    `max_servers` bounds the servers reported in one message.
+
+    Attributes:
+        verdict: the result of the last evaluation.
     """
 
     def __init__(
@@ -50,35 +53,38 @@
         self.verdict = HealthVerdict()
 
     def observe(self, now_ms: float) -> dict[str, HealthObservation]:
-        """Return the last that this proxy itself has seen of each server, by name."""
-        found = {}
+        """Return this proxy's own latest observation of each server, by name.
+
+        Servers without a recent observation are left out.
+        """
+        observations = {}
         for name, server in self._proxy.servers.items():
-            last = _last_observation(server)
-            if now_ms - last.seen_at_ms < FRESHNESS_MS:
-                found[name] = last
-        return found
+            latest = _latest_observation(server)
+            if now_ms - latest.seen_at_ms < FRESHNESS_MS:
+                observations[name] = latest
+        return observations
 
     def evidence(
         self, now_ms: float, own: Mapping[str, HealthObservation]
     ) -> HealthEvidence | None:
-        """Return what to send of the own observations, None where there are none."""
+        """Return the own observations to send, or None if there are none."""
         if not own:
             return None
-        # Failing servers first: that a server serves is known to most anyway.
-        seen = sorted(own.items(), key=lambda item: (item[1].health, item[0]))
+        # Failing servers come first: most members observe working servers themselves.
+        by_health = sorted(own.items(), key=lambda item: (item[1].health, item[0]))
         return HealthEvidence(
             tuple(
-                HealthReport(name, last.health, round(now_ms - last.seen_at_ms, 1))
-                for name, last in seen[: self._max_servers]
+                HealthReport(name, latest.health, round(now_ms - latest.seen_at_ms, 1))
+                for name, latest in by_health[: self._max_servers]
             )
         )
 
     def record(self, now_ms: float, source: str, evidence: HealthEvidence) -> None:
-        """Take in what the member `source` has seen."""
+        """Store the evidence reported by the member `source`."""
         self._reports.record(now_ms, source, evidence.reports)
 
     def forget_source(self, source: str) -> None:
-        """Drop what a member has reported that is gone."""
+        """Remove the reports of a member that is dead or has left."""
         self._reports.forget_source(source)
 
     def apply_verdict(
@@ -87,9 +93,9 @@
         own: Mapping[str, HealthObservation],
         is_partitioned: bool,
     ) -> None:
-        """Judge all servers anew, and hand the verdict to the balancer.
+        """Evaluate the health of all servers, and pass the verdict to the balancer.
 
-        Nothing is judged by others' word while this proxy is partitioned off.
+        Reports of other proxies are ignored while this proxy is partitioned.
         """
         verdict = HealthVerdict()
         if not is_partitioned:
@@ -114,14 +120,14 @@
             )
 
 
-def _last_observation(server: Server) -> HealthObservation:
-    seen = [(server.last_received_ms, ServerHealth.SERVING)]
+def _latest_observation(server: Server) -> HealthObservation:
+    observations = [(server.last_received_ms, ServerHealth.SERVING)]
     if server.load_samples:
-        seen.append((server.load_samples[-1][0], ServerHealth.SERVING))
+        observations.append((server.load_samples[-1][0], ServerHealth.SERVING))
     if server.recent_results:
         seen_at_ms, is_success = server.recent_results[-1]
-        seen.append((seen_at_ms, ServerHealth(bool(is_success))))
+        observations.append((seen_at_ms, ServerHealth(bool(is_success))))
     if server.unanswered_probes >= FAILING_AFTER_UNANSWERED_PROBES:
-        seen.append((server.last_probe_ms, ServerHealth.FAILING))
-    last_seen_at_ms, health = max(seen)
+        observations.append((server.last_probe_ms, ServerHealth.FAILING))
+    last_seen_at_ms, health = max(observations)
     return HealthObservation(health, last_seen_at_ms)
--- a/wheathill/peers/member_rotation.py
+++ b/wheathill/peers/member_rotation.py
@@ -1,4 +1,4 @@
-"""Members in turn, a few at a time, however many there are."""
+"""Selects members in random rotation, in batches of bounded size."""
 
 import random
 from collections.abc import Callable
@@ -7,18 +7,21 @@
 
 
 class MemberRotation:
-    """Each member once a round, a few at a time, in an order drawn anew each round."""
+    """Returns each member once per round, in batches of at most `batch_size`.
 
-    def __init__(self, rng: random.Random, count: int) -> None:
+    The order is shuffled for each round.
+    """
+
+    def __init__(self, rng: random.Random, batch_size: int) -> None:
         self._random = rng
-        self._count = count
+        self._batch_size = batch_size
         self._remaining: list[Member] = []
 
     def next_members(self, list_members: Callable[[], list[Member]]) -> list[Member]:
-        """Return the next few; `list_members()` is asked where a round begins."""
+        """Return the next batch; each round begins with a call of `list_members()`."""
         if not self._remaining:
             self._remaining = list_members()
             self._random.shuffle(self._remaining)
-        chosen = self._remaining[: self._count]
-        self._remaining = self._remaining[self._count :]
+        chosen = self._remaining[: self._batch_size]
+        self._remaining = self._remaining[self._batch_size :]
         return chosen
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -1,4 +1,4 @@
-"""Requests of operators, which come over the control socket."""
+"""Handles the requests that operators send over the control socket."""
 
 import os
 from collections.abc import Callable
@@ -12,7 +12,7 @@
 
 
 class OperatorRequests:
-    """Answers operators: the status, a comparison of all views, a member's removal."""
+    """Handles status, view comparison and member removal requests."""
 
     def __init__(
         self,
@@ -27,14 +27,15 @@
         self._comparison = comparison
 
     def listen(self, path: str) -> Closeable:
-        """Open the control socket.
+        """Open the control socket at `path`.
 
-        Raises OSError where it can't be opened.
+        Raises:
+            OSError: The socket can't be opened.
         """
-        folder, name = os.path.split(path)
+        directory, name = os.path.split(path)
         transport, clock = self._environment.transport, self._environment.clock
         return transport.meet(
-            folder or ".",
+            directory or ".",
             name,
             lambda connection: ControlConnection(
                 connection, self.handle, transport.limits, clock
@@ -42,15 +43,15 @@
         )
 
     def handle(
-        self, request: dict[str, Any], on_done: Callable[[dict[str, Any]], None]
+        self, request: dict[str, Any], on_reply: Callable[[dict[str, Any]], None]
     ) -> None:
-        """Answer a request by calling `on_done`, now or later."""
+        """Handle a request; `on_reply` is called immediately or later."""
         if "compare" in request:
-            self._comparison.begin(on_done)
+            self._comparison.begin(on_reply)
         elif "remove" in request:
-            on_done(self._remove_member(request["remove"]))
+            on_reply(self._remove_member(request["remove"]))
         else:
-            on_done(self._status.report())
+            on_reply(self._status.report())
 
     def _remove_member(self, name: object) -> dict[str, Any]:
         if self._membership.remove_member(self._environment.clock.now(), str(name)):
--- a/wheathill/peers/peer_health_reports.py
+++ b/wheathill/peers/peer_health_reports.py
@@ -1,14 +1,14 @@
-"""The health of servers as seen by several proxies, compared. Free of I/O.
+"""Compares the health of servers as observed by several proxies. Performs no I/O.
 
-Each proxy reports what it has seen by itself in the last seconds, never what was
-reported to it: evidence has one source and travels once. Two questions are answered.
-Does a server fail for all, so that this proxy need not find out by sessions of its own?
-Does one fail for this proxy alone, so that the network path is at fault and not the
-server?
+Each proxy reports only its own observations of the last seconds, and never forwards
+those of others, so each observation has one source and is sent only by it. The
+comparison finds servers that fail for all proxies, so that this proxy need not find out
+with sessions of its own, and servers that fail for this proxy only, where the network
+path is at fault and not the server.
 
-A reporter that others contradict weighs less: one behind a bad path calls many servers
-failing by which others are served. What this proxy sees itself is newer than what is
-reported to it, and takes precedence.
+A reporter that others contradict has a lower weight: a proxy with a faulty network path
+reports many servers as failing that serve other proxies. This proxy's own observations
+are newer than reported ones and take precedence.
 """
 
 from collections.abc import Collection, Iterable, Mapping, Sequence
@@ -16,21 +16,21 @@
 from enum import IntEnum
 from typing import Any, Self
 
-# Servers of which reports are kept, a bound on memory.
+# Servers for which reports are kept; bounds memory.
 MAX_SERVERS = 4096
-# Milliseconds between what two proxies saw of one server, at the most, for them to
-# contradict each other.
+# A success of another proxy that is older than the own failure by less than this still
+# contradicts it.
 CONTRADICTION_WINDOW_MS = 300.0
-# Weight of agreeing reporters from which a server counts as failing for all: two
-# reporters at least.
-REQUIRED_WEIGHT = 1.5
-# Reporters that are served by a server which fails here, for the path from here to be
-# at fault.
-REQUIRED_CONTRADICTIONS = 2
+# Minimum total weight of the reporters of a failing server for it to count as failing
+# for all. A reporter's weight is at most 1, so at least two reporters are needed.
+MIN_FAILING_WEIGHT = 1.5
+# Minimum number of reporters served by a server that fails for this proxy, for the
+# network path of this proxy to be considered at fault.
+MIN_CONTRADICTING_REPORTERS = 2
 
 
 class ServerHealth(IntEnum):
-    """How a server was seen; the numbers are those of the messages."""
+    """Observed health of a server; the values are those used in messages."""
 
     FAILING = 0
     SERVING = 1
@@ -39,11 +39,11 @@
 _HEALTH_BY_VALUE = {health.value: health for health in ServerHealth}
 
 
-# Observations and reports are made for each server of each message: not frozen, which
-# would double what it costs to make one.
+# Observations and reports are created for each server of each message. They are not
+# frozen dataclasses, because those take twice as long to create.
 @dataclass(slots=True)
 class HealthObservation:
-    """What was last seen of a server, and when (monotonic clock)."""
+    """The latest observed health of a server, and its time (monotonic clock)."""
 
     health: ServerHealth
     seen_at_ms: float
@@ -51,22 +51,25 @@
 
 @dataclass(slots=True)
 class HealthReport:
-    """What another proxy has seen of a server, `age_ms` before the report."""
+    """A proxy's observation of a server, made `age_ms` before the report."""
 
     server: str
     health: ServerHealth
     age_ms: float
 
     def encode(self) -> list[Any]:
-        """Return the report as it stands in a message."""
+        """Return the report in the form used in messages."""
         return [self.server, int(self.health), self.age_ms]
 
     @classmethod
     def decode(cls, fields: Sequence[Any]) -> Self | None:
-        """Read a report of a message.
+        """Decode a report from a message.
 
-        Returns None where its health is one that this version doesn't know. Raises
-        ValueError or TypeError where it is no report.
+        Returns None if this version doesn't know the health value.
+
+        Raises:
+            ValueError: The fields are not a report.
+            TypeError: The fields are not a report.
         """
         server, value, age_ms = fields
         health = _HEALTH_BY_VALUE.get(value)
@@ -75,31 +78,36 @@
 
 @dataclass(frozen=True, slots=True)
 class HealthVerdict:
-    """What follows from all reports: names of servers, in order."""
+    """Result of comparing all reports: server names, sorted.
+
+    Attributes:
+        failing_for_all: servers that fail for all proxies.
+        failing_locally_only: servers that fail for this proxy, but serve others.
+    """
 
     failing_for_all: tuple[str, ...] = ()
     failing_locally_only: tuple[str, ...] = ()
 
     def __bool__(self) -> bool:
-        """Tell whether any server fails."""
+        """Return whether any server is failing."""
         return bool(self.failing_for_all or self.failing_locally_only)
 
 
 class PeerHealthReports:
-    """The reports of other proxies that are recent enough to count.
+    """The recent health reports of other proxies.
 
-    `freshness_ms`: how long a report weighs anything.
+    Observations older than `freshness_ms` are dropped.
     """
 
     def __init__(self, freshness_ms: float) -> None:
         self._freshness_ms = freshness_ms
-        # By server, then by the name of the reporter.
+        # By server, then by name of the reporter.
         self._reports: dict[str, dict[str, HealthObservation]] = {}
 
     def record(
         self, now_ms: float, source: str, reports: Iterable[HealthReport]
     ) -> None:
-        """Take in what `source` has seen itself."""
+        """Store the observations reported by the member `source`."""
         for report in reports:
             if not 0 <= report.age_ms < self._freshness_ms:
                 continue
@@ -113,50 +121,52 @@
             del self._reports[next(iter(self._reports))]
 
     def forget_source(self, source: str) -> None:
-        """Drop all reports of a member that is gone."""
+        """Remove all reports of a member that is dead or has left."""
         for by_source in self._reports.values():
             by_source.pop(source, None)
 
     def verdict(
         self, now_ms: float, own: Mapping[str, HealthObservation]
     ) -> HealthVerdict:
-        """Judge all servers that were reported.
+        """Evaluate all servers that were reported.
 
-        `own`: what this proxy itself last saw of each.
+        `own` contains this proxy's own latest observations, by server.
         """
         weights = self._reporter_weights(now_ms)
-        for_all, here_alone = [], []
+        for_all, locally_only = [], []
         for server in sorted(self._reports):
             by_source = self._reports[server]
-            if _fails_here_alone(by_source.values(), own.get(server)):
-                here_alone.append(server)
+            if _fails_locally_only(by_source.values(), own.get(server)):
+                locally_only.append(server)
             elif _fails_for_all(by_source, weights, own.get(server)):
                 for_all.append(server)
-        return HealthVerdict(tuple(for_all), tuple(here_alone))
+        return HealthVerdict(tuple(for_all), tuple(locally_only))
 
     def _reporter_weights(self, now_ms: float) -> dict[str, float]:
-        """Weigh each reporter by how often others contradict it.
+        """Return the weight of each reporter of a failing server.
 
-        The weight is 1, less the share of the servers that it calls failing and by
-        which as many others are served.
+        The weight is 1, reduced by the fraction of its failure reports that are
+        contradicted: at least half of the reporters of the server are served by it.
         """
         failing, serving = ServerHealth.FAILING, ServerHealth.SERVING
-        claims: dict[str, int] = {}
+        failure_reports: dict[str, int] = {}
         contradicted: dict[str, int] = {}
         for server in list(self._reports):
             by_source = self._drop_outdated(now_ms, server)
             if not by_source:
                 del self._reports[server]
                 continue
-            served = sum(seen.health is serving for seen in by_source.values())
+            served = sum(
+                observation.health is serving for observation in by_source.values()
+            )
             is_contradicted = 2 * served >= len(by_source)
-            for source, seen in by_source.items():
-                if seen.health is failing:
-                    claims[source] = claims.get(source, 0) + 1
+            for source, observation in by_source.items():
+                if observation.health is failing:
+                    failure_reports[source] = failure_reports.get(source, 0) + 1
                     contradicted[source] = contradicted.get(source, 0) + is_contradicted
         return {
             source: 1.0 - contradicted[source] / count
-            for source, count in claims.items()
+            for source, count in failure_reports.items()
         }
 
     def _drop_outdated(
@@ -165,36 +175,43 @@
         by_source = self._reports[server]
         outdated = [
             source
-            for source, seen in by_source.items()
-            if now_ms - seen.seen_at_ms >= self._freshness_ms
+            for source, observation in by_source.items()
+            if now_ms - observation.seen_at_ms >= self._freshness_ms
         ]
         for source in outdated:
             del by_source[source]
         return by_source
 
 
-def _times(reports: Iterable[HealthObservation], health: ServerHealth) -> list[float]:
-    return [seen.seen_at_ms for seen in reports if seen.health is health]
+def _observation_times(
+    observations: Iterable[HealthObservation], health: ServerHealth
+) -> list[float]:
+    return [
+        observation.seen_at_ms
+        for observation in observations
+        if observation.health is health
+    ]
 
 
-def _fails_here_alone(
-    reports: Collection[HealthObservation], own: HealthObservation | None
+def _fails_locally_only(
+    observations: Collection[HealthObservation], own: HealthObservation | None
 ) -> bool:
-    """Tell whether others were served after it failed here.
+    """Return whether a server fails for this proxy while it serves others.
 
-    Or so soon before that the server hardly broke for all in between.
+    Another proxy contradicts the own failure if it was served later, or so shortly
+    before that the server is unlikely to have failed for all in between.
     """
     if (
         own is None
         or own.health is not ServerHealth.FAILING
-        or _times(reports, ServerHealth.FAILING)
+        or _observation_times(observations, ServerHealth.FAILING)
     ):
         return False
-    serving = _times(reports, ServerHealth.SERVING)
+    served_at_ms = _observation_times(observations, ServerHealth.SERVING)
     contradicting = sum(
-        seen > own.seen_at_ms - CONTRADICTION_WINDOW_MS for seen in serving
+        at_ms > own.seen_at_ms - CONTRADICTION_WINDOW_MS for at_ms in served_at_ms
     )
-    return contradicting >= REQUIRED_CONTRADICTIONS
+    return contradicting >= MIN_CONTRADICTING_REPORTERS
 
 
 def _fails_for_all(
@@ -202,21 +219,21 @@
     weights: Mapping[str, float],
     own: HealthObservation | None,
 ) -> bool:
-    """Tell whether enough reporters agree, and nobody has been served since.
+    """Return whether enough reporters saw a failure and no proxy was served since.
 
-    One that is served speaks against all that were not: a server that is up serves
-    somebody.
+    One proxy that is served outweighs all failure reports, because a server that has
+    failed for all serves none.
     """
     failing, serving = ServerHealth.FAILING, ServerHealth.SERVING
     weight = sum(
         weights.get(source, 1.0)
-        for source, seen in by_source.items()
-        if seen.health is failing
+        for source, observation in by_source.items()
+        if observation.health is failing
     )
-    if weight < REQUIRED_WEIGHT:
+    if weight < MIN_FAILING_WEIGHT:
         return False
-    first_failure_ms = min(_times(by_source.values(), failing))
-    served_at_ms = _times(by_source.values(), serving)
+    first_failure_ms = min(_observation_times(by_source.values(), failing))
+    served_at_ms = _observation_times(by_source.values(), serving)
     if served_at_ms and max(served_at_ms) > first_failure_ms:
         return False
     return own is None or own.health is not serving or own.seen_at_ms < first_failure_ms
--- a/wheathill/peers/peer_service.py
+++ b/wheathill/peers/peer_service.py
@@ -1,8 +1,9 @@
-"""One proxy among the others of its cluster: membership, and what follows from it.
+"""The peer service: coordinates one proxy with the others of its cluster.
 
-The proxy asks one thing (what others know of a server that its list names) and is given
-three: its quota of what all may do together, servers that fail for all, and servers
-that fail for it alone. No session waits for any of it.
+The proxy queries the service for what other proxies know about the servers of its
+endpoint list. The service gives the proxy's balancer its quota of fleet-wide limits,
+the servers that fail for all proxies and the servers that fail for this proxy only. No
+session waits for the service.
 """
 
 import random
@@ -54,20 +55,25 @@
 from wheathill.peers.transport import PeerTransport
 from wheathill.peers.view_comparison import ViewComparison
 
-# Members that are notified at once that this view has changed; more of them learn it
-# with what is sent anyway.
-MAX_NOTIFIED = 64
+# Members that get a notification immediately. Further members learn of a changed view
+# from the header of later messages.
+MAX_NOTIFIED_MEMBERS = 64
 
 
 class PeerService:
-    """A proxy's part in a cluster without zones; with zones see `zones.service`.
+    """Peer service of a proxy in a cluster without zones.
 
-    `generation` is a number that no other process of this name has.
-    `expected_proxies`: how many the configuration names, this one included. Raises
-    OSError where a socket can't be opened.
+    For clusters with zones see `zones.service`.
+
+    `generation` is a number that no other process of this name uses.
+    `expected_proxies` is the number of proxies that the configuration expects,
+    including this one.
 
     Attributes:
-        applied_quota: the quota that the balancer was last given, None before.
+        applied_quota: the quota last passed to the balancer, None before the first.
+
+    Raises:
+        OSError: A socket can't be opened.
     """
 
     EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=8, servers_per_message=64)
@@ -99,7 +105,7 @@
             self.membership, self.clock, self.send_message, self.status.report
         )
         self.applied_quota: float | None = None
-        # What the others were last notified of: the digest, and whether established.
+        # Digest and `is_established` of the view that was last announced.
         self._announced_view: tuple[str, bool] | None = None
         self.operator_requests = OperatorRequests(
             environment, self.membership, self.status, self.comparison
@@ -109,7 +115,7 @@
             path = settings.control_socket_path
             self._control_socket = self.operator_requests.listen(path)
 
-    # Parts; those that differ where there are zones are created by a method each.
+    # Components; a subclass overrides the methods for those that differ with zones.
 
     def _open_transport(self, environment: PeerEnvironment, generation: int) -> None:
         settings = self.settings
@@ -154,24 +160,24 @@
     def _create_status(self) -> StatusReporter:
         return StatusReporter(self._status_sources())
 
-    # Start and end
+    # Start and shutdown
 
     def start(self) -> None:
-        """Join the cluster, and limit the balancer by what follows from it."""
+        """Join the cluster, and apply quota and permits to the balancer."""
         self.events.started(self.settings)
         self.proxy.balancer.slow_start.external_permits = self.limits.permit
         self.membership.start(self.clock.now(), self.settings.seeds)
         self.tick()
 
     def leave(self) -> None:
-        """Leave the cluster in order, so that the others need not find out."""
+        """Announce the departure, so that others need not detect it, and close."""
         self.membership.leave()
         self.transport.close()
         if self._control_socket:
             self._control_socket.close()
 
     def tick(self) -> None:
-        """Do what is done once each probe interval."""
+        """Run the periodic work of one probe interval."""
         self.clock.after(self.settings.probe_interval_ms, self.tick)
         now_ms = self.clock.now()
         self.update_view(now_ms)
@@ -182,7 +188,7 @@
         if not is_partitioned and self.cluster_view.state != ViewState.STANDALONE:
             self._send_evidence(now_ms, recipients, observations)
         if recipients:
-            # What was sent to all at once may have been lost.
+            # Updates sent when they occurred may have been lost.
             self.server_updates.send_all_records(recipients[0].address)
         self.health.apply_verdict(now_ms, observations, is_partitioned)
 
@@ -194,57 +200,61 @@
     ) -> None:
         evidence = self.health.evidence(now_ms, observations)
         if evidence is not None:
-            words = evidence.encode()
+            fields = evidence.encode()
             for member in recipients:
-                self.send_encoded(member.address, words)
+                self.send_encoded(member.address, fields)
 
-    # What the proxy asks for
+    # Called by the proxy
 
     def record_list_entry(
         self, server: str, phase: Phase, process_start_ms: float
     ) -> ServerEntry:
-        """Take in an entry of the proxy's own list of servers.
+        """Apply an entry of the proxy's own endpoint list.
 
-        Returns what holds for the server: the entry, or what others know since.
+        Returns the effective entry of the server, which includes newer information
+        from other proxies.
         """
         return self.server_updates.record_list_entry(server, phase, process_start_ms)
 
     def forget_server(self, server: str) -> None:
-        """Drop the own list's entry of a server that has left."""
+        """Remove the own list's entry of a server that has left the list."""
         self.server_updates.forget_server(server)
 
     def capacity_estimate(self) -> float:
-        """Return what a warm server bears of this proxy's connections, as it finds."""
+        """Return how many of this proxy's connections a warm server can handle.
+
+        The value is the load estimator's estimate.
+        """
         return self.proxy.balancer.load_estimator.warm_up_capacity_estimate
 
     # Sending
 
     def header(self) -> ViewHeader | ZonedViewHeader:
-        """Return what each message says of this proxy's view."""
+        """Return the header that each message carries about this proxy's view."""
         view = self.cluster_view
         return ViewHeader(view.digest(), view.is_established, self.capacity_estimate())
 
     def send_encoded(
-        self, address: str, words: Sequence[Any], is_bulk: bool = False
+        self, address: str, fields: Sequence[Any], is_bulk: bool = False
     ) -> None:
-        """Send a message that is encoded already; one in bulk goes by stream."""
-        self.transport.send(address, [*self.header().encode(), words], is_bulk)
+        """Send an encoded message; a bulk message is sent on a stream."""
+        self.transport.send(address, [*self.header().encode(), fields], is_bulk)
 
     def send_message(self, address: str, message: Message) -> None:
         """Send a message to one member."""
         self.send_encoded(address, message.encode())
 
     def send_to_all(self, message: Message) -> None:
-        """Send a message to all members that can be reached, up to a bound."""
-        for member in self.membership.active_members()[:MAX_NOTIFIED]:
+        """Send a message to at most `MAX_NOTIFIED_MEMBERS` active members."""
+        for member in self.membership.active_members()[:MAX_NOTIFIED_MEMBERS]:
             if member is not self.membership.local:
                 self.send_message(member.address, message)
 
     def announce_view(self) -> None:
-        """Notify the others of a view that has changed.
+        """Notify other members if this view has changed.
 
-        Every message states the digest of the view; a change is sent at once, so that
-        all know soon that they agree.
+        Every message carries the view's digest. A change is sent immediately, so that
+        members detect agreement without delay.
         """
         current = self.cluster_view.digest(), self.cluster_view.is_established
         if current != self._announced_view:
@@ -252,47 +262,50 @@
             self.send_to_all(DigestNote())
 
     def other_members(self) -> list[Member]:
-        """Return the other members that count as present, suspects among them."""
-        me = self.membership.local
+        """Return the other active members, including suspected ones."""
+        local = self.membership.local
         return [
-            member for member in self.membership.active_members() if member is not me
+            member for member in self.membership.active_members() if member is not local
         ]
 
     # Receiving
 
     def on_message(self, frame: Frame, address: str | None) -> None:
-        """Take in a message that the transport has authenticated."""
+        """Handle a message that the transport has authenticated."""
         try:
             sender = Sender(frame.sender, frame.generation, address)
             self.receive(self.clock.now(), sender, frame.payload)
         except (ValueError, TypeError, KeyError, IndexError, AttributeError):
-            # Of the cluster's key, and yet not of the protocol: only that message.
+            # Authenticated but malformed: only this message is dropped.
             self.transport.metrics.record_drop(
                 RejectReason.MALFORMED, address or frame.sender
             )
 
-    def receive(self, now_ms: float, sender: Sender, words: Sequence[Any]) -> None:
-        """Read a message with its header, and act on it."""
-        *header_fields, message = words
+    def receive(self, now_ms: float, sender: Sender, fields: Sequence[Any]) -> None:
+        """Decode a message with its header, and handle it."""
+        *header_fields, message = fields
         header = ViewHeader.decode(header_fields)
         self.record_contact(now_ms, sender)
         self.cluster_view.record_report(sender.name, sender.generation, header)
         self.handle_message(now_ms, sender, message)
 
     def record_contact(self, now_ms: float, sender: Sender) -> None:
-        """Note that a process has spoken from an address; a stream doesn't tell it."""
+        """Tell membership that a process has sent from an address.
+
+        Messages on a stream have no sender address.
+        """
         if sender.address is not None:
             self.membership.on_contact(
                 now_ms, sender.name, sender.generation, sender.address
             )
 
     def handle_message(
-        self, now_ms: float, sender: Sender, words: Sequence[Any]
+        self, now_ms: float, sender: Sender, fields: Sequence[Any]
     ) -> None:
-        """Act on a message, without its header."""
-        message = decode_message(words)
+        """Decode and handle a message without its header."""
+        message = decode_message(fields)
         if message is None:
-            membership_message = decode_membership_message(words)
+            membership_message = decode_membership_message(fields)
             self.membership.on_message(now_ms, sender.address, membership_message)
         elif isinstance(message, DrainUpdate | StartUpdate):
             self.server_updates.handle(now_ms, sender, message)
@@ -306,13 +319,13 @@
 
     def _reply_with_view(self, sender: Sender, request: ViewRequest) -> None:
         if sender.address is None:
-            raise ValueError("a request on a stream names no address to reply to")
+            raise ValueError("view request on a stream has no address to reply to")
         self.send_message(sender.address, self.comparison.reply(request))
 
     def accepts_evidence_from(self, name: str) -> bool:
-        """Tell whether a member's evidence counts.
+        """Return whether health evidence from a member is accepted.
 
-        It does where this proxy is not partitioned off and the member is alive.
+        It is if this proxy is not partitioned and the member is alive.
         """
         member = self.membership.members.get(name)
         return (
@@ -324,18 +337,19 @@
     # Effects of membership
 
     def send(self, address: str | None, message: MembershipMessage) -> None:
-        """Send a message of membership; states go by stream.
+        """Send a membership message; full states are sent on a stream.
 
-        Raises ValueError where it would answer one that came on a stream, which names
-        no address.
+        Raises:
+            ValueError: The address is None, because the message answers one that came
+                on a stream.
         """
         if address is None:
-            raise ValueError("a message on a stream names no address to answer to")
-        words = encode_membership_message(message)
-        self.send_encoded(address, words, is_bulk=isinstance(message, StateSync))
+            raise ValueError("message on a stream has no address to reply to")
+        fields = encode_membership_message(message)
+        self.send_encoded(address, fields, is_bulk=isinstance(message, StateSync))
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
-        """Check by connections whether a process listens at a member's address."""
+        """Check by connecting whether a process listens at a member's address."""
         self.transport.start_fallback_probe(
             probe.address,
             probe.timeout_ms,
@@ -345,7 +359,7 @@
         )
 
     def set_timer(self, at_ms: float, timer: Timer) -> None:
-        """Set a timer of membership."""
+        """Set a membership timer."""
         self.clock.at(at_ms, self._on_timer, timer)
 
     def _on_timer(self, timer: Timer) -> None:
@@ -354,7 +368,7 @@
     def member_changed(
         self, member: Member, previous_state: MemberState | None
     ) -> None:
-        """Act on a member's change; without a previous state it is new."""
+        """Handle a member's state change; a new member has no previous state."""
         now_ms = self.clock.now()
         state = member.state
         self.cluster_view.update_member(
@@ -368,17 +382,17 @@
         self.update_view(now_ms)
 
     def log(self, text: str) -> None:
-        """Write a line of membership to the log."""
-        self.events.membership_note(text)
+        """Write a message of membership to the log."""
+        self.events.membership_message(text)
 
     def update_view(self, now_ms: float) -> None:
-        """Work out the state of the view anew, and with it the quota."""
+        """Recompute the state of the view, and apply a changed quota."""
         view = self.cluster_view
         view.is_isolated = self.membership.is_isolated
-        state_before, since_ms = view.state, view.state_since_ms
+        previous_state, since_ms = view.state, view.state_since_ms
         state = view.update_state(now_ms, self.membership.unanswered_probes)
-        if state != state_before:
-            self.events.view_changed(view, state_before, since_ms, now_ms)
+        if state != previous_state:
+            self.events.view_changed(view, previous_state, since_ms, now_ms)
         quota = self.limits.quota(now_ms)
         if quota != self.applied_quota:
             self.applied_quota = quota
--- a/wheathill/peers/server_records.py
+++ b/wheathill/peers/server_records.py
@@ -1,4 +1,4 @@
-"""Drains and starts of servers in the replicated table, as members' lists have them."""
+"""Server drains and starts in the replicated table, written from endpoint lists."""
 
 from typing import Generic
 
@@ -17,90 +17,105 @@
 
 
 class ServerRecords(Generic[SummaryT]):
-    """Writes what this member's endpoint list says of servers, and reads what all say.
+    """Writes server records from the own endpoint list, and reads those of all members.
 
-    Times are milliseconds of the wall clock. The start of a server's process is None or
-    0.0 where the list does not have it.
+    Times are Unix time in milliseconds. The start time of a server's process is None or
+    0.0 if the list doesn't contain it.
     """
 
     def __init__(self, table: ReplicatedTable[SummaryT]) -> None:
         self._table = table
-        # Server -> version of the record that its "drains" in the own list agreed with.
-        self._agreed: dict[str, tuple[float, int, str]] = {}
+        # By server, the version of the drain record that the own list has confirmed.
+        self._confirmed_versions: dict[str, tuple[float, int, str]] = {}
 
-    def _held(self, server: str) -> TableRecord[SummaryT] | None:
+    def _current_record(self, server: str) -> TableRecord[SummaryT] | None:
         return self._table.records.get(SERVER_PREFIX + server)
 
     def update_from_list(
-        self, wall_ms: float, server: str, is_draining: bool, started_ms: float | None
+        self,
+        wall_ms: float,
+        server: str,
+        is_draining: bool,
+        process_start_ms: float | None,
     ) -> TableRecord[SummaryT] | None:
-        """Take in a server's entry of the own list, in the order of the list's changes.
+        """Apply an entry of the own list, in the order of the list's updates.
 
-        Returns the record that is to be sent to other members, or None.
+        Returns the record to send to other members, or None if nothing changed.
         """
-        start = started_ms or 0.0
+        start_ms = process_start_ms or 0.0
         if is_draining:
-            return self._on_listed_as_draining(wall_ms, server, start)
-        return self._on_listed_as_ready(wall_ms, server, start)
+            return self._on_listed_as_draining(wall_ms, server, start_ms)
+        return self._on_listed_as_ready(wall_ms, server, start_ms)
 
     def _on_listed_as_draining(
-        self, wall_ms: float, server: str, start: float
+        self, wall_ms: float, server: str, start_ms: float
     ) -> TableRecord[SummaryT] | None:
-        held = self._held(server)
-        agreed = self._agreed.get(server)
-        if held is None or held.epoch < start:
+        current = self._current_record(server)
+        confirmed_version = self._confirmed_versions.get(server)
+        if current is None or current.epoch < start_ms:
             is_new = True
-        elif held.server_state.is_draining:
+        elif current.server_state.is_draining:
             is_new = False
         else:
-            # A list that has had this drain before is behind the record of its end.
-            is_new = held.epoch == start and agreed is None
+            # If the list had confirmed this drain before, it is behind the record that
+            # ended it.
+            is_new = current.epoch == start_ms and confirmed_version is None
         if is_new:
-            record = self._write(wall_ms, server, start, is_draining=True)
+            record = self._write(wall_ms, server, start_ms, is_draining=True)
             if record is not None:
-                self._agree(server, record)
+                self._set_confirmed_version(server, record)
             return record
-        if agreed is None and held is not None and held.server_state.is_draining:
-            self._agree(server, held)
+        if (
+            confirmed_version is None
+            and current is not None
+            and current.server_state.is_draining
+        ):
+            self._set_confirmed_version(server, current)
         return None
 
     def _on_listed_as_ready(
-        self, wall_ms: float, server: str, start: float
+        self, wall_ms: float, server: str, start_ms: float
     ) -> TableRecord[SummaryT] | None:
-        """End the drain that the list had agreed with, or record a start.
+        """End the drain that the list had confirmed, or record a process start.
 
-        A drain that the list calls over is over for all only where the record is still
-        the one that the list agreed with: one written since may be of another drain, of
-        which the list does not know yet.
+        The list ends a drain for all members only if the record is still the one that
+        the list confirmed: a record written since then may belong to a later drain that
+        the list doesn't contain yet.
         """
-        held = self._held(server)
-        agreed = self._agreed.pop(server, None)
+        current = self._current_record(server)
+        confirmed_version = self._confirmed_versions.pop(server, None)
         if (
-            agreed is not None
-            and held is not None
-            and held.server_state.is_draining
-            and held.version == agreed
+            confirmed_version is not None
+            and current is not None
+            and current.server_state.is_draining
+            and current.version == confirmed_version
         ):
             return self._write(
-                wall_ms, server, max(start, held.epoch), is_draining=False
+                wall_ms, server, max(start_ms, current.epoch), is_draining=False
             )
-        is_recent = wall_ms - START_RETENTION_MS < start <= wall_ms + MAX_CLOCK_SKEW_MS
-        if is_recent and (held is None or held.epoch < start):
-            state = ServerState(False, start)
+        is_recent = (
+            wall_ms - START_RETENTION_MS < start_ms <= wall_ms + MAX_CLOCK_SKEW_MS
+        )
+        if is_recent and (current is None or current.epoch < start_ms):
+            state = ServerState(False, start_ms)
             return self._merge(
-                wall_ms, TableRecord(SERVER_PREFIX + server, start, 0, "", state)
+                wall_ms, TableRecord(SERVER_PREFIX + server, start_ms, 0, "", state)
             )
         return None
 
     def _write(
-        self, wall_ms: float, server: str, start: float, *, is_draining: bool
+        self, wall_ms: float, server: str, start_ms: float, *, is_draining: bool
     ) -> TableRecord[SummaryT] | None:
-        """Hold the next record of a server; None where the table does not take it."""
-        held = self._held(server)
-        counter = held.counter + 1 if held is not None and held.epoch == start else 1
+        """Write the next record of a server; None if the table rejects it."""
+        current = self._current_record(server)
+        counter = (
+            current.counter + 1
+            if current is not None and current.epoch == start_ms
+            else 1
+        )
         state = ServerState(is_draining, wall_ms)
         return self._merge(
-            wall_ms, TableRecord(SERVER_PREFIX + server, start, counter, "", state)
+            wall_ms, TableRecord(SERVER_PREFIX + server, start_ms, counter, "", state)
         )
 
     def _merge(
@@ -108,19 +123,23 @@
     ) -> TableRecord[SummaryT] | None:
         return record if self._table.merge(wall_ms, [record]) else None
 
-    def _agree(self, server: str, record: TableRecord[SummaryT]) -> None:
-        self._agreed[server] = record.version
-        while len(self._agreed) > MAX_SERVERS:
-            del self._agreed[next(iter(self._agreed))]
-
-    def is_draining(self, server: str, started_ms: float | None) -> bool:
-        """Whether the process that started then was reported to drain."""
-        held = self._held(server)
-        if held is None or not held.server_state.is_draining:
+    def _set_confirmed_version(
+        self, server: str, record: TableRecord[SummaryT]
+    ) -> None:
+        self._confirmed_versions[server] = record.version
+        while len(self._confirmed_versions) > MAX_SERVERS:
+            del self._confirmed_versions[next(iter(self._confirmed_versions))]
+
+    def is_draining(self, server: str, process_start_ms: float | None) -> bool:
+        """Return whether any member reports the process started then as draining."""
+        current = self._current_record(server)
+        if current is None or not current.server_state.is_draining:
             return False
-        return (started_ms or 0.0) <= held.epoch
+        return (process_start_ms or 0.0) <= current.epoch
 
-    def latest_start_ms(self, server: str, started_ms: float | None) -> float:
+    def latest_start_ms(self, server: str, process_start_ms: float | None) -> float:
         """Return the latest start of the server that any member has reported."""
-        held = self._held(server)
-        return max(started_ms or 0.0, held.epoch if held is not None else 0.0)
+        current = self._current_record(server)
+        return max(
+            process_start_ms or 0.0, current.epoch if current is not None else 0.0
+        )
--- a/wheathill/peers/server_updates.py
+++ b/wheathill/peers/server_updates.py
@@ -1,4 +1,4 @@
-"""Drains and starts of servers: what one proxy is given holds for all."""
+"""Shares drains and process starts of servers between all proxies."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Iterable
@@ -13,9 +13,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerEntry:
-    """The phase of a server, and the start of its process.
+    """The phase of a server, and the start time of its process.
 
-    `process_start_ms`: Unix time, 0.0 where it is not known.
+    `process_start_ms` is Unix time, 0.0 if unknown.
     """
 
     phase: Phase
@@ -23,7 +23,7 @@
 
 
 class ServerUpdates(ABC):
-    """What the own list says of servers, and what other proxies know beyond it."""
+    """Combines the own endpoint list with newer information from other proxies."""
 
     def __init__(self, proxy: ServedProxy) -> None:
         self._proxy = proxy
@@ -32,9 +32,10 @@
     def record_list_entry(
         self, server: str, phase: Phase, process_start_ms: float
     ) -> ServerEntry:
-        """Take in an entry of the own list, and pass on what is new in it.
+        """Apply an entry of the own list, and propagate its changes.
 
-        Returns what holds for the server: the entry, or what others know since.
+        Returns the effective entry of the server, which includes newer information
+        from other proxies.
         """
         entry = self._listed[server] = ServerEntry(phase, process_start_ms)
         if phase is not Phase.GONE:
@@ -42,18 +43,19 @@
         return self._effective_entry(server, entry)
 
     def listed_entry(self, server: str) -> ServerEntry:
-        """Return what the own list alone says of a server.
+        """Return the entry of a server in the own list, ignoring other proxies.
 
-        Raises KeyError where the list doesn't name it.
+        Raises:
+            KeyError: The list doesn't contain the server.
         """
         return self._listed[server]
 
     def forget_server(self, server: str) -> None:
-        """Drop the own list's entry of a server that has left."""
+        """Remove the own list's entry of a server that has left the list."""
         self._listed.pop(server, None)
 
     def drained_by_peers(self) -> list[str]:
-        """Return the servers that drain here because of others alone, in order."""
+        """Return the sorted servers that only other proxies report as draining."""
         return [
             server
             for server, entry in sorted(self._listed.items())
@@ -64,26 +66,27 @@
     def handle(
         self, now_ms: float, sender: Sender, update: DrainUpdate | StartUpdate
     ) -> None:
-        """Take in drains or starts that a member reports.
+        """Apply drains or starts that a member reports.
 
-        Raises ValueError where such messages aren't used.
+        Raises:
+            ValueError: This implementation doesn't use such messages.
         """
 
     @abstractmethod
     def send_all_records(self, address: str) -> None:
-        """Send a member all that it may not have got."""
+        """Send a member all records that it may not have received."""
 
     @abstractmethod
     def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
-        """Pass on what is new in an entry of the own list."""
+        """Send the changes in an entry of the own list to other proxies."""
 
     @abstractmethod
     def _latest_start_ms(self, server: str, listed_start_ms: float) -> float:
-        """Return the latest start of the server's process that any proxy was given."""
+        """Return the latest start of the server's process known to any proxy."""
 
     @abstractmethod
     def _is_draining(self, server: str, process_start_ms: float) -> bool:
-        """Tell whether any proxy says that the process which started then drains."""
+        """Return whether any proxy reports the process started then as draining."""
 
     def _effective_entry(self, server: str, entry: ServerEntry) -> ServerEntry:
         start_ms = self._latest_start_ms(server, entry.process_start_ms)
@@ -93,7 +96,7 @@
         return ServerEntry(phase, start_ms)
 
     def apply(self, servers: Iterable[str]) -> None:
-        """Put into force what others have reported, as if the own list had said so."""
+        """Apply reports of other proxies as if the own list contained them."""
         for name in servers:
             server = self._proxy.servers.get(name)
             if server is not None and name in self._listed:
@@ -102,9 +105,9 @@
 
 
 class DirectServerUpdates(ServerUpdates):
-    """Sends each update to the members itself, as in a fleet without zones.
+    """Sends each update directly to the members, in a fleet without zones.
 
-    `send(address, message)` and `send_to_all(message)` send to members.
+    `send(address, message)` sends to one member, `send_to_all(message)` to all.
     """
 
     def __init__(
@@ -124,7 +127,7 @@
     def handle(
         self, now_ms: float, sender: Sender, update: DrainUpdate | StartUpdate
     ) -> None:
-        """Take in drains or starts that a member reports."""
+        """Apply drains or starts that a member reports."""
         if isinstance(update, DrainUpdate):
             source, generation = sender.name, sender.generation
             self.apply(self._drains.merge(source, generation, update.records))
@@ -133,7 +136,7 @@
             self.apply(self._starts.merge(wall_ms, update.records))
 
     def send_all_records(self, address: str) -> None:
-        """Send a member all that it may not have got."""
+        """Send a member all records that it may not have received."""
         drains = self._drains.own_records()
         if drains:
             self._send(address, DrainUpdate(tuple(drains)))
@@ -145,7 +148,8 @@
         start_ms = entry.process_start_ms
         if start_ms:
             start = StartRecord(server, start_ms)
-            # The own list is taken at its word: its start is never in the future.
+            # Passing the start itself as the present time keeps the check for start
+            # times in the future from rejecting an entry of the own list.
             if self._starts.merge(start_ms, [start]):
                 self._send_to_all(StartUpdate((start,)))
         is_draining = entry.phase is Phase.DRAINING
--- a/wheathill/peers/start_registry.py
+++ b/wheathill/peers/start_registry.py
@@ -1,53 +1,52 @@
-"""The latest known start of each server's process. Free of I/O.
+"""The latest known start time of each server's process. Performs no I/O.
 
-Starts are given by the wall clock of whoever keeps the endpoint list. The latest that
-any proxy was given counts, so that an update that arrives late or twice changes
-nothing.
+Start times come from the wall clock of the source of the endpoint list. The latest one
+known to any proxy applies, so an update that arrives late or twice has no effect.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from typing import Any, Self
 
-# Servers that are remembered, a bound on memory; those that were entered first are
-# forgotten first.
+# Servers that are remembered; bounds memory. The oldest entries are evicted first.
 MAX_SERVERS = 4096
-# Milliseconds; what lies further in the future is taken for a faulty clock, not for a
-# start.
+# A start time further in the future is attributed to a faulty clock and ignored.
 MAX_FUTURE_MS = 60_000.0
 
 
 @dataclass(frozen=True, slots=True)
 class StartRecord:
-    """When a server's process started, in milliseconds of Unix time."""
+    """Start time of a server's process, in milliseconds of Unix time."""
 
     server: str
     process_start_ms: float
 
     def encode(self) -> list[Any]:
-        """Return the record as it stands in a message."""
+        """Return the record in the form used in messages."""
         return [self.server, self.process_start_ms]
 
     @classmethod
     def decode(cls, fields: Sequence[Any]) -> Self:
-        """Read a record of a message.
+        """Decode a record from a message.
 
-        Raises ValueError or TypeError where it is none.
+        Raises:
+            ValueError: The fields are not a record.
+            TypeError: The fields are not a record.
         """
         server, process_start_ms = fields
         return cls(server, process_start_ms)
 
 
 class StartRegistry:
-    """The latest start of each server that any proxy was given."""
+    """The latest start time of each server that is known to any proxy."""
 
     def __init__(self) -> None:
         self._latest_ms: dict[str, float] = {}
 
     def merge(self, wall_ms: float, records: Iterable[StartRecord]) -> list[str]:
-        """Take in starts, `wall_ms` being the present time (Unix).
+        """Apply start records; `wall_ms` is the present Unix time.
 
-        Returns the servers of which it is new.
+        Returns the servers whose latest start has changed.
         """
         changed = []
         for record in records:
@@ -60,15 +59,15 @@
         return changed
 
     def records(self) -> list[StartRecord]:
-        """Return all that the other proxies have to know."""
+        """Return all records that other proxies need from this one."""
         return [
             StartRecord(server, start_ms)
             for server, start_ms in self._latest_ms.items()
         ]
 
     def latest_ms(self, server: str, listed_start_ms: float | None) -> float:
-        """Return the latest start, where the own list says `listed_start_ms`.
+        """Return the latest start time of a server, 0.0 if unknown.
 
-        0.0 where none is known.
+        `listed_start_ms` is the start time in the own endpoint list.
         """
         return max(listed_start_ms or 0.0, self._latest_ms.get(server, 0.0))
