--- a/tests/golden_edges.py
+++ b/tests/golden_edges.py
@@ -21,20 +21,20 @@
 
     def __init__(self) -> None:
         self.sent, self.closed = b"", False
-        self.carrier = self
+        self.transport = self
         self.limits = None
 
     def send(self, *parts: bytes) -> None:
         """Keeps bytes."""
         self.sent += b"".join(parts)
 
-    def part(self) -> None:
+    def close_gracefully(self) -> None:
         """Closes after what was sent."""
         self.closed = True
 
-    close = abort = part
+    close = abort = close_gracefully
 
-    def drop(self, handles: tuple) -> None:
+    def close_handles(self, handles: tuple) -> None:
         """Has no descriptors."""
 
 
--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -25,8 +25,8 @@
 from wheathill.net.client import Client
 from wheathill.net.connection import Connection
 from wheathill.net.discovery import Watch
-from wheathill.net.garbage import keep_collections_short
-from wheathill.net.server import Dialled, ProbeLink
+from wheathill.net.garbage import limit_gc_pauses
+from wheathill.net.server import ProbeConnection, ServerAttempt
 
 pytestmark = pytest.mark.processes
 
@@ -65,11 +65,16 @@
 
     def over(self, *peers):
         """All that the proxy held for them is closed, whatever the peers do."""
-        self.turns.until(lambda: not self.proxy.clients and not self.proxy.silent)
+        self.turns.until(
+            lambda: not self.proxy.clients and not self.proxy.silent_clients
+        )
         for peer in peers:
             peer.sock.close()
         self.turns.until(
-            lambda: not self.turns.carrier.sockets and not self.turns.carrier.parting
+            lambda: (
+                not self.turns.carrier.sockets
+                and not self.turns.carrier.closing_connections
+            )
         )
 
     # Of a session that was up
@@ -122,7 +127,9 @@
     def moved_at_the_end_of_a_line(self):
         client, server = self.up()
         server.say("half a li", end="")
-        self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
+        self.turns.until(
+            lambda: next(iter(self.proxy.clients.values())).attempt.partial_line
+        )
         self.proxy.migrate(next(iter(self.proxy.clients)))
         server.say("ne")
         self.turns.hears(client)
@@ -131,9 +138,11 @@
     def moved_in_the_middle_of_a_line(self):
         client, server = self.up()
         server.say("half a li", end="")
-        self.turns.until(lambda: next(iter(self.proxy.clients.values())).dial.rest)
+        self.turns.until(
+            lambda: next(iter(self.proxy.clients.values())).attempt.partial_line
+        )
         self.proxy.migrate(next(iter(self.proxy.clients)))
-        next(iter(self.proxy.clients.values())).dial.close()
+        next(iter(self.proxy.clients.values())).attempt.close()
         self.over(client, server)
 
     def lets_a_line_wait(self):
@@ -146,33 +155,33 @@
         for server in (
             self.proxy.servers.values()
         ):  # which keeps one such session until it says something
-            self.proxy.heard(server)
+            self.proxy.on_server_data(server)
 
     def handed_over(self):
         client, server = self.up()
         ((sess, machine),) = self.proxy.clients.items()
-        handles = self.proxy.hand_over(sess, machine)
+        handles = self.proxy.hand_over_session(sess, machine)
         del sess, machine
         self.turns.turn(3)
-        self.turns.carrier.drop(handles)
+        self.turns.carrier.close_handles(handles)
         self.over(client, server)
 
     def taken_over(self):
         client, server = self.up()
         ((sess, machine),) = self.proxy.clients.items()
         fields = encode_session(collect_session(machine))
-        handles = self.proxy.hand_over(sess, machine)
+        handles = self.proxy.hand_over_session(sess, machine)
         del sess, machine
         record = decode_session(fields)
         sess = build_session(record, self.proxy.listeners)
-        self.proxy.carry(
+        self.proxy.adopt_session(
             record.open_line,
             sess,
             handles,
-            came=record.requested_at_ms,
-            asked=record.unanswered_since_ms,
-            server=record.server_name,
-            rest=record.partial_line,
+            connected_ms=record.requested_at_ms,
+            unanswered_since_ms=record.unanswered_since_ms,
+            server_name=record.server_name,
+            partial_line=record.partial_line,
         )
         del sess
         client.say("still here")
@@ -184,10 +193,10 @@
 
     def a_fault_while_up(self):
         client, server = self.up()
-        heard, self.proxy.heard = self.proxy.heard, raise_one
+        heard, self.proxy.on_server_data = self.proxy.on_server_data, raise_one
         server.say("a line")
         self.turns.hears(client)
-        self.proxy.heard = heard
+        self.proxy.on_server_data = heard
         self.over(client, server)
 
     # Of one that was not
@@ -284,11 +293,11 @@
         self.over(client)
 
     def a_fault_before_up(self):
-        said, self.proxy.dial_up = self.proxy.dial_up, raise_one
+        said, self.proxy.on_attempt_accepted = self.proxy.on_attempt_accepted, raise_one
         client, server = self.dialled()
         server.say("UP r")
         self.turns.hears(client)
-        self.proxy.dial_up = said
+        self.proxy.on_attempt_accepted = said
         self.over(client, server)
 
 
@@ -327,7 +336,15 @@
         gc.enable()
 
 
-KINDS = (Connection, Client, Dialled, ProbeLink, Watch, AdminRequest, Session)
+KINDS = (
+    Connection,
+    Client,
+    ServerAttempt,
+    ProbeConnection,
+    Watch,
+    AdminRequest,
+    Session,
+)
 SETTLED = 100.0  # longer than any alarm holds what it is for
 SHORT = {
     "linger_ms": 60.0,
@@ -391,9 +408,9 @@
             if reset or answer == "reset":
                 at.reset()
             elif answer is None:
-                turns.until(lambda: not turns.proxy.links)
+                turns.until(lambda: not turns.proxy.probe_connections)
             turns.for_ms(10)
-            for link in list(turns.proxy.links.values()):
+            for link in list(turns.proxy.probe_connections.values()):
                 link.end(None)
             at.sock.close()
             turns.until(lambda: not turns.carrier.sockets)
@@ -410,7 +427,7 @@
         else {}
     )
     with Turns(limits={"min_watch_interval_ms": 20.0, **patience}) as turns:
-        turns.proxy.leave_watch()
+        turns.proxy.close_watch()
 
         def answer():
             turns.proxy.open_watch()
@@ -431,7 +448,7 @@
             if ends == "closed":
                 watch.sock.close()
             turns.for_ms(100)
-            turns.proxy.leave_watch()
+            turns.proxy.close_watch()
             watch.sock.close()
             turns.watches.clear()
             while turns.discovery_waits():
@@ -491,7 +508,7 @@
     """With so many open, which come one after another."""
     gc.collect()
     with Walked() as walked:
-        keep_collections_short()
+        limit_gc_pauses()
         proxy, loop = slots.proxy()
         listener = Listener("any")
         for number in range(count):
--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -93,11 +93,11 @@
 class Connection:
     """One to a client or a server; what is sent on it is of no interest here."""
 
-    open = reached = drained = quiet = True
-    full = unread = False
-    waited = 0.0
+    open = was_established = drained = quiet = True
+    is_write_blocked = has_unread_bytes = False
+    ms_since_receive = 0.0
 
-    def copy(self):
+    def duplicate(self):
         return "handle"
 
     def abort(self, reset=False):
@@ -106,14 +106,14 @@
     def ignore(self, *_):
         pass
 
-    send = hold = finish = part = ignore
+    send = set_paused = send_eof = close_gracefully = ignore
 
 
 class UnixConnection:
     """One to another process: keeps what is sent."""
 
     def __init__(self, carrier):
-        self.carrier, self.over, self.sent = carrier, False, []
+        self.transport, self.over, self.sent = carrier, False, []
 
     def send(self, data, handles=()):
         if not self.over:
@@ -135,27 +135,37 @@
     """Stands in for the sockets of one process."""
 
     def __init__(self, limits):
-        self.limits, self.free, self.lent, self.parting = limits, 1000, 0, {}
+        (
+            self.limits,
+            self.free,
+            self.previous_process_sockets,
+            self.closing_connections,
+        ) = (
+            limits,
+            1000,
+            0,
+            {},
+        )
         self.sockets = 40
         self.dropped = self.adopted = 0
         self.make_receiver = self.make_sender = None
 
     def connect(self, machine, address, source=None):
-        machine.wire = Connection()
-        return machine.wire
+        machine.connection = Connection()
+        return machine.connection
 
     def adopt(self, handle, machine):
-        machine.wire = Connection()
+        machine.connection = Connection()
         self.adopted += 1
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.dropped += len(handles)
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         self.make_sender = make_machine
         return types.SimpleNamespace(close=lambda: None)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         if not self.reaches:
             raise FileNotFoundError(2, "nobody is there")
         return self.connection(make_machine)
@@ -176,8 +186,8 @@
         self.transport = Transport(node.limits)
         self.transport.reaches = beside
         self.proxy = Proxy(node, self.transport, Clock(), self.note)
-        self.proxy.door = types.SimpleNamespace(
-            hold=lambda on: None, close=lambda: None, waiting=False
+        self.proxy.listening_socket = types.SimpleNamespace(
+            set_paused=lambda on: None, close=lambda: None, waiting=False
         )
         UpgradeCoordinator(
             self.proxy, self.transport, self.proxy.clock, self.note
@@ -202,7 +212,7 @@
 def fill_state(process):
     """The one place that names parts of the decisions: something unlike in every field that goes over."""
     proxy = process.proxy
-    proxy.listed(
+    proxy.on_endpoint_list(
         {
             "seq": 7,
             "whole": True,
@@ -273,7 +283,7 @@
             RecordedAttempt(69_900.25, servers["b"], False),
         ]
     )
-    proxy.ids.update({"id-over": None, "id ü": None})
+    proxy.session_ids.update({"id-over": None, "id ü": None})
     proxy.clock.time = 70_100.0
 
 
@@ -282,15 +292,15 @@
     proxy = process.proxy
     for key, values, server, asked, answered in SESSIONS:
         proxy.clock.time += 10.5
-        client = proxy.client(Connection())
+        client = proxy.create_client(Connection())
         client.connected()
         client.received(f"OPEN id-{key} {key} {values},at={server}\r\n".encode())
         proxy.clock.time += 1.25
-        client.dial.connected()
-        client.dial.received(b"UP r1\r\n")
+        client.attempt.connected()
+        client.attempt.received(b"UP r1\r\n")
         proxy.clock.time += 2.0
         if answered:
-            client.dial.received(answered)
+            client.attempt.received(answered)
         if asked:
             client.received(asked)
     assert len(proxy.clients) == len(SESSIONS)
@@ -561,7 +571,8 @@
                     new.receiver.deliver(json.dumps(one).encode() + b"\n")
                 new.receiver.deliver(message(told=True))
         yield (
-            odd_line(f"new: {name}", new, new.receiver) + f", lent {new.transport.lent}"
+            odd_line(f"new: {name}", new, new.receiver)
+            + f", lent {new.transport.previous_process_sockets}"
         )
 
 
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -316,7 +316,7 @@
             unusable = [
                 server
                 for server in seat.proxy.balancer.endpoint_list.servers
-                if server.name in seat.proxy.left_out(world.clock.now())
+                if server.name in seat.proxy.excluded_servers(world.clock.now())
             ]
             assert figures["members_unavailable"] >= len(unusable)
 
@@ -341,7 +341,9 @@
     monkeypatch.setattr(
         AdminServer, "make_room", lambda server: True
     )  # nobody makes room
-    monkeypatch.setattr(AdminRequest, "connected", lambda call: call.wire.hold(True))
+    monkeypatch.setattr(
+        AdminRequest, "connected", lambda call: call.connection.set_paused(True)
+    )
     calls = play(scripts.read("experiments/callers.toml")).breaches
     assert any("an operator's call" in breach.what for breach in calls)
 
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -38,14 +38,14 @@
                 for name in "ab"
             ),
         )
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(
             f"two drains in a chunk, without a line's end: {ready(turns)}"
         )
         text = json.dumps(turns.list("a", whole=False), indent=None) + "\n"
         for piece in (text[:40], text[40:41], text[41:]):
             turns.chunk(watch, piece)
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"one over three chunks: {ready(turns)}")
         return turns.lines
 
@@ -106,7 +106,7 @@
         turns.chunk(
             watch, json.dumps(turns.list("b", whole=False, health="draining")) + "\n"
         )
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"read at last: ready {ready(turns)}")
         return turns.lines
 
@@ -146,7 +146,7 @@
         table.update = update
         turns.head(watch)
         turns.chunk(watch, json.dumps(found) + "\n")
-        turns.until(lambda: turns.proxy.seen == found["seq"])
+        turns.until(lambda: turns.proxy.list_version == found["seq"])
         turns.lines.append(
             f"slots of {sorted({server.name for server in table.current})}, ready {ready(turns)}"
         )
@@ -197,14 +197,14 @@
         for watch in (first, second):
             turns.head(watch)
             turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
-        turns.until(lambda: turns.proxy.watch.answered)
+        turns.until(lambda: turns.proxy.watch.is_answered)
         turns.for_ms(20)
         told = [event for event, _ in turns.logged if event == LogEvent.PROTOCOL_ERROR]
         turns.lines.append(
-            f"one of the two is left: {turns.proxy.beside is None}, {told}"
+            f"one of the two is left: {turns.proxy.hedge_watch is None}, {told}"
         )
         turns.lines.append(
-            f"its version: {turns.proxy.seen in (turns.seq, turns.seq - 1)}"
+            f"its version: {turns.proxy.list_version in (turns.seq, turns.seq - 1)}"
         )
         return turns.lines
 
@@ -242,10 +242,10 @@
         turns.head(watch)
         older["hosts"][1]["born_ms"] = int(time.time() * 1000)
         turns.chunk(watch, json.dumps(older) + "\n")
-        turns.until(lambda: turns.proxy.seen == older["seq"])
+        turns.until(lambda: turns.proxy.list_version == older["seq"])
         turns.lines.append(f"older, but that b has started anew: ready {ready(turns)}")
         turns.chunk(watch, json.dumps(turns.list("a", whole=False)) + "\n")
-        turns.until(lambda: turns.proxy.seen == turns.seq)
+        turns.until(lambda: turns.proxy.list_version == turns.seq)
         turns.lines.append(f"newer: ready {ready(turns)}")
         return turns.lines
 
@@ -377,10 +377,10 @@
     """Nothing of it was sent: refused."""
     with Turns() as turns:
         client = turns.open()
-        turns.until(lambda: turns.proxy.early)
-        next(iter(turns.proxy.early)).fault()
+        turns.until(lambda: turns.proxy.early_clients)
+        next(iter(turns.proxy.early_clients)).fault()
         turns.hears(client)
-        turns.lines.append(f"still waits: {len(turns.proxy.early)}")
+        turns.lines.append(f"still waits: {len(turns.proxy.early_clients)}")
         return turns.lines
 
 
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,7 +21,7 @@
 from turns import Turns
 from wheathill.log_events import LogEvent
 from wheathill.model import UpdateKind
-from wheathill.net.carried import NEWCOMERS
+from wheathill.net.carried import ACCEPT_EIGHTHS
 
 pytestmark = pytest.mark.processes
 
@@ -363,7 +363,7 @@
 
 def before_the_first_list(turns, how):
     client = turns.open()
-    turns.until(lambda: turns.proxy.early)
+    turns.until(lambda: turns.proxy.early_clients)
     watch, _ = turns.watch()
     turns.head(watch)
     turns.chunk(watch, json.dumps(turns.list("a", "b")) + "\n")
@@ -373,7 +373,7 @@
 
 def as_its_time_to_wait_for_the_list_ends(turns, how):
     client = turns.open(d=400)
-    turns.until(lambda: turns.proxy.early)
+    turns.until(lambda: turns.proxy.early_clients)
     leave(client, how)
     held(turns)
 
@@ -433,7 +433,7 @@
     with Turns(settings=PROBED if probed else None) as turns:
         when(turns, how)
         turns.for_ms(60)
-        assert not turns.proxy.clients and not turns.proxy.early
+        assert not turns.proxy.clients and not turns.proxy.early_clients
         assert begun(turns) == 0
 
 
@@ -601,7 +601,7 @@
         for _ in range(120):
             turns.client()
             turns.turn(2)
-        assert not turns.proxy.spare(NEWCOMERS)
+        assert not turns.proxy.has_spare_descriptors(ACCEPT_EIGHTHS)
         server.say("BUSY")
         server = turns.taken()
         turns.hears(server)
@@ -620,7 +620,11 @@
             turns.hears(link)
             link.say("PONG x0=0.1")
             turns.until(
-                lambda name=name: not turns.proxy.links[turns.proxy.servers[name]].asked
+                lambda name=name: (
+                    not turns.proxy.probe_connections[
+                        turns.proxy.servers[name]
+                    ].is_awaiting_answer
+                )
             )
         assert turns.carrier.free <= 7
         for number in range(10):
@@ -643,8 +647,8 @@
             server = turns.taken()
         server.say("UP r1")
         turns.hears(client)
-        while turns.carrier.free <= 1 and turns.proxy.links:
-            turns.proxy.close_link()  # which the next one's dial would do
+        while turns.carrier.free <= 1 and turns.proxy.probe_connections:
+            turns.proxy.close_idle_probe_connection()  # which the next one's dial would do
     left = turns.carrier.free
     client.sock.close()
     turns.until(lambda: turns.carrier.free == left + 2)
@@ -668,7 +672,7 @@
             turns.proxy.send_probe(server)
         turns.turn(2)
         assert turns.carrier.free <= 0 and all(
-            link.asked for link in turns.proxy.links.values()
+            link.is_awaiting_answer for link in turns.proxy.probe_connections.values()
         )
         assert dialled_then(turns) == "UP r1"
 
@@ -679,9 +683,9 @@
         full_of_sessions(turns)
         for _ in range(8):
             turns.client()
-        turns.until(lambda: len(turns.proxy.silent) >= 5)
-        turns.proxy.silent.update(
-            dict.fromkeys(turns.proxy.silent, turns.proxy.now() + 60_000)
+        turns.until(lambda: len(turns.proxy.silent_clients) >= 5)
+        turns.proxy.silent_clients.update(
+            dict.fromkeys(turns.proxy.silent_clients, turns.proxy.now() + 60_000)
         )  # none is shut for age
         assert turns.carrier.free <= 0
         assert dialled_then(turns) == "UP r1"
@@ -691,7 +695,9 @@
     with Turns(settings=PROBED) as turns:
         turns.watched("a", "b")
         server = turns.proxy.servers["a"]
-        turns.carrier.lent = turns.carrier.free + turns.node().limits.reserved_sockets
+        turns.carrier.previous_process_sockets = (
+            turns.carrier.free + turns.node().limits.reserved_sockets
+        )
         server.probe_sent_ms = turns.proxy.now()
         turns.proxy.send_probe(server)
         turns.turn(2)
--- a/tests/test_walks.py
+++ b/tests/test_walks.py
@@ -32,11 +32,11 @@
     """In the place of a client that is up."""
 
     def __init__(self, sess):
-        self.sess, self.asked, self.moving, self.wire = (
+        self.session, self.unanswered_since_ms, self.is_migrating, self.connection = (
             sess,
             None,
             False,
-            SimpleNamespace(full=False),
+            SimpleNamespace(is_write_blocked=False),
         )
 
 
@@ -44,7 +44,9 @@
     """Sessions that stand, as far as the ids and the sweep know them."""
     sessions = [Session(Listener("any"), f"k{number}", 0.0) for number in range(OPEN)]
     proxy.clients = Looked({sess: Stand(sess) for sess in sessions})
-    proxy.ids.update({f"id{number}": sess for number, sess in enumerate(sessions)})
+    proxy.session_ids.update(
+        {f"id{number}": sess for number, sess in enumerate(sessions)}
+    )
     return sessions
 
 
@@ -57,18 +59,18 @@
             sess = Session(Listener("any"), f"new{number}", 0.0)
             proxy.clients[sess] = Stand(sess)
             proxy.clients.looks = 0
-            proxy.note_id(OpenRequest(b"OPEN new%d k c=any" % number), sess)
+            proxy.record_session_id(OpenRequest(b"OPEN new%d k c=any" % number), sess)
             assert proxy.clients.looks <= 2
-        assert len(proxy.ids) == OPEN + 5  # all are open, and none is forgotten
+        assert len(proxy.session_ids) == OPEN + 5  # all are open, and none is forgotten
         # Those that are over go first, and are never more than the open ones.
         for number in range(2 * OPEN):
-            proxy.note_id(
+            proxy.record_session_id(
                 OpenRequest(b"OPEN over%d k c=any" % number),
                 Session(Listener("any"), "k", 0.0),
             )
         assert (
-            all(f"id{number}" in proxy.ids for number in range(OPEN))
-            and len(proxy.ids) <= 2 * OPEN + 10
+            all(f"id{number}" in proxy.session_ids for number in range(OPEN))
+            and len(proxy.session_ids) <= 2 * OPEN + 10
         )
         proxy.clients = {}
 
@@ -85,11 +87,11 @@
             (sess, waited)
         )
         client = next(iter(dict(proxy.clients).values()))
-        client.asked = proxy.now() - 700.0
-        proxy.asks(client)
+        client.unanswered_since_ms = proxy.now() - 700.0
+        proxy.on_request_forwarded(client)
         proxy.sweep()
-        assert [sess for sess, _ in told] == [client.sess] and told[0][1] >= 700.0
-        proxy.message_took(client, 0.0)
+        assert [sess for sess, _ in told] == [client.session] and told[0][1] >= 700.0
+        proxy.on_message_answered(client, 0.0)
         proxy.sweep()
         assert len(told) == 1
         proxy.clients = {}
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -41,8 +41,8 @@
         # Budgets that were given away, to be taken back if the handover is undone.
         self._slow_start_since_ms: float | None = None
         self._free_retries: float | None = None
-        proxy.upgrade = self
-        proxy.door.hold(True)
+        proxy.handover_coordinator = self
+        proxy.listening_socket.set_paused(True)
 
     # The new process
 
@@ -51,7 +51,7 @@
         if self._began_at_ms is None:
             self._began_at_ms = self._clock.now()
         try:
-            self._receiver = self._transport.reach(
+            self._receiver = self._transport.connect_unix(
                 self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverReceiver(connection, self._proxy, self),
@@ -98,13 +98,13 @@
     def _serve(self, with_state: bool) -> None:
         self._await_successor()
         self._proxy.start(with_state)
-        if self._proxy.stopping is None:
-            self._proxy.door.hold(False)
+        if self._proxy.stopping_since_ms is None:
+            self._proxy.listening_socket.set_paused(False)
             self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
     def _await_successor(self) -> None:
         try:
-            self._server_socket = self._transport.meet(
+            self._server_socket = self._transport.listen_unix(
                 self._proxy.node.state_directory,
                 self._socket_name,
                 lambda connection: HandoverSender(connection, self._proxy, self),
@@ -124,7 +124,7 @@
     def on_state_requested(self, sender: HandoverSender) -> None:
         """Let nobody in any more."""
         self._sender = sender
-        self._proxy.door.hold(True)
+        self._proxy.listening_socket.set_paused(True)
 
     def on_state_sent(self) -> None:
         """Give away what may go to warming servers, and what retries are left.
@@ -160,8 +160,8 @@
         self._proxy.handed_over = False
         self._take_budgets_back()
         self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
-        if self._proxy.stopping is None:
-            self._proxy.door.hold(False)
+        if self._proxy.stopping_since_ms is None:
+            self._proxy.listening_socket.set_paused(False)
             if self._server_socket is None:
                 self._await_successor()
 
--- a/wheathill/lab/judging/mutants.py
+++ b/wheathill/lab/judging/mutants.py
@@ -6,12 +6,12 @@
 from wheathill.model import Phase
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.proxy import Proxy
-from wheathill.net.server import Dialled
+from wheathill.net.server import ServerAttempt
 
 
 class AnswersTwice(Proxy):
     def reject(self, session, retry_after_ms):
-        self.clients[session].wire.send(b"ERR", CRLF)
+        self.clients[session].connection.send(b"ERR", CRLF)
         super().reject(session, retry_after_ms)
 
 
@@ -48,11 +48,11 @@
             None,
         )
         if other is not None:
-            second = Dialled(client, other, self, self.limits, self.clock)
-            second.tell_over = lambda outcome: None
+            second = ServerAttempt(client, other, self, self.limits, self.clock)
+            second.report_end = lambda outcome: None
             second.address = self.addresses[other]
             second.start(
-                self.carrier.connect(second, second.address),
+                self.transport.connect(second, second.address),
                 time_out,
                 self.limits.connect_timeout_ms,
             )
@@ -61,8 +61,8 @@
 class DialsDrained(Proxy):
     """Takes a server that drains for a ready one."""
 
-    def entry(self, *args):
-        entry = super().entry(*args)
+    def parse_entry(self, *args):
+        entry = super().parse_entry(*args)
         if entry.phase is Phase.DRAINING:
             return replace(entry, phase=Phase.READY)
         return entry
@@ -82,16 +82,16 @@
         super().__init__(*args)
         self.number = count(1)
 
-    def opened(self, client, came=None):
+    def on_open_request(self, client, came=None):
         if next(self.number) % 40:
-            super().opened(client, came)
+            super().on_open_request(client, came)
 
 
 class CutsOff(Proxy):
     """Moves clients without telling them."""
 
-    def move_client(self, client):
-        client.wire.abort(reset=True)
+    def migrate_client(self, client):
+        client.connection.abort(reset=True)
         client.lost(True)
 
 
@@ -152,8 +152,8 @@
         super().__init__(*args)
         self.number = count(1)
 
-    def dial_up(self, dial, line):
-        super().dial_up(dial, line)
+    def on_attempt_accepted(self, dial, line):
+        super().on_attempt_accepted(dial, line)
         if not next(self.number) % 50:
             raise RuntimeError("on purpose")
 
--- a/wheathill/lab/scale/shape.py
+++ b/wheathill/lab/scale/shape.py
@@ -103,7 +103,7 @@
     def listen(self, make_machine, address, room):
         return self.inner.listen(make_machine, address, room)
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return ShapedPost(self, machine, address)
 
     def connect(self, machine, address, source=None):
@@ -117,7 +117,7 @@
 class ShapedPost:
     def __init__(self, carrier, machine, address):
         self.carrier, self.shape = carrier, carrier.shape
-        self.post = carrier.inner.datagrams(machine, address)
+        self.post = carrier.inner.bind_datagram_socket(machine, address)
         self.open = True
 
     def send(self, data, address):
@@ -149,11 +149,11 @@
     """To the machine a `net.connection.Connection`; to the real wire a machine."""
 
     def __init__(self, carrier, machine, address, source):
-        self.carrier, self.shape, self.machine = carrier, carrier.shape, machine
+        self.transport, self.shape, self.machine = carrier, carrier.shape, machine
         self.address, self.source = address, source
         self.one, self.other = carrier.number, self.shape.layout.number_at(address[0])
-        self.wire = None
-        self.full = self.refused = self.over = False
+        self.connection = None
+        self.is_write_blocked = self.refused = self.over = False
         self.latest = {
             True: 0.0,
             False: 0.0,
@@ -162,8 +162,8 @@
         self.attempt(FIRST_AGAIN)
 
     @property
-    def held_back(self):
-        return self.machine.held_back
+    def is_connect_postponed(self):
+        return self.machine.is_connect_postponed
 
     def attempt(self, again):
         shape = self.shape
@@ -181,7 +181,9 @@
 
     def dial(self):
         if not self.over:
-            self.wire = self.carrier.inner.connect(self, self.address, self.source)
+            self.connection = self.transport.inner.connect(
+                self, self.address, self.source
+            )
 
     # Ways
 
@@ -205,17 +207,17 @@
             self.carry(True, self.put, b"".join(parts))
 
     def put(self, data):
-        if self.wire.open and not self.wire.transport.is_closing():
-            self.wire.send(data)
+        if self.connection.open and not self.connection.asyncio_transport.is_closing():
+            self.connection.send(data)
 
     def abort(self, reset=False):
         """What has been sent arrives before."""
         if not self.over:
             self.leave()
-            if self.wire is not None:
+            if self.connection is not None:
                 self.shape.at(
                     max(self.shape.clock.now(), self.latest[True]),
-                    self.wire.abort,
+                    self.connection.abort,
                     reset,
                 )
 
@@ -223,12 +225,12 @@
         """Its process is dead."""
         if not self.over:
             self.leave()
-            if self.wire is not None:
-                self.wire.abort()
+            if self.connection is not None:
+                self.connection.abort()
 
     def leave(self):
         self.over = True
-        self.carrier.wires.pop(self, None)
+        self.transport.wires.pop(self, None)
 
     # From the real wire
 
@@ -244,11 +246,11 @@
     def lost(self, reset):
         self.carry(False, self.end, reset)
 
-    def let_go(self):
+    def release(self):
         pass  # what is still on its way is told later
 
     def blocked(self, on):
-        self.full = on
+        self.is_write_blocked = on
         self.tell("blocked", on)
 
     def fault(self):
@@ -259,10 +261,10 @@
 
     def end(self, reset):
         if not self.over:
-            self.refused = self.wire.refused
+            self.refused = self.connection.refused
             self.leave()
             self.guard(self.machine.lost, reset)
-            self.machine.let_go()
+            self.machine.release()
 
     def tell(self, what, *args):
         if not self.over:
--- a/wheathill/lab/scale/table.py
+++ b/wheathill/lab/scale/table.py
@@ -126,7 +126,7 @@
     whole = {"seq": 1, "whole": True, "hosts": [host(place) for place in range(count)]}
     text = orjson.dumps(whole)
     del whole
-    here.listed(orjson.loads(text))
+    here.on_endpoint_list(orjson.loads(text))
     found["list_bytes_held_a_server"] = (
         tracemalloc.get_traced_memory()[0] - before
     ) / count
@@ -151,7 +151,7 @@
 def lists(count, text):
     """A list as it comes over the watch, in pieces of the receive buffer."""
     here, loop = proxy()
-    here.next_watch = here.clock.after(1e6, int)
+    here.watch_timer = here.clock.after(1e6, int)
     watch = here.watch = Watch("x", 0, here, here.limits, here.clock)
     watch.timer.cancel()
     pieces = [
@@ -161,8 +161,8 @@
 
     def take(parts):
         for part in parts:
-            watch.take(part)
-        watch.take(b"\n")
+            watch.consume(part)
+        watch.consume(b"\n")
 
     found = {"list_bytes": len(text), "list_longest": here.limits.max_list_line_bytes}
     with Timer() as first:
@@ -177,7 +177,7 @@
     found["change_bytes"] = len(drains)
     found["change_ms"] = (timed(take, [drains]) + timed(take, [back])) / 2
     watch.timer.cancel()
-    here.next_watch.cancel()
+    here.watch_timer.cancel()
     loop.close()
     return found
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -54,7 +54,7 @@
     def accepts(self):
         return self.on and self.carrier.host.alive and not self.carrier.host.paused
 
-    def hold(self, on):
+    def set_paused(self, on):
         self.on = not on
         self.held.look()
 
@@ -64,7 +64,7 @@
 
 def rehome(wire, carrier):
     wire.host.wires.pop(wire, None)
-    wire.carrier, wire.host, wire.life = carrier, carrier.host, carrier.host.life
+    wire.transport, wire.host, wire.life = carrier, carrier.host, carrier.host.life
     wire.host.wires[wire] = None
 
 
@@ -77,19 +77,24 @@
         self.places = (
             places  # name -> MeetingPlace, of the folder that the processes share
         )
-        self.lent = 0
+        self.previous_process_sockets = 0
 
     @property
     def free(self):
-        return super().free - self.lent
+        return super().free - self.previous_process_sockets
 
     def open_door(self, make_machine, room):
         return View(self.held, self, make_machine, room)
 
     def adopt(self, wire, machine):
         rehome(wire, self)
-        wire.machine, machine.wire = machine, wire
-        wire.copied, wire.over, wire.held, wire.counted = False, wire.gone, True, True
+        wire.machine, machine.connection = machine, wire
+        wire.copied, wire.over, wire.held, wire.holds_descriptor = (
+            False,
+            wire.gone,
+            True,
+            True,
+        )
         self.host.clock.soon(self.adopted, wire)
         return wire
 
@@ -100,18 +105,18 @@
             wire.count(False)
             wire.guard(wire.machine.lost, True)
         else:
-            wire.guard(wire.machine.carried)
+            wire.guard(wire.machine.adopted)
 
-    def drop(self, handles):
+    def close_handles(self, handles):
         self.sockets -= len(handles)
         for wire in handles:
             if wire.copied:
                 wire.close()
 
-    def meet(self, folder, name, make_machine):
+    def listen_unix(self, folder, name, make_machine):
         return MeetingPlace(self, name, make_machine)
 
-    def reach(self, folder, name, make_machine):
+    def connect_unix(self, folder, name, make_machine):
         place = self.places.get(name)
         if place is None or not place.carrier.host.alive:
             raise FileNotFoundError(2, "nobody is there")
@@ -135,25 +140,25 @@
 
 class VirtualPost(FaultIsolation):
     def __init__(self, carrier):
-        self.carrier = carrier
+        self.transport = carrier
         self.over = False
         carrier.host.posts.append(self)
 
     def send(self, data, handles=()):
         if not self.over:
-            self.peer.carrier.host.clock.soon(self.peer.arrive, data, list(handles))
+            self.peer.transport.host.clock.soon(self.peer.arrive, data, list(handles))
 
     def arrive(self, data, handles):
-        self.carrier.sockets += len(handles)
+        self.transport.sockets += len(handles)
         if self.over:
-            self.carrier.drop(handles)
+            self.transport.close_handles(handles)
         else:
             self.guard(self.machine.received, data, handles)
 
     def close(self):
         if not self.over:
             self.over = True
-            self.peer.carrier.host.clock.soon(self.peer.lose)
+            self.peer.transport.host.clock.soon(self.peer.lose)
 
     def lose(self):
         if not self.over:
@@ -188,7 +193,9 @@
         self.proxy = self.world.make_proxy(
             node, carrier, self.host.clock, self.log, self.world.decisions
         )
-        self.proxy.door = carrier.open_door(self.proxy.client, self.proxy.room)
+        self.proxy.listening_socket = carrier.open_door(
+            self.proxy.create_client, self.proxy.has_room
+        )
         self.open_to_operators(carrier)
         UpgradeCoordinator(self.proxy, carrier, self.host.clock, self.log).begin()
 
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -37,7 +37,7 @@
 
     def dial(self, machine, address, peer=None):
         tap = self.tap(machine, None)
-        tap.wire = self.carrier.connect(tap, address)
+        tap.connection = self.carrier.connect(tap, address)
 
     def kill(self):
         """The system resets what the process held."""
@@ -70,7 +70,7 @@
 class VirtualTap(Tap):
     @property
     def came(self):
-        return self.wire.left
+        return self.connection.left
 
 
 class Door:
@@ -129,7 +129,7 @@
         self.limits = limits
         self.log = log
         self.sockets = 0
-        self.parting = {}
+        self.closing_connections = {}
 
     @property
     def free(self):
@@ -146,7 +146,7 @@
         )
         return wire
 
-    def datagrams(self, machine, address):
+    def bind_datagram_socket(self, machine, address):
         return VirtualDatagrams(self, machine, tuple(address))
 
 
@@ -154,7 +154,7 @@
     """What the driver's is on sockets: of one process, on its host's only address for datagrams."""
 
     def __init__(self, carrier, machine, address):
-        self.carrier, self.machine, self.address = carrier, machine, address
+        self.transport, self.machine, self.address = carrier, machine, address
         self.host, self.life = carrier.host, carrier.host.life
         self.host.net.mail[self.host.name] = self
         self.host.net.hosts_by_address[address] = self.host
@@ -360,21 +360,21 @@
     WINDOW = 262_144
 
     def __init__(self, carrier, machine):
-        self.carrier = carrier
+        self.transport = carrier
         self.host = carrier.host
         self.life = carrier.host.life
         self.machine = machine
         self.peer = None
         self.up = False  # the connection stands
         self.gone = False  # and no longer
-        self.full = False
+        self.is_write_blocked = False
         self.finished = False
         self.ended = False
-        self.parted = False
+        self.is_closing = False
         self.over = False
         self.held = False
         self.copied = False  # another process is to have it
-        self.counted = False
+        self.holds_descriptor = False
         self.refused = False
         self.inbox = deque()  # bytes, or None for the end, that were not read yet
         self.unsent = deque()
@@ -388,8 +388,8 @@
         self.waiting = 0  # things sent that found no way yet
 
     def count(self, on):
-        self.carrier.sockets += on - self.counted
-        self.counted = on
+        self.transport.sockets += on - self.holds_descriptor
+        self.holds_descriptor = on
 
     # What arrives
 
@@ -439,11 +439,11 @@
                 peer.on_way -= len(data)
                 if peer.unsent:
                     self.host.net.transmit(self, self.host, peer.host, peer.pump)
-                if not self.parted:
+                if not self.is_closing:
                     self.guard(self.machine.received, memoryview(data))
 
     def eof(self):
-        if not self.ended and not self.parted:
+        if not self.ended and not self.is_closing:
             self.ended = True
             self.guard(self.machine.ended)
         self.ended = True
@@ -464,7 +464,7 @@
                 self.tell_lost(True)
 
     def tell_lost(self, reset):
-        if not self.over and not self.parted:
+        if not self.over and not self.is_closing:
             self.over = True
             self.guard(self.machine.lost, reset)
         self.over = True
@@ -495,12 +495,12 @@
                 self, self.host, self.peer.host, self.peer.arrive, data
             )
         full = bool(self.unsent)
-        if full is not self.full:
-            self.full = full
-            if not self.over and not self.parted:
+        if full is not self.is_write_blocked:
+            self.is_write_blocked = full
+            if not self.over and not self.is_closing:
                 self.guard(self.machine.blocked, full)
 
-    def finish(self):
+    def send_eof(self):
         if self.open and not self.finished:
             self.finished = True
             if self.ended:
@@ -511,18 +511,18 @@
                 self.unsent.append(None)
                 self.pump()
 
-    def part(self):
+    def close_gracefully(self):
         if not self.open:
             return self.abort()
-        self.hold(False)
-        self.finish()
-        self.parted = True
+        self.set_paused(False)
+        self.send_eof()
+        self.is_closing = True
         if self.gone:
             return
-        if self.carrier.free < self.carrier.limits.reserved_sockets:
+        if self.transport.free < self.transport.limits.reserved_sockets:
             return self.close()
-        self.carrier.parting[self] = None
-        self.host.clock.after(self.carrier.limits.linger_ms, self.close)
+        self.transport.closing_connections[self] = None
+        self.host.clock.after(self.transport.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
         if self.over:
@@ -553,7 +553,7 @@
         self.inbox.clear()
         self.unsent.clear()
         self.host.wires.pop(self, None)
-        self.carrier.parting.pop(self, None)
+        self.transport.closing_connections.pop(self, None)
         self.count(False)
 
     def reset_peer(self):
@@ -566,7 +566,7 @@
             self.over = self.gone = True
             self.reset_peer()
 
-    def hold(self, on):
+    def set_paused(self, on):
         if self.open and not self.gone:
             self.held = on
             if not on and self.inbox:
@@ -579,35 +579,35 @@
             and not self.gone
             and not self.finished
             and not self.ended
-            and not self.full
+            and not self.is_write_blocked
             and self.drained
             and not self.inbox
         )
 
-    def copy(self):
+    def duplicate(self):
         self.copied = True
-        self.carrier.sockets += 1
+        self.transport.sockets += 1
         return self
 
     @property
-    def reached(self):
+    def was_established(self):
         return self.up
 
     @property
     def open(self):
-        return self.up and not self.over and not self.parted
+        return self.up and not self.over and not self.is_closing
 
     @property
-    def waited(self):
+    def ms_since_receive(self):
         """ms since the last bytes came, read or not."""
-        return self.carrier.host.clock.now() - self.came
+        return self.transport.host.clock.now() - self.came
 
     @property
-    def unread(self):
+    def has_unread_bytes(self):
         return bool(self.inbox)
 
     @property
-    def to_send(self):
+    def unsent_bytes(self):
         return sum(len(data) for data in self.unsent if data)
 
     @property
--- a/wheathill/net/datagram_socket.py
+++ b/wheathill/net/datagram_socket.py
@@ -1,4 +1,4 @@
-"""A socket for datagrams."""
+"""A UDP socket on the event loop."""
 
 from __future__ import annotations
 
@@ -13,29 +13,37 @@
 if TYPE_CHECKING:
     from wheathill.net.interfaces import SocketTransport
 
-MAX_EARLY = 64  # datagrams kept until the loop has the socket; older ones are lost
+# Datagrams queued until the event loop has registered the socket; the oldest ones are
+# dropped first.
+MAX_QUEUED_DATAGRAMS = 64
 
 
 class DatagramSocket(FaultIsolation, asyncio.DatagramProtocol):
-    """One socket for datagrams; what can't be sent at once is lost, as datagrams are.
+    """A UDP socket; a datagram that can't be sent immediately is dropped.
 
     Attributes:
-        carrier: the transport that it belongs to.
-        machine: called with each datagram and the host and port that it is from.
-        transport: asyncio's, once the loop has the socket.
+        transport: the transport that this socket belongs to.
+        machine: receives each datagram with the sender's host and port.
+        asyncio_transport: asyncio's transport, once the loop has registered the socket.
     """
 
     def __init__(
         self,
-        carrier: SocketTransport,
-        machine: Any,  # noqa: ANN401 - whatever takes datagrams
+        transport: SocketTransport,
+        machine: Any,  # noqa: ANN401 - any object with a `received` method
         address: tuple[str, int],
     ) -> None:
-        """Bind the address; raises OSError."""
-        self.carrier = carrier
+        """Bind the address.
+
+        Raises:
+            OSError: the address can't be bound.
+        """
+        self.transport = transport
         self.machine = machine
-        self.transport: Any = None
-        self._early: deque[tuple[bytes, tuple[str, int]]] = deque(maxlen=MAX_EARLY)
+        self.asyncio_transport: Any = None
+        self._queued: deque[tuple[bytes, tuple[str, int]]] = deque(
+            maxlen=MAX_QUEUED_DATAGRAMS
+        )
         sock = socket.socket(address_family(address[0]), socket.SOCK_DGRAM)
         try:
             sock.bind(address)
@@ -43,15 +51,15 @@
             sock.close()
             raise
         sock.setblocking(False)
-        # Kept: the loop itself holds tasks by weak references only.
-        self._task = carrier.loop.create_task(
-            carrier.loop.create_datagram_endpoint(lambda: self, sock=sock)
+        # The event loop holds only weak references to tasks, so keep a strong one.
+        self._task = transport.loop.create_task(
+            transport.loop.create_datagram_endpoint(lambda: self, sock=sock)
         )
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send what has waited for the loop to take the socket."""
-        self.transport = transport
-        for data, address in self._early:
+        """Send the datagrams that were queued before the loop had the socket."""
+        self.asyncio_transport = transport
+        for data, address in self._queued:
             self.send(data, address)
 
     def datagram_received(self, data: bytes, address: tuple[Any, ...]) -> None:
@@ -59,16 +67,16 @@
         self.guard(self.machine.received, data, address[:2])
 
     def error_received(self, error: Exception) -> None:
-        """Ignore that a host refuses; whoever needs to know finds out."""
+        """Ignore ICMP errors; senders that need to know detect the loss themselves."""
 
     def send(self, data: bytes, address: tuple[str, int]) -> None:
-        """Send a datagram, or lose it where the socket's buffer is full."""
-        if self.transport is None:
-            self._early.append((data, address))
-        elif not self.transport.get_write_buffer_size():
-            self.transport.sendto(data, address)
+        """Send a datagram, or drop it if the socket's send buffer is full."""
+        if self.asyncio_transport is None:
+            self._queued.append((data, address))
+        elif not self.asyncio_transport.get_write_buffer_size():
+            self.asyncio_transport.sendto(data, address)
 
     def close(self) -> None:
         """Close the socket."""
-        if self.transport is not None:
-            self.transport.close()
+        if self.asyncio_transport is not None:
+            self.asyncio_transport.close()
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -34,7 +34,7 @@
         clock: Clock,
     ) -> None:
         super().__init__(None, limits, clock)
-        self.wire, self._handle_request = connection, handle_request
+        self.connection, self._handle_request = connection, handle_request
         self._received = b""
 
     def connected(self) -> None:
@@ -46,7 +46,7 @@
 
         Any descriptors passed over the Unix connection are closed.
         """
-        self.wire.carrier.drop(handles)
+        self.connection.transport.close_handles(handles)
         self._received += data
         line, line_end, _ = self._received.partition(b"\n")
         if line_end:
@@ -66,7 +66,7 @@
         self._handle_request(request, self._reply)
 
     def _reply(self, reply: dict[str, Any]) -> None:
-        self.wire.send(orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE))
+        self.connection.send(orjson.dumps(reply, option=orjson.OPT_APPEND_NEWLINE))
 
     def lost(self, reset: bool) -> None:
         """Close this end after the peer has closed the connection."""
@@ -79,4 +79,4 @@
     def end(self) -> None:
         """Close the connection."""
         self.timer.cancel()
-        self.wire.close()
+        self.connection.close()
--- a/wheathill/peers/operator_requests.py
+++ b/wheathill/peers/operator_requests.py
@@ -34,7 +34,7 @@
         """
         directory, name = os.path.split(path)
         transport, clock = self._environment.transport, self._environment.clock
-        return transport.meet(
+        return transport.listen_unix(
             directory or ".",
             name,
             lambda connection: ControlConnection(
