--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -53,7 +53,7 @@
     where a socket can't be opened.
     """
 
-    EVIDENCE_LIMITS = EvidenceLimits(recipients=4, servers=12)
+    EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=4, servers_per_message=12)
 
     def __init__(
         self,
@@ -142,7 +142,7 @@
 
     def send_table_message(self, address: str, message: TableMessage) -> None:
         """Send a message about the table to a proxy of any zone."""
-        self.send_words(address, message.encode())
+        self.send_encoded(address, message.encode())
 
     def announce_view(self) -> None:
         """Notify the leaders of a view that has changed.
@@ -291,7 +291,7 @@
         if not leaders or leaders[0].name != self.settings.name:
             return
         view = self.cluster_view
-        if view.state == ViewState.STANDALONE and not view.may_stand_alone(now_ms):
+        if view.state == ViewState.STANDALONE and not view.is_startup_wait_over(now_ms):
             return  # others may be about to answer
         summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
