--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -397,13 +397,13 @@
     (first, second), running, _ = two
     wait_until(lambda: run_cli("peers", str(first)).returncode == 0)
     shown = run_cli("peers", str(first), "--compare").stdout
-    assert "all views agree" in shown and "asked: a, b" in shown
+    assert "all views alike" in shown and "asked: a, b" in shown
     running[1].kill()
     running[1].wait()
     wait_until(lambda: "dead (seen)" in run_cli("peers", str(first)).stdout)
     told = json.loads(run_cli("peers", str(first), "--json").stdout)
     assert [member["state"] for member in told["members"]] == ["alive", "dead"]
-    assert run_cli("peers", str(first), "--remove", "b").stdout == "removed b\n"
+    assert run_cli("peers", str(first), "--remove", "b").stdout == "b is taken off\n"
     wait_until(lambda: "left" in run_cli("peers", str(first)).stdout)
     assert run_cli("peers", str(first), "--remove", "c").returncode == 2
     assert run_cli("peers", str(second)).returncode == 2  # nobody answers there
--- a/wheathill/peers/command.py
+++ b/wheathill/peers/command.py
@@ -56,5 +56,5 @@
 
 def _remove_member(path: str, member: str) -> int:
     reply = call_control_socket(path, {"remove": member})
-    click.echo(reply.get("wrong") or f"removed {member}")
+    click.echo(reply.get("wrong") or f"{member} is taken off")
     return EXIT_FAILED if "wrong" in reply else EXIT_CONVERGED
--- a/wheathill/peers/control_socket.py
+++ b/wheathill/peers/control_socket.py
@@ -59,9 +59,9 @@
         try:
             request = orjson.loads(line)
             if not isinstance(request, dict):
-                raise ValueError("expected a JSON object")
+                raise ValueError("no object")
         except ValueError as error:
-            self._reply({"wrong": f"invalid request: {error}"})
+            self._reply({"wrong": f"not a request: {error}"})
             return
         self._handle_request(request, self._reply)
 
--- a/wheathill/peers/status.py
+++ b/wheathill/peers/status.py
@@ -74,33 +74,30 @@
         deviations = []
         if sources.view.state == ViewState.PARTITIONED:
             deviations.append(
-                "is cut off: keeps serving, but neither sends nor accepts health "
-                "evidence about servers"
+                "is cut off: serves with what it has, tells and takes no evidence of "
+                "servers"
             )
         if not sources.limits.has_expected_fleet_size(now_ms):
             quota = _format_quota(sources.limits.quota(now_ms))
             expected = _format_quota(sources.limits.expected_quota())
             deviations.append(
-                f"takes a quota of {quota} instead of the configured {expected}"
+                f"takes {quota} of what all may do, {expected} by its file"
             )
         drained = sources.server_updates.drained_by_peers()
         if drained:
             deviations.append(
-                f"sends no new sessions to {', '.join(drained)}: "
-                "peers report them as draining"
+                f"sends nothing new to {', '.join(drained)}: "
+                "a peer was told that they drain"
             )
         verdict = sources.health.verdict
         if verdict.failing_for_all:
             names = ", ".join(verdict.failing_for_all)
             deviations.append(
-                f"tries {names} with one session at a time: they fail for other proxies"
+                f"tries with one session at a time {names}: they fail for others"
             )
         if verdict.failing_locally_only:
             names = ", ".join(verdict.failing_locally_only)
-            deviations.append(
-                f"attributes failures of {names} to its own network path: "
-                "they serve other proxies"
-            )
+            deviations.append(f"takes for its own way's fault that {names} fail here")
         return deviations
 
     def _member_row(self, now_ms: float, member: Member) -> dict[str, Any]:
--- a/wheathill/peers/status_text.py
+++ b/wheathill/peers/status_text.py
@@ -39,8 +39,8 @@
     """Yield the lines of a status."""
     yield (
         f"{status.name} of {status.cluster}: {status.state} for"
-        f" {status.state_since_s:.0f} s, up to {status.active_proxies} active,"
-        f" share {status.quota:g}" + (", isolated" if status.is_isolated else "")
+        f" {status.state_since_s:.0f} s, {status.active_proxies} may be at work,"
+        f" share {status.quota:g}" + (", alone" if status.is_isolated else "")
     )
     if status.fleet is not None:
         yield from _fleet_lines(status.fleet)
@@ -58,8 +58,8 @@
 def _fleet_lines(fleet: FleetStatus) -> Iterator[str]:
     yield (
         f"zone {fleet.zone}, region {fleet.region} {fleet.region_state},"
-        f" fleet {fleet.fleet_state}: up to {fleet.active_proxies} active,"
-        f" layout {fleet.layout_version}, zone share {fleet.quota:g}"
+        f" fleet {fleet.fleet_state}: {fleet.active_proxies} may be at work,"
+        f" layout {fleet.layout_version}, the zone's part {fleet.quota:g}"
     )
     yield from _aligned([ZONE_COLUMNS, *(_zone_cells(zone) for zone in fleet.zones)])
 
@@ -100,13 +100,13 @@
 def _comparison_lines(comparison: ComparisonResult) -> Iterator[str]:
     asked = "asked: " + ", ".join(comparison.replied)
     if comparison.silent:
-        asked += ", no reply from " + ", ".join(comparison.silent)
+        asked += ", no answer from " + ", ".join(comparison.silent)
     yield asked
     for member, states in comparison.differing_views.items():
         views = [f"{viewer} {state}" for viewer, state in states.items()]
         yield f"views of {member} differ: " + ", ".join(views)
     if not comparison.differing_views:
-        yield "all views agree"
+        yield "all views alike"
 
 
 def _aligned(rows: list[list[str]]) -> Iterator[str]:
