--- a/wheathill/peers/status_text.py
+++ b/wheathill/peers/status_text.py
@@ -1,4 +1,4 @@
-"""The lines that `wheathill peers` prints of a status."""
+"""Formats a status as the lines that `wheathill peers` prints."""
 
 from collections.abc import Iterator
 
@@ -69,26 +69,26 @@
         zone.name,
         zone.region,
         zone.state,
-        _text_or_unknown(zone.active_proxies),
-        _text_or_unknown(zone.reachable_proxies),
+        _number_text(zone.active_proxies),
+        _number_text(zone.reachable_proxies),
         str(zone.expected_proxies),
         f"{zone.quota:g}",
-        _text_or_unknown(zone.layout_version),
+        _number_text(zone.layout_version),
         " ".join(zone.unreachable_zones) or UNKNOWN,
         " ".join(zone.leaders) or UNKNOWN,
     ]
 
 
-def _text_or_unknown(number: int | None) -> str:
+def _number_text(number: int | None) -> str:
     return UNKNOWN if number is None else str(number)
 
 
 def _member_cells(member: MemberRow) -> list[str]:
-    is_end_seen = member.state == MemberState.DEAD and member.is_surely_gone
+    is_death_observed = member.state == MemberState.DEAD and member.is_surely_gone
     last_seen = UNKNOWN if member.last_seen_s is None else f"{member.last_seen_s:.0f} s"
     return [
         member.name,
-        member.state + (" (seen)" if is_end_seen else ""),
+        member.state + (" (seen)" if is_death_observed else ""),
         f"{member.state_since_s:.0f} s",
         last_seen,
         "yes" if member.agrees else "no",
@@ -110,7 +110,7 @@
 
 
 def _aligned(rows: list[list[str]]) -> Iterator[str]:
-    """Yield a line for each row, with columns as wide as their longest cell."""
+    """Yield a line for each row, with each column as wide as its longest cell."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     for row in rows:
         cells = [cell.ljust(width) for cell, width in zip(row, widths, strict=True)]
--- a/wheathill/peers/zones/replicated_updates.py
+++ b/wheathill/peers/zones/replicated_updates.py
@@ -41,14 +41,14 @@
             "drains and starts are shared through the replicated table, not by messages"
         )
 
-    def send_all(self, address: str) -> None:
+    def send_all_records(self, address: str) -> None:
         """Send nothing.
 
         Lost updates are recovered by anti-entropy: every message has a digest of the
         table in its header.
         """
 
-    def _share_entry(self, server: str, entry: ServerEntry) -> None:
+    def _propagate_entry(self, server: str, entry: ServerEntry) -> None:
         record = self._records.update_from_list(
             self._wall_ms(),
             server,
--- a/wheathill/peers/zones/summary_builder.py
+++ b/wheathill/peers/zones/summary_builder.py
@@ -12,7 +12,7 @@
 ) -> ZoneSummary:
     """Return the summary of the own zone, whose view is `view`."""
     directory = contacts.directory
-    has_agreement = view.have_all_reported_same()
+    has_agreement = view.all_digests_match()
     return ZoneSummary(
         state=directory.own_state(view.state),
         max_active_proxies=view.max_active_proxies(now_ms),
@@ -27,5 +27,5 @@
 def _adopted_layout_version(view: ClusterView, directory: ZoneDirectory) -> int:
     """Return the layout that all proxies of the own zone hold; it never falls."""
     held = [known.layout_version for known in view.members.values()]
-    lowest = 0 if view.unseen_count() else min([directory.layout.version, *held])
+    lowest = 0 if view.unseen_proxy_count() else min([directory.layout.version, *held])
     return max(directory.adopted_layout_version(directory.own_zone.name), lowest)
