--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -386,12 +386,12 @@
         whole = chance.choice((0.2, 0.9, 1.0, 3.7, 40.0))
         for server in range(20):
             total = sum(
-                one.round_permits(f"g{server}", whole * part)
+                one.permit_count(f"g{server}", whole * part)
                 for one, part in zip(each, parts.values())
             )
             assert whole - 1 - 1e-6 <= total <= whole + 1 + 1e-6, (seed, total)
     one = ZoneParts("e", {"e": 0.25, "w": 0.75}).quota
-    permits = [one.round_permits(f"g{server}", 0.25 * 1.2) for server in range(4000)]
+    permits = [one.permit_count(f"g{server}", 0.25 * 1.2) for server in range(4000)]
     assert abs(sum(permits) / 4000 - 0.3) < 0.03
 
 
--- a/wheathill/peers/zones/zone_quota.py
+++ b/wheathill/peers/zones/zone_quota.py
@@ -45,7 +45,7 @@
             or any(adopted(zone.name) > layout.version + 1 for zone in layout.zones)
         )
 
-    def round_permits(self, server: str, attempts: float) -> int:
+    def permit_count(self, server: str, attempts: float) -> int:
         """Return how many of the own zone's proxies may try a warming server.
 
         `attempts` are the zone's. A part of an attempt is rounded by a hash of the
--- a/wheathill/peers/zones/zoned_limits.py
+++ b/wheathill/peers/zones/zoned_limits.py
@@ -40,5 +40,5 @@
             return 0.0
         capacity = self._capacity_estimate()
         return self._view.permit(
-            server, capacity, attempts_per_capacity, self._zone_quota.round_permits
+            server, capacity, attempts_per_capacity, self._zone_quota.permit_count
         )
