--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -1,8 +1,10 @@
-"""One proxy of a fleet of zones: a whole view within its zone, summaries of the others.
+"""Peer service of a proxy in a fleet of zones.
 
-It is a `peer_service.PeerService` but for what would grow with the fleet: drains and
-starts go over the replicated table, agreement is stated by the zone's first leader, and
-a limit's quota is a part of the zone's quota. docs/design/zones.md.
+The proxy has a full view of its own zone, and summaries of the other zones. The service
+differs from `peer_service.PeerService` where the cost would grow with the fleet: drains
+and starts are shared through the replicated table, the first leader of the zone reports
+that all views agree, and a proxy's quota is a part of the zone's quota. See
+docs/design/zones.md.
 """
 
 from collections.abc import Sequence
@@ -47,15 +49,28 @@
 from wheathill.peers.zones.zone_table import ZoneTable, ZoneTableRecord
 from wheathill.peers.zones.zoned_limits import ZonedLimits
 
-# Of frames. Proxies without zones use another and are refused.
+# Frame version of fleets with zones. Frames from proxies without zones have another
+# version and are rejected.
 FRAME_VERSION = 2
 
 
 class ZonedPeerService(PeerService):
-    """A proxy's part in a fleet of several zones, of which `settings.layout` tells.
-
-    `generation` is a number that no other process of this name has. Raises OSError
-    where a socket can't be opened.
+    """Peer service of a proxy in a fleet of several zones.
+
+    `settings.layout` describes the zones. `generation` is a number that no other
+    process of this name has. `expected_proxies` is the number of proxies in the whole
+    fleet; the view of the own zone uses the number in the layout instead. Raises
+    OSError if a socket can't be opened.
+
+    Attributes:
+        table_gossip: passes on new records of the replicated table.
+        table_anti_entropy: recovers records that gossip has lost.
+        zone_table: the replica of the table, with its encoding.
+        replicated_table: the replica itself.
+        server_records: the records of servers in the table.
+        zone_directory: the zones and their summaries.
+        zone_quota: the quota of the own zone.
+        zone_contacts: contact with the other zones.
     """
 
     EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=4, servers_per_message=12)
@@ -69,15 +84,15 @@
     ) -> None:
         self._layout = cast(ZoneLayout, settings.layout)
         self._zone = cast(str, settings.zone)
-        # What the whole fleet expects is of no concern: the view is of the own zone.
+        # The view covers the own zone, so the size of the whole fleet is not used.
         expected = max(1, self._layout.zone(self._zone).proxies)
         super().__init__(settings, environment, generation, expected)
         self.authenticator.version = FRAME_VERSION
-        # A process that starts where it reaches nobody can't know that others took over
-        # the quota of the process before it.
+        # A process that reaches no other member after its start can't know whether
+        # others have taken over the quota of its predecessor.
         self.cluster_view.minimum_proxies = expected
         self._announcements = ViewAnnouncements(settings.probe_interval_ms)
-        # Of region and fleet, as last logged.
+        # The states of the region and the fleet that were logged last.
         self._logged_states: tuple[ViewState, ViewState] | None = None
         self.table_gossip = TableGossip(
             settings.name, self.clock, self.random, self.zone_table, self
@@ -86,13 +101,13 @@
             settings, self.clock, self.zone_table, self
         )
 
-    # Parts
+    # Components
 
     def _create_view(self, generation: int, expected_proxies: int) -> ClusterView:
-        """Create the view of the own zone, after the parts that know of all zones."""
+        """Create the components that cover all zones, then the view of the own zone."""
         settings, now_ms = self.settings, self.clock.now()
-        names = [zone.name for zone in self._layout.zones]
-        self.zone_table = ZoneTable(names, self.authenticator.encoded_size)
+        zone_names = [zone.name for zone in self._layout.zones]
+        self.zone_table = ZoneTable(zone_names, self.authenticator.encoded_size)
         table = self.replicated_table = self.zone_table.replica
         interval_ms = settings.probe_interval_ms
         self.server_records = ServerRecords(table)
@@ -131,13 +146,13 @@
         return ZonedStatus(self._status_sources(), zone_sources)
 
     def wall_ms(self) -> float:
-        """Return the present time by the wall clock, as records state it."""
+        """Return the current Unix time in milliseconds, as used in records."""
         return self.clock.to_wall(self.clock.now())
 
     # Sending
 
     def header(self) -> ZonedViewHeader:
-        """Return what each message says of this proxy's view and table."""
+        """Return the header of each message, about this proxy's view and table."""
         return ZonedViewHeader(
             self._zone,
             cast(ViewHeader, super().header()),
@@ -150,9 +165,10 @@
         self.send_encoded(address, message.encode())
 
     def announce_view(self) -> None:
-        """Notify the leaders of a view that has changed.
+        """Notify the leaders of the own zone if this view has changed.
 
-        Again, until the zone's summary says that all have it.
+        The notification is repeated until the zone's summary confirms that all members
+        have the same view.
         """
         if self._announcements.is_due(self.clock.now(), self.cluster_view):
             for leader in self.zone_leaders():
@@ -161,9 +177,9 @@
 
     # Receiving
 
-    def receive(self, now_ms: float, sender: Sender, words: Sequence[Any]) -> None:
-        """Read a message with its header, and act on it."""
-        *header_fields, message = words
+    def receive(self, now_ms: float, sender: Sender, fields: Sequence[Any]) -> None:
+        """Decode a message with its header, and handle it."""
+        *header_fields, message = fields
         header = ZonedViewHeader.decode(header_fields)
         kind, *arguments = message
         self._record_header(now_ms, sender, header)
@@ -173,15 +189,15 @@
         elif header.zone == self._zone:
             self.handle_message(now_ms, sender, message)
         else:
-            raise ValueError(f"{kind!r} is not sent between zones")
+            raise ValueError(f"message kind {kind!r} is not allowed between zones")
         self.table_anti_entropy.compare(now_ms, sender.address, header.table_digest)
 
     def _record_header(
         self, now_ms: float, sender: Sender, header: ZonedViewHeader
     ) -> None:
-        """Take in what any message says of its sender.
+        """Record the contact with the sender and its view from a message's header.
 
-        Raises ValueError where the layout doesn't name the sender's zone.
+        Raises ValueError if the layout doesn't contain the sender's zone.
         """
         if header.zone == self._zone:
             self.record_contact(now_ms, sender)
@@ -191,7 +207,7 @@
         elif header.zone in self.zone_directory.other_zones:
             self.zone_contacts.record_contact(now_ms, header.zone)
         else:
-            raise ValueError(f"no zone of the layout: {header.zone}")
+            raise ValueError(f"zone {header.zone} is not in the layout")
         self.zone_quota.record_layout_version(int(header.layout_version))
 
     def _handle_table_message(
@@ -211,7 +227,7 @@
     def merge_records(
         self, now_ms: float, records: list[ZoneTableRecord], zone: str
     ) -> None:
-        """Take in records that came from a member of `zone`."""
+        """Merge records received from a member of `zone` into the replica."""
         newer = self.replicated_table.merge(self.wall_ms(), records)
         if newer:
             is_from_own_zone = zone == self._zone
@@ -222,7 +238,7 @@
             )
 
     def publish_record(self, record: ZoneTableRecord) -> None:
-        """Send a record that this proxy wrote."""
+        """Send a record that this proxy wrote to other members."""
         self.table_gossip.add_own(record)
         self._on_table_changed(self.clock.now())
 
@@ -235,40 +251,48 @@
     # Effects of membership
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
-        """Check by connections whether a process listens at a member's address.
+        """Check by connecting whether a process listens at a member's address.
 
-        By its operator's file a process of another zone may have taken the address:
-        nobody of this zone ever meets it, and connections to it succeed all the same.
-        That the process before it has ended is what the transport has found since.
+        The address may have been reassigned to a process of another zone. Connections
+        to that process succeed, although it never exchanges membership messages with
+        this zone. If the transport has found that the probed process was replaced at
+        the address, the probe counts as refused.
         """
-        started_ms = self.clock.now()
+        probe_start_ms = self.clock.now()
 
         def on_result(result: ProbeResult) -> None:
-            if result is ProbeResult.REACHABLE and self._is_replaced(probe, started_ms):
+            if result is ProbeResult.REACHABLE and self._is_address_taken_over(
+                probe, probe_start_ms
+            ):
                 result = ProbeResult.REFUSED
             self.membership.on_fallback_probe_result(self.clock.now(), probe, result)
 
         self.transport.start_fallback_probe(probe.address, probe.timeout_ms, on_result)
 
-    def _is_replaced(self, probe: FallbackProbe, started_ms: float) -> bool:
-        """Tell whether another process has the address of the one that is probed."""
+    def _is_address_taken_over(
+        self, probe: FallbackProbe, probe_start_ms: float
+    ) -> bool:
+        """Return whether another process has taken over the probed member's address.
+
+        A member that was in contact after `probe_start_ms` was not replaced.
+        """
         member = self.membership.members.get(probe.name)
         return (
             member is not None
-            and member.last_seen_ms <= started_ms
+            and member.last_seen_ms <= probe_start_ms
             and self.transport.is_replaced(probe.address, probe.generation)
         )
 
     # Leaders of the own zone
 
     def zone_leaders(self) -> list[Member]:
-        """Return the leaders of the own zone, by this proxy's view."""
+        """Return the leaders of the own zone according to this proxy's view."""
         if self.membership.is_isolated:
             return []
         return select_leaders(self._zone, self.membership.active_members())
 
     def other_zone_addresses(self, now_ms: float) -> list[str]:
-        """Return an address in each other zone, in the order of the layout."""
+        """Return one address in each other zone, in the order of the layout."""
         return [
             self.zone_contacts.choose_address(now_ms, zone)
             for zone in self.zone_directory.other_zones
@@ -278,10 +302,10 @@
         """Return the state of the own zone."""
         return self.zone_directory.own_state(self.cluster_view.state)
 
-    # Each probe interval
+    # Periodic work
 
     def tick(self) -> None:
-        """Do what is done once each probe interval."""
+        """Run the periodic work of one probe interval."""
         now_ms = self.clock.now()
         self.table_anti_entropy.start_interval()
         self.replicated_table.remove_expired(self.wall_ms())
@@ -292,19 +316,19 @@
         self._log_states()
 
     def _write_summary(self, now_ms: float, leaders: list[Member]) -> None:
-        """Write the zone's summary, where this proxy is the first leader."""
+        """Write the zone's summary if this proxy is the first leader."""
         if not leaders or leaders[0].name != self.settings.name:
             return
         view = self.cluster_view
         if view.state == ViewState.STANDALONE and not view.is_startup_wait_over(now_ms):
-            return  # others may be about to answer
+            return  # other members may still answer
         summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
         if record is not None:
             self.publish_record(record)
 
     def _send_heartbeats(self, now_ms: float, leaders: list[Member]) -> None:
-        """Send heartbeats to other zones, where this proxy is a leader."""
+        """Send heartbeats to other zones if this proxy is a leader."""
         if all(leader.name != self.settings.name for leader in leaders):
             self.zone_contacts.reset(now_ms)
             return
--- a/wheathill/peers/zones/status.py
+++ b/wheathill/peers/zones/status.py
@@ -1,4 +1,4 @@
-"""What a proxy of a fleet of zones tells operators."""
+"""The status that a proxy of a fleet of zones reports to operators."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -15,7 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneStatusSources:
-    """The parts that the status of zones is read from; `zone_state()` is the own's."""
+    """The components that provide the status of zones.
+
+    `zone_state()` returns the state of the own zone.
+    """
 
     directory: ZoneDirectory
     quota: ZoneQuota
@@ -24,14 +27,14 @@
 
 
 class ZonedStatus(StatusReporter):
-    """Reads the status of a peer service, with that of all zones."""
+    """Collects the status of a peer service, including the status of all zones."""
 
     def __init__(self, sources: StatusSources, zone_sources: ZoneStatusSources) -> None:
         super().__init__(sources)
         self._zone_sources = zone_sources
 
     def report(self) -> dict[str, Any]:
-        """Return all that operators are shown; the keys are part of the interface."""
+        """Return the status for operators; its keys are part of the interface."""
         directory = self._zone_sources.directory
         own_state = self._zone_sources.zone_state()
         now_ms = self._sources.clock.now()
@@ -62,22 +65,22 @@
         }
 
     def deviations(self, now_ms: float) -> list[str]:
-        """Return what this proxy does because of its peers, and would not without."""
-        found = super().deviations(now_ms)
+        """Describe how this proxy's behavior differs because of its peers."""
+        deviations = super().deviations(now_ms)
         directory, quota = self._zone_sources.directory, self._zone_sources.quota
-        own = directory.own_zone
-        if quota.quota() < own.quota:
-            adopted = directory.adopted_layout_version(own.name)
-            found.append(
+        own_zone = directory.own_zone
+        if quota.quota() < own_zone.quota:
+            adopted_version = directory.adopted_layout_version(own_zone.name)
+            deviations.append(
                 f"takes {quota.quota():.3g} for its zone's part, "
-                f"{own.quota:.3g} by its layout: not all zones hold version "
-                f"{directory.layout.version} (its own: {adopted})"
+                f"{own_zone.quota:.3g} by its layout: not all zones hold version "
+                f"{directory.layout.version} (its own: {adopted_version})"
             )
-        return found
+        return deviations
 
 
 def _summary_row(summary: ZoneSummary | None) -> dict[str, Any]:
-    """Return what a zone has stated, None and empty lists where it has not yet."""
+    """Return the fields of a zone's summary; None or empty without a summary."""
     if summary is None:
         return {
             "at_work": None,
