--- a/wheathill/peers/zones/summary_writer.py
+++ b/wheathill/peers/zones/summary_writer.py
@@ -1,21 +1,23 @@
-"""Writes the summary of the own zone, as the zone's first leader does."""
+"""Writes the summary of the own zone, with a rate limit and a backoff."""
 
 from wheathill.peers.replicated_table import ReplicatedTable
 from wheathill.peers.zones.zone_summary import ZoneSummary
 from wheathill.peers.zones.zone_table import ZoneTableRecord
 
-# Probe intervals between two summaries; and the most, for a writer that is overwritten.
+# Minimum time between two summaries of a writer, in probe intervals, and the maximum to
+# which it doubles when the writer's summaries are overwritten.
 MIN_WRITE_INTERVALS, MAX_WRITE_INTERVALS = 4, 64
-# Probe intervals past the next time to write, after which a writer that was not
-# overwritten is taken for the only one.
-UNDISTURBED_INTERVALS = 30
+# Time without being overwritten after which a writer counts as the only one, in probe
+# intervals from the moment when it may write again.
+BACKOFF_RESET_INTERVALS = 30
 
 
 class SummaryWriter:
-    """Writes the zone's summary where it has changed, but not too often.
+    """Writes the zone's summary when it has changed, at a limited rate.
 
-    Views that differ make two first leaders for a moment. Each that is overwritten
-    doubles its wait, so that they don't overwrite each other for long.
+    While views differ, two members may each act as the first leader. A writer whose
+    summary was overwritten doubles the time until its next one, so that the two don't
+    keep overwriting each other.
 
     `writer` is a name that no other process has.
     """
@@ -32,39 +34,39 @@
         self._writer = writer
         self._table = table
         self._interval_ms = probe_interval_ms
-        self._wait_ms = MIN_WRITE_INTERVALS * probe_interval_ms
+        self._backoff_ms = MIN_WRITE_INTERVALS * probe_interval_ms
         self._next_write_ms = now_ms
-        # The version of the summary that this proxy wrote last.
+        # Version of the last summary that this proxy wrote.
         self._written_version: tuple[float, int, str] | None = None
 
     def write(self, now_ms: float, summary: ZoneSummary) -> ZoneTableRecord | None:
-        """Return the record of a new summary, which is to be sent.
+        """Store a new summary in the table, and return its record for sending.
 
-        Returns None where the one that is held says the same, or where it is too early.
+        Returns None if the summary is unchanged, or if it is too early to write again.
         """
-        held = self._table.summary(self._zone)
-        if held is not None and held.value == summary:
-            self._on_unchanged(now_ms, held)
+        current = self._table.summary(self._zone)
+        if current is not None and current.value == summary:
+            self._on_unchanged(now_ms, current)
             return None
         if now_ms < self._next_write_ms:
             return None
         if (
             self._written_version is not None
-            and held is not None
-            and held.version != self._written_version
+            and current is not None
+            and current.version != self._written_version
         ):
-            self._wait_ms = min(
-                MAX_WRITE_INTERVALS * self._interval_ms, 2 * self._wait_ms
+            self._backoff_ms = min(
+                MAX_WRITE_INTERVALS * self._interval_ms, 2 * self._backoff_ms
             )
         record = self._table.write_summary(self._zone, self._writer, summary)
         self._written_version = record.version
-        self._next_write_ms = now_ms + self._wait_ms
+        self._next_write_ms = now_ms + self._backoff_ms
         return record
 
-    def _on_unchanged(self, now_ms: float, held: ZoneTableRecord) -> None:
-        undisturbed_ms = UNDISTURBED_INTERVALS * self._interval_ms
+    def _on_unchanged(self, now_ms: float, current: ZoneTableRecord) -> None:
+        reset_after_ms = BACKOFF_RESET_INTERVALS * self._interval_ms
         if (
-            held.version == self._written_version
-            and now_ms - self._next_write_ms > undisturbed_ms
+            current.version == self._written_version
+            and now_ms - self._next_write_ms > reset_after_ms
         ):
-            self._wait_ms = MIN_WRITE_INTERVALS * self._interval_ms
+            self._backoff_ms = MIN_WRITE_INTERVALS * self._interval_ms
--- a/wheathill/peers/zones/zone_summary.py
+++ b/wheathill/peers/zones/zone_summary.py
@@ -1,7 +1,7 @@
-"""What the leaders of a zone state about it, and its form in messages.
+"""The summary of a zone that its leaders publish, and its encoding in messages.
 
-In a message a summary is the list `[state, max_active_proxies, reachable_proxies,
-digest, unreachable_zones, layout_version, [[name, address] of each leader]]`.
+An encoded summary is the list `[state, max_active_proxies, reachable_proxies, digest,
+unreachable_zones, layout_version, [[name, address] of each leader]]`.
 """
 
 from dataclasses import dataclass
@@ -14,43 +14,44 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneLeader:
-    """One who speaks for a zone; `address` is "HOST:PORT"."""
+    """A leader of a zone; `address` is "HOST:PORT"."""
 
     name: str
     address: str
 
     def encode(self) -> list[str]:
-        """Return the leader as it stands in a summary."""
+        """Return the leader as it is encoded in a summary."""
         return [self.name, self.address]
 
     @classmethod
     def decode(cls, fields: Any) -> Self:  # noqa: ANN401  # from a message
-        """Read a leader of a summary.
+        """Return the leader with the given fields of an encoded summary.
 
-        Raises ValueError or TypeError where it is none.
+        Raises ValueError or TypeError if the fields are not a leader.
         """
         name, address = fields
         if not isinstance(name, str) or not isinstance(address, str):
-            raise ValueError("no leader")
+            raise ValueError("name or address of a zone leader is not a string")
         host, _, port = address.rpartition(":")
         if not host or not 0 < int(port) <= MAX_PORT:
-            raise ValueError("no leader")
+            raise ValueError("address of a zone leader is not HOST:PORT")
         return cls(name, address)
 
 
 @dataclass(frozen=True, slots=True)
 class ZoneSummary:
-    """One zone, as its first leader sees it.
+    """The state of one zone according to its first leader.
 
     Attributes:
-        state: of the zone alone.
-        max_active_proxies: the largest number of its proxies that may be active.
-        reachable_proxies: of its members, the leader included.
-        digest: of the view that all reachable members have reported, or "".
-        unreachable_zones: names of other zones that its leaders don't reach.
-        layout_version: the layout that all of its proxies hold, 0 where that is not
-            known.
-        leaders: the first one first.
+        state: state of the zone, independent of other zones.
+        max_active_proxies: maximum number of the zone's proxies that may be active.
+        reachable_proxies: number of reachable members, including the leader.
+        digest: digest of the view that all reachable members have reported, "" if their
+            views differ.
+        unreachable_zones: names of the other zones that the zone's leaders can't reach.
+        layout_version: version of the layout that all of the zone's proxies have, 0 if
+            unknown.
+        leaders: the leaders in order, the first leader first.
     """
 
     state: ViewState
@@ -62,7 +63,7 @@
     leaders: tuple[ZoneLeader, ...]
 
     def encode(self) -> list[object]:
-        """Return the summary as it stands in a message."""
+        """Return the summary as it is sent in a message."""
         return [
             self.state.value,
             self.max_active_proxies,
@@ -75,20 +76,20 @@
 
     @classmethod
     def decode(cls, fields: Any) -> Self:  # noqa: ANN401  # from a message
-        """Read the summary of a message.
+        """Return the summary with the given fields of a message.
 
-        Raises ValueError or TypeError where it is none.
+        Raises ValueError or TypeError if the fields are not a summary.
         """
         state, max_active, reachable, digest, unreachable, version, leaders = fields
         numbers = (max_active, reachable, version)
         if not all(isinstance(number, int) and number >= 0 for number in numbers):
-            raise ValueError("no summary")
+            raise ValueError("a number in a zone summary is not a valid integer")
         if not isinstance(digest, str) or not isinstance(leaders, list):
-            raise ValueError("no summary")
+            raise ValueError("digest or leaders of a zone summary have a wrong type")
         if not isinstance(unreachable, list):
-            raise ValueError("no summary")
+            raise ValueError("unreachable zones of a zone summary are not a list")
         if not all(isinstance(name, str) for name in unreachable):
-            raise ValueError("no summary")
+            raise ValueError("name of an unreachable zone is not a string")
         return cls(
             ViewState(state),
             max_active,
