--- a/wheathill/peers/zones/table_anti_entropy.py
+++ b/wheathill/peers/zones/table_anti_entropy.py
@@ -1,8 +1,8 @@
-"""Anti-entropy of the replicated table: what gossip has lost is requested and sent.
+"""Anti-entropy of the replicated table: recovers records that gossip has lost.
 
-Each message states the digest of its sender's replica. Where it differs for longer than
-gossip needs, the receiver requests what differs (Demers et al., "Epidemic Algorithms
-for Replicated Database Maintenance", 1987).
+The header of each message contains the digest of the sender's replica. If the digests
+differ for longer than gossip takes, the receiver requests the records that differ
+(Demers et al., "Epidemic Algorithms for Replicated Database Maintenance", 1987).
 """
 
 from wheathill.config.peers import PeerSettings
@@ -15,18 +15,19 @@
 )
 from wheathill.peers.zones.zone_table import ZoneTable
 
-# Requests under way, and requests answered, in a probe interval: a bound on what
-# members with many differences cost each other.
+# Maximum number of requests sent, and of requests answered, per probe interval. It
+# bounds the load between members whose replicas differ widely.
 MAX_REQUESTS_PER_INTERVAL = 8
-# Probe intervals until an answer would be there, and how often a request is sent.
+# Time until an unanswered request is sent again, in probe intervals, and the maximum
+# number of times that it is sent.
 RETRY_INTERVALS, MAX_ATTEMPTS = 0.3, 4
-# Probe intervals without a change, from which a difference is no longer taken for
-# gossip that is under way.
+# Time since the last change of the replica for which a difference is attributed to
+# gossip in progress, in probe intervals.
 SETTLING_INTERVALS = 0.5
 
 
 class TableAntiEntropy:
-    """Requests what differs between replicas, and answers such requests."""
+    """Requests records in which replicas differ, and answers such requests."""
 
     def __init__(
         self,
@@ -41,71 +42,73 @@
         self._table = table
         self._replica = table.replica
         self._effects = effects
-        # When the own replica last changed, and was last the same as another's.
-        self._changed_ms = self._same_ms = clock.now()
-        # By address: when what differs was last requested there.
+        # When the own replica last changed, and when it last matched another one. The
+        # latter is also set by a request, to limit requests during gossip.
+        self._last_change_ms = self._last_match_ms = clock.now()
+        # By address: when records were last requested from there.
         self._requested_ms: dict[str, float] = {}
-        # By address: when the request was first sent that has no answer yet.
+        # By address: when the request that is still unanswered was first sent.
         self._unanswered_since_ms: dict[str, float] = {}
-        self._answered_in_interval = 0
+        self._answered_count = 0
 
     def start_interval(self) -> None:
-        """Begin another probe interval."""
-        self._answered_in_interval = 0
+        """Reset the limit of answers for a new probe interval."""
+        self._answered_count = 0
 
     def on_table_changed(self, now_ms: float) -> None:
-        """Note that the own replica has changed."""
-        self._changed_ms = now_ms
+        """Record that the own replica has changed."""
+        self._last_change_ms = now_ms
 
     def compare(self, now_ms: float, address: str | None, table_digest: int) -> None:
-        """Compare the own replica's digest with that of a message's sender.
+        """Compare the own replica's digest with the digest in a message's header.
 
-        `address` is None where the message came on a stream.
+        `address` is the sender's, None if the message was received on a stream.
         """
         if table_digest == self._replica.digest:
-            self._same_ms = now_ms
+            self._last_match_ms = now_ms
             self._unanswered_since_ms.clear()
         elif address is not None:
             self.request_difference(now_ms, address)
 
-    # The requester's part
+    # Requester
 
     def request_difference(self, now_ms: float, address: str) -> None:
-        """Request what differs from a proxy whose replica differs.
+        """Request the records that differ from a proxy with a different replica.
 
-        Not while gossip is under way, as replicas differ for a moment then; but where
-        records change all the time, what was lost is requested all the same.
+        While gossip is in progress, replicas differ for a short time, so no request is
+        sent. If records change all the time, so that gossip is always in progress, a
+        request is sent nevertheless once no replica has matched for a probe interval.
         """
         interval_ms = self._interval_ms
-        is_settling = (
-            now_ms - self._changed_ms < SETTLING_INTERVALS * interval_ms
-            and now_ms - self._same_ms < interval_ms
+        is_gossip_in_progress = (
+            now_ms - self._last_change_ms < SETTLING_INTERVALS * interval_ms
+            and now_ms - self._last_match_ms < interval_ms
         )
-        last_ms = self._requested_ms.get(address, -interval_ms)
-        if is_settling or now_ms - last_ms < interval_ms:
+        last_request_ms = self._requested_ms.get(address, -interval_ms)
+        if is_gossip_in_progress or now_ms - last_request_ms < interval_ms:
             return
-        self._forget_old_requests(now_ms)
+        self._remove_old_requests(now_ms)
         if len(self._requested_ms) < MAX_REQUESTS_PER_INTERVAL:
-            self._requested_ms[address] = self._same_ms = now_ms
+            self._requested_ms[address] = self._last_match_ms = now_ms
             self._unanswered_since_ms[address] = now_ms
             self.send_request(address, now_ms, MAX_ATTEMPTS)
 
-    def _forget_old_requests(self, now_ms: float) -> None:
-        old = [
+    def _remove_old_requests(self, now_ms: float) -> None:
+        old_addresses = [
             address
             for address, requested_ms in self._requested_ms.items()
             if now_ms - requested_ms >= self._interval_ms
         ]
-        for address in old:
+        for address in old_addresses:
             del self._requested_ms[address]
 
     def send_request(
         self, address: str, first_sent_ms: float, attempts_left: int
     ) -> None:
-        """Send a request, and again where no answer comes.
+        """Send a request, and repeat it until it is answered or attempts run out.
 
-        The request or the answer may have been lost, and where records change all the
-        time the next request would be made two probe intervals later.
+        The request or the answer may be lost, and without a repetition the next request
+        would follow only two probe intervals later if records change all the time.
         """
         if self._unanswered_since_ms.get(address) != first_sent_ms:
             return
@@ -124,9 +127,9 @@
             del self._unanswered_since_ms[address]
 
     def on_reply(self, now_ms: float, zone: str, reply: DeltaReply) -> None:
-        """Take in what a proxy of `zone` has, and send it what it lacks.
+        """Merge the records of a proxy of `zone`, and send it the records it lacks.
 
-        Raises ValueError or TypeError where a record can't be read.
+        Raises ValueError or TypeError if a record can't be decoded.
         """
         self._unanswered_since_ms.pop(reply.reply_address, None)
         records = self._table.decode(reply.records)
@@ -135,16 +138,17 @@
         for batch in self._table.batches(newer):
             self._effects.send_table_message(reply.reply_address, TableUpdate(batch))
 
-    # The answerer's part
+    # Responder
 
     def on_request(self, request: TableDigestRequest) -> None:
-        """Answer a request, up to a bound in each probe interval.
+        """Answer a request unless the limit of the probe interval is reached.
 
-        Raises ValueError or TypeError where it doesn't state a digest of each bucket.
+        Raises ValueError or TypeError if the request doesn't contain one digest for
+        each bucket.
         """
-        if self._answered_in_interval >= MAX_REQUESTS_PER_INTERVAL:
+        if self._answered_count >= MAX_REQUESTS_PER_INTERVAL:
             return
-        self._answered_in_interval += 1
+        self._answered_count += 1
         buckets = self._replica.differing_buckets(request.bucket_digests)
         for batch in self._table.bucket_batches(buckets):
             reply = DeltaReply(self._address, batch.buckets, batch.records)
--- a/wheathill/peers/zones/table_gossip.py
+++ b/wheathill/peers/zones/table_gossip.py
@@ -1,7 +1,8 @@
-"""Gossip of records that are new here (rumour mongering: Demers et al., 1987).
+"""Gossip of new records of the replicated table (rumor mongering: Demers et al., 1987).
 
-Each member passes on once what is new to it, to a few members of its zone. Leaders pass
-on to other zones what is first received within their own.
+Each member forwards a record that is new to it once, to a few members of its zone.
+Leaders also forward records to other zones if they were first received within their
+own zone.
 """
 
 import random
@@ -13,16 +14,16 @@
 from wheathill.peers.zones.messages import TableUpdate
 from wheathill.peers.zones.zone_table import ZoneTable, ZoneTableRecord
 
-# Members that a record is passed on to.
+# Number of members to which a record is forwarded.
 FANOUT = 3
-# Milliseconds that records are gathered before they are sent.
+# Time for which records are collected before they are sent.
 BATCH_DELAY_MS = 20.0
 
 
 class TableGossip:
-    """Gathers records that are new, and passes them on a moment later.
+    """Collects new records for a short time, and forwards them in batches.
 
-    `name` is this proxy's.
+    `name` is the name of this proxy.
     """
 
     def __init__(
@@ -38,16 +39,16 @@
         self._random = rng
         self._table = table
         self._effects = effects
-        # By key; the latest record of each is sent.
+        # By key; only the latest record of a key is sent.
         self._pending: dict[str, ZoneTableRecord] = {}
-        # Those of them that were first received, or written, within the own zone.
+        # The pending records that were written or first received within the own zone.
         self._pending_for_other_zones: dict[str, ZoneTableRecord] = {}
         self._has_own_record = False
 
     def add(
         self, records: Iterable[ZoneTableRecord], *, is_from_own_zone: bool
     ) -> None:
-        """Pass on records that are new here."""
+        """Queue records that are new to this member for forwarding."""
         if not self._pending:
             self._clock.after(BATCH_DELAY_MS, self.flush)
         for record in records:
@@ -56,12 +57,12 @@
                 self._pending_for_other_zones[record.key] = record
 
     def add_own(self, record: ZoneTableRecord) -> None:
-        """Pass on a record that this proxy wrote, to the zone's leaders as well."""
+        """Queue a record that this proxy wrote, for the zone's leaders as well."""
         self.add([record], is_from_own_zone=True)
         self._has_own_record = True
 
     def flush(self) -> None:
-        """Send what has been gathered."""
+        """Send the pending records."""
         pending, self._pending = self._pending, {}
         for_other_zones = self._take_pending_for_other_zones()
         has_own_record, self._has_own_record = self._has_own_record, False
@@ -73,17 +74,17 @@
             self._send(addresses, for_other_zones)
 
     def _take_pending_for_other_zones(self) -> dict[str, ZoneTableRecord]:
-        taken, self._pending_for_other_zones = self._pending_for_other_zones, {}
-        return taken
+        records, self._pending_for_other_zones = self._pending_for_other_zones, {}
+        return records
 
-    def _choose_members(self, always: set[str]) -> list[Member]:
-        """Return some members at random, and those whose names are in `always`."""
+    def _choose_members(self, required: set[str]) -> list[Member]:
+        """Return `FANOUT` random members, and those whose names are in `required`."""
         members = self._effects.other_members()
         chosen = self._random.sample(members, min(len(members), FANOUT))
         return chosen + [
             member
             for member in members
-            if member.name in always and member not in chosen
+            if member.name in required and member not in chosen
         ]
 
     def _send(
