--- a/wheathill/peers/replicated_table.py
+++ b/wheathill/peers/replicated_table.py
@@ -103,7 +103,7 @@
         return True
 
     def _admit(self, wall_ms: float, record: TableRecord[SummaryT]) -> bool:
-        """Tell whether to add a server's record, and evict another one if needed."""
+        """Return whether to add a server's record; evicts another one if needed."""
         if record.epoch > wall_ms + MAX_CLOCK_SKEW_MS:
             return False
         return not self._is_expired(wall_ms, record) and self._make_room(record)
--- a/wheathill/peers/zones/zone_directory.py
+++ b/wheathill/peers/zones/zone_directory.py
@@ -1,6 +1,6 @@
-"""All zones of the fleet, as their summaries have them. Free of I/O.
+"""The zones of the fleet, according to the layout and their summaries. Free of I/O.
 
-All of it grows with the number of zones only.
+Memory and time grow with the number of zones, not with the number of proxies.
 """
 
 from collections.abc import Iterable
@@ -12,12 +12,13 @@
 
 
 class ZoneDirectory:
-    """The zones, the own one's name being `own_zone`, and what follows for the fleet.
+    """The zones, and the states of zones, region and fleet that follow from them.
 
     Attributes:
-        layout: of the operator's file.
-        own: the own zone's settings.
-        others: the other zones' settings by name, in the order of the layout.
+        layout: the layout in the configuration file.
+        own_zone: the settings of the own zone.
+        other_zones: the settings of the other zones by name, in the order of the
+            layout.
     """
 
     def __init__(
@@ -34,7 +35,7 @@
         self._table = table
 
     def summary(self, zone: str) -> ZoneSummary | None:
-        """Return the last summary of a zone, or None if there is none yet."""
+        """Return the latest summary of a zone, or None if there is none yet."""
         record = self._table.summary(zone)
         if record is None:
             return None
@@ -42,39 +43,42 @@
         return record.value
 
     def addresses(self, zone: str) -> list[str]:
-        """Return addresses in another zone: its last leaders, then its seeds."""
+        """Return addresses in another zone: its last known leaders, then its seeds."""
         summary = self.summary(zone)
         leaders = () if summary is None else summary.leaders
-        found = [leader.address for leader in leaders]
-        return list(dict.fromkeys([*found, *self.other_zones[zone].seeds]))
+        leader_addresses = [leader.address for leader in leaders]
+        return list(dict.fromkeys([*leader_addresses, *self.other_zones[zone].seeds]))
 
     def adopted_layout_version(self, zone: str) -> int:
-        """Return the version of the layout that a zone is through with, 0 if unknown.
+        """Return the version of the layout that a zone has adopted, 0 if unknown.
 
-        All proxies that may be active there have held it. It never falls: a proxy that
-        starts with an earlier one later on takes no quota.
+        All proxies that may be active in the zone have had this version. It never
+        decreases: a proxy that later starts with an earlier version takes no quota.
         """
         summary = self.summary(zone)
         return 0 if summary is None else summary.layout_version
 
     def unreachable_zones(self) -> tuple[str, ...]:
-        """Return the zones that the own zone's leaders don't reach.
+        """Return the zones that the own zone's leaders can't reach.
 
-        These are none while the leaders have stated nothing yet.
+        Returns an empty tuple while the own zone has no summary.
         """
         summary = self.summary(self.own_zone.name)
         return () if summary is None else summary.unreachable_zones
 
-    # States; those of other zones, given that of the own
+    # States. Those of other zones and of the fleet depend on the state of the own zone.
 
     def own_state(self, view_state: ViewState) -> ViewState:
-        """Return the own zone's state; one of a single member has converged."""
+        """Return the state of the own zone, given the state of its view.
+
+        A standalone proxy counts as converged if its zone has no other proxies.
+        """
         if view_state == ViewState.STANDALONE and self.own_zone.proxies <= 1:
             return ViewState.CONVERGED
         return view_state
 
     def state(self, zone: str, own_state: ViewState) -> ViewState:
-        """Return the state of one zone as far as it is known here."""
+        """Return the state of a zone as known to this proxy."""
         if zone == self.own_zone.name:
             return own_state
         if zone in self.unreachable_zones():
@@ -85,17 +89,21 @@
     def region_state(self, own_state: ViewState) -> ViewState:
         """Return the state of the own region.
 
-        It is partitioned where no zone of any other region can be reached.
+        The region is partitioned if no zone of any other region is reachable.
         """
         region = self.own_zone.region
-        elsewhere = [
+        in_other_regions = [
             zone for zone in self.other_zones.values() if zone.region != region
         ]
-        nearby = [zone for zone in self.other_zones.values() if zone.region == region]
+        in_own_region = [
+            zone for zone in self.other_zones.values() if zone.region == region
+        ]
         unreachable = self.unreachable_zones()
-        if elsewhere and all(zone.name in unreachable for zone in elsewhere):
+        if in_other_regions and all(
+            zone.name in unreachable for zone in in_other_regions
+        ):
             return ViewState.PARTITIONED
-        states = [self.state(zone.name, own_state) for zone in nearby]
+        states = [self.state(zone.name, own_state) for zone in in_own_region]
         return _combine([own_state, *states])
 
     def fleet_state(self, own_state: ViewState) -> ViewState:
@@ -103,10 +111,10 @@
         return _combine(self.state(zone.name, own_state) for zone in self.layout.zones)
 
     def max_active_proxies(self, own_zone_count: int) -> int:
-        """Return the largest number of proxies that may be active in the fleet.
+        """Return the maximum number of proxies that may be active in the fleet.
 
-        `own_zone_count`: in the own zone. A zone without a summary counts as its layout
-        says.
+        `own_zone_count` is the number in the own zone. A zone without a summary counts
+        with the number in the layout.
         """
         total = own_zone_count
         for name, zone in self.other_zones.items():
--- a/wheathill/peers/zones/zone_quota.py
+++ b/wheathill/peers/zones/zone_quota.py
@@ -1,8 +1,8 @@
-"""The own zone's quota of limits over the whole fleet. Free of I/O.
+"""The own zone's quota of fleet-wide limits. Free of I/O.
 
-Limits are escrowed (O'Neil, "The Escrow Transactional Method", 1986): a quota for each
-zone, by the layout that the operator's file states, so that no other zone's view is
-needed to keep to the whole. docs/design/zones.md has the proof.
+Limits are escrowed (O'Neil, "The Escrow Transactional Method", 1986): the layout in the
+configuration file assigns a quota to each zone, so that the limit holds without any
+knowledge of other zones' views. docs/design/zones.md has the proof.
 """
 
 from wheathill.peers.zones.rendezvous import rendezvous_fraction
@@ -10,34 +10,37 @@
 
 
 class ZoneQuota:
-    """What the own zone may take of each limit, also while layouts are replaced."""
+    """The quota of the own zone, including the transition between two layouts."""
 
     def __init__(self, directory: ZoneDirectory) -> None:
         self._directory = directory
-        # Whether some proxy holds a layout two versions later than this one's.
+        # Whether some proxy has a layout at least two versions later than this proxy's.
         self._is_superseded = False
 
     def record_layout_version(self, version: int) -> None:
-        """Take in which version of the layout a proxy of any zone holds."""
+        """Record the version of the layout that a proxy of any zone has."""
         own_version = self._directory.layout.version
         self._is_superseded = self._is_superseded or version > own_version + 1
 
     def quota(self) -> float:
-        """Return the own zone's quota of every limit over all, between 0 and 1.
+        """Return the own zone's fraction of every fleet-wide limit, between 0 and 1.
 
-        It grows only once all zones whose quotas shrink are through with this layout.
+        It grows only once all zones whose quotas shrink have adopted this layout.
         """
-        layout, own = self._directory.layout, self._directory.own_zone
+        layout, own_zone = self._directory.layout, self._directory.own_zone
         if self._is_outdated():
             return 0.0
         adopted = self._directory.adopted_layout_version
         shrinking = [zone for zone in layout.zones if zone.quota < zone.previous_quota]
         if all(adopted(zone.name) >= layout.version for zone in shrinking):
-            return own.quota
-        return min(own.quota, own.previous_quota)
+            return own_zone.quota
+        return min(own_zone.quota, own_zone.previous_quota)
 
     def _is_outdated(self) -> bool:
-        """Tell whether other proxies go by layouts that this one's file is behind."""
+        """Return whether this proxy's layout is too old to take a quota.
+
+        Other zones may be one version ahead, the own zone may not.
+        """
         layout, adopted = self._directory.layout, self._directory.adopted_layout_version
         return (
             self._is_superseded
@@ -46,24 +49,27 @@
         )
 
     def permit_count(self, server: str, attempts: float) -> int:
-        """Return how many of the own zone's proxies may try a warming server.
+        """Return how many of the own zone's proxies get a permit for a warming server.
 
-        `attempts` are the zone's. A part of an attempt is rounded by a hash of the
-        server, so that those of all zones add up to no more than the whole, rounded up.
+        `attempts` is the number of attempts of the own zone. Fractions of an attempt
+        are rounded with an offset that is a hash of the server, so that the permits of
+        all zones sum to at most the number of attempts of the fleet, rounded up.
         """
         quota = self._directory.own_zone.quota
         if quota <= 0.0:
             return 0
-        before = self._quota_of_zones_before()
-        shift = rendezvous_fraction("rights", server)
-        whole = attempts / quota
-        return int(whole * (before + quota) + shift) - int(whole * before + shift)
+        preceding_quota = self._sum_of_preceding_quotas()
+        offset = rendezvous_fraction("rights", server)
+        fleet_attempts = attempts / quota
+        return int(fleet_attempts * (preceding_quota + quota) + offset) - int(
+            fleet_attempts * preceding_quota + offset
+        )
 
-    def _quota_of_zones_before(self) -> float:
-        """Return the sum of the quotas of the zones before the own in the layout."""
-        before = 0.0
+    def _sum_of_preceding_quotas(self) -> float:
+        """Return the sum of the quotas of the zones that precede the own one."""
+        preceding_quota = 0.0
         for zone in self._directory.layout.zones:
             if zone is self._directory.own_zone:
                 break
-            before += zone.quota
-        return before
+            preceding_quota += zone.quota
+        return preceding_quota
--- a/wheathill/peers/zones/zoned_limits.py
+++ b/wheathill/peers/zones/zoned_limits.py
@@ -1,4 +1,4 @@
-"""This proxy's part of what all proxies of a fleet of zones may do together."""
+"""This proxy's quota of fleet-wide limits, and its permits, in a fleet of zones."""
 
 from collections.abc import Callable
 
@@ -9,7 +9,7 @@
 
 
 class ZonedLimits(FleetLimits):
-    """Quota and permits of one proxy, as parts of its zone's quota."""
+    """Quota and permits of one proxy, as fractions of its zone's quota."""
 
     def __init__(
         self,
@@ -24,15 +24,15 @@
         self._zone_quota = zone_quota
 
     def quota(self, now_ms: float) -> float:
-        """Return this proxy's part of a limit over all, between 0 and 1."""
+        """Return this proxy's fraction of a fleet-wide limit, between 0 and 1."""
         return self._zone_quota.quota() * super().quota(now_ms)
 
     def expected_quota(self) -> float:
-        """Return the quota that the configuration alone would give."""
+        """Return the quota that follows from the configuration alone."""
         return self._directory.own_zone.quota / self._expected_proxies
 
     def permit(self, server: str, attempts_per_capacity: float) -> float:
-        """Return how many attempts a window may go to a warming server.
+        """Return how many attempts per window may go to a warming server.
 
         See `ClusterView.permit`.
         """
