--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -10,9 +10,9 @@
 from wheathill.handover.messages import MaintenanceChange, SessionBatch, StateApplied
 from wheathill.handover.records import (
     AttemptRecord,
-    DecisionsRecord,
     HandoverSnapshot,
     KeyRouteRecord,
+    PolicyRecord,
     RetryRecord,
     ServerRecord,
     SessionRecord,
@@ -33,17 +33,17 @@
     phase=Phase.READY,
     listed_phase=Phase.DRAINING,
     unanswered_probes=2,
-    is_leaving_unconfirmed=True,
+    is_removal_unconfirmed=True,
     load_samples=[(1.5, 0.25), (2.5, 0.75)],
-    results=[(3.5, True), (4.5, False)],
+    recent_results=[(3.5, True), (4.5, False)],
     attempt_times_ms=[5.5, 6.5],
-    started_at_ms=7.5,
-    left_at_ms=8.5,
-    missed_target_at_ms=9.5,
-    last_received_at_ms=10.5,
-    next_shift_at_ms=11.5,
-    next_migration_at_ms=12.5,
-    last_probe_at_ms=13.5,
+    started_ms=7.5,
+    leaving_since_ms=8.5,
+    last_late_message_ms=9.5,
+    last_received_ms=10.5,
+    next_shift_ms=11.5,
+    next_migration_ms=12.5,
+    last_probe_ms=13.5,
     weight=14.5,
 )
 LEAVING = dataclasses.replace(
@@ -51,15 +51,15 @@
     name="leaving",
     address=None,
     phase=Phase.GONE,
-    started_at_ms=None,
-    missed_target_at_ms=-math.inf,
-    last_received_at_ms=-math.inf,
-    last_probe_at_ms=-math.inf,
+    started_ms=None,
+    last_late_message_ms=-math.inf,
+    last_received_ms=-math.inf,
+    last_probe_ms=-math.inf,
 )
 SNAPSHOT = HandoverSnapshot(
     servers=[SERVER, LEAVING],
     slots=SlotTableRecord(
-        preferred=[0, None, 0],
+        preferred_servers=[0, None, 0],
         current=[None, 0, 0],
         new=[0, 0, None],
         transition_started_ms={1: 20.5, 0: 21.5},
@@ -68,16 +68,16 @@
     exception_keys=[KeyRouteRecord("kept", 1, 23.5)],
     session_ids=["id 2", "id 1"],
     server_names=["unlisted", "leaving", "ready-é"],
-    decisions=DecisionsRecord(
+    policy=PolicyRecord(
         list_version=7,
         discovery_address=["127.0.0.1", 2],
         maintenance_since_ms={"out": 24.5},
         maintenance_ended_ms={"back": (25.5, 26.5)},
         capacity_estimate=27.5,
         probe_credit=-28.5,
-        set_up_window=29.5,
-        window_cut_at_ms=-math.inf,
-        next_set_up_at_ms=30.5,
+        concurrency_limit=29.5,
+        limit_reduced_ms=-math.inf,
+        next_admission_ms=30.5,
         retries=[RetryRecord(31.5, 32.5)],
         attempts=[AttemptRecord(33.5, 1, True), AttemptRecord(34.5, 0, False)],
     ),
@@ -91,9 +91,9 @@
     load=0.5,
     is_mid_flow=True,
     is_returning=False,
-    is_repeat=True,
-    accepted_at_ms=40.5,
-    requested_at_ms=41.5,
+    is_client_retry=True,
+    accepted_ms=40.5,
+    connected_ms=41.5,
     unanswered_since_ms=42.5,
     server_name="ready-é",
     partial_line=bytes(range(256)),
@@ -123,7 +123,7 @@
     [
         {},
         {"group": None, "load": None, "unanswered_since_ms": None},
-        {"is_mid_flow": False, "is_returning": True, "is_repeat": False},
+        {"is_mid_flow": False, "is_returning": True, "is_client_retry": False},
     ],
 )
 def test_a_session_comes_back_as_it_was(changed):
@@ -141,8 +141,8 @@
     sections = sections_of(SNAPSHOT)
     del sections["rest"]["further"], sections["servers"][0]["doubted"]
     found = decode_snapshot(sections)
-    assert found.decisions.retries == []
-    assert not found.servers[0].is_leaving_unconfirmed
+    assert found.policy.retries == []
+    assert not found.servers[0].is_removal_unconfirmed
 
 
 def test_servers_are_split_by_their_bytes():
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -158,7 +158,7 @@
             record.open_line,
             build_session(record, self._proxy.listeners),
             handles,
-            connected_ms=record.requested_at_ms,
+            connected_ms=record.connected_ms,
             unanswered_since_ms=record.unanswered_since_ms,
             server_name=record.server_name,
             partial_line=record.partial_line,
--- a/wheathill/handover/records.py
+++ b/wheathill/handover/records.py
@@ -25,17 +25,17 @@
     phase: Phase
     listed_phase: Phase
     unanswered_probes: int
-    is_leaving_unconfirmed: bool  # its list says gone, which alone does not bind
+    is_removal_unconfirmed: bool  # its list says gone, which alone does not bind
     load_samples: list[tuple[float, float]]  # (time, load figure)
-    results: list[tuple[float, bool]]  # (time, whether it went well)
+    recent_results: list[tuple[float, bool]]  # (time, whether it went well)
     attempt_times_ms: list[float]
-    started_at_ms: float | None
-    left_at_ms: float
-    missed_target_at_ms: float
-    last_received_at_ms: float
-    next_shift_at_ms: float
-    next_migration_at_ms: float
-    last_probe_at_ms: float
+    started_ms: float | None
+    leaving_since_ms: float
+    last_late_message_ms: float
+    last_received_ms: float
+    next_shift_ms: float
+    next_migration_ms: float
+    last_probe_ms: float
     weight: float
 
 
@@ -43,7 +43,7 @@
 class SlotTableRecord:
     """Each slot's server in the three tables, and the slots in transition."""
 
-    preferred: list[int | None]
+    preferred_servers: list[int | None]
     current: list[int | None]
     new: list[int | None]
     transition_started_ms: dict[int, float]  # by slot
@@ -72,11 +72,11 @@
     """One retry that the retry budget still counts."""
 
     at_ms: float
-    utility: float
+    priority_weight: float
 
 
 @dataclass(slots=True)
-class DecisionsRecord:
+class PolicyRecord:
     """What the decisions know that belongs to no single server or slot."""
 
     list_version: int
@@ -85,9 +85,9 @@
     maintenance_ended_ms: dict[str, tuple[float, float]]  # name -> (since, until)
     capacity_estimate: float  # sessions of this proxy that a warm server bears
     probe_credit: float
-    set_up_window: float
-    window_cut_at_ms: float
-    next_set_up_at_ms: float
+    concurrency_limit: float
+    limit_reduced_ms: float
+    next_admission_ms: float
     retries: list[RetryRecord]
     attempts: list[AttemptRecord]
 
@@ -102,7 +102,7 @@
     exception_keys: list[KeyRouteRecord]
     session_ids: list[str]  # oldest first
     server_names: list[str]  # of all that were ever listed, longest unlisted first
-    decisions: DecisionsRecord
+    policy: PolicyRecord
 
 
 @dataclass(slots=True)
@@ -117,9 +117,9 @@
     load: float | None
     is_mid_flow: bool
     is_returning: bool
-    is_repeat: bool
-    accepted_at_ms: float
-    requested_at_ms: float  # its client's line came
+    is_client_retry: bool
+    accepted_ms: float
+    connected_ms: float  # its client's line came
     unanswered_since_ms: float | None  # a line that its server has not answered
     server_name: str
     partial_line: bytes  # of an unfinished line to the client
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -9,9 +9,9 @@
 
 from wheathill.handover.errors import HandoverError
 from wheathill.handover.records import (
-    DecisionsRecord,
     HandoverSnapshot,
     KeyRouteRecord,
+    PolicyRecord,
     ServerRecord,
     SessionRecord,
     SlotTableRecord,
@@ -28,7 +28,7 @@
 
 @dataclass(slots=True)
 class _SlotTables:
-    preferred: list[Server | None]
+    preferred_servers: list[Server | None]
     current: list[Server | None]
     new: list[Server | None]
     transition_started_ms: dict[int, float]
@@ -47,7 +47,7 @@
     attempts: list[RecordedAttempt]
     session_ids: list[str]
     server_names: list[str]
-    decisions: DecisionsRecord
+    policy: PolicyRecord
 
     @classmethod
     def build(cls, snapshot: HandoverSnapshot) -> "RestoredState":
@@ -82,10 +82,10 @@
             slots=slots,
             moved_keys=moved_keys,
             exception_keys=exception_keys,
-            attempts=_resolve_attempts(snapshot.decisions, servers),
+            attempts=_resolve_attempts(snapshot.policy, servers),
             session_ids=snapshot.session_ids,
             server_names=snapshot.server_names,
-            decisions=snapshot.decisions,
+            policy=snapshot.policy,
         )
 
     def apply(self, proxy: Proxy) -> None:
@@ -98,16 +98,16 @@
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
         # Versions count at one address.
-        if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
-            proxy.list_version = self.decisions.list_version
+        if self.policy.discovery_address == list(proxy.node.discovery_address or ()):
+            proxy.list_version = self.policy.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
         endpoint_list = proxy.balancer.endpoint_list
         endpoint_list.servers.update(self.ready_servers)
-        endpoint_list.maintenance_since_ms.update(self.decisions.maintenance_since_ms)
+        endpoint_list.maintenance_since_ms.update(self.policy.maintenance_since_ms)
         endpoint_list.maintenance_ended_ms.update(
             (name, MaintenancePeriod(*period))
-            for name, period in self.decisions.maintenance_ended_ms.items()
+            for name, period in self.policy.maintenance_ended_ms.items()
         )
 
     def _apply_slots(self, proxy: Proxy) -> None:
@@ -122,18 +122,18 @@
         table.exception_keys = self.exception_keys
 
     def _apply_estimates(self, proxy: Proxy) -> None:
-        balancer, decisions = proxy.balancer, self.decisions
-        balancer.load_estimator.capacity_estimate = decisions.capacity_estimate
+        balancer, policy = proxy.balancer, self.policy
+        balancer.load_estimator.capacity_estimate = policy.capacity_estimate
         # What comes over comes fast, and was reported long ago.
-        balancer.load_estimator.previous_mean_sessions = decisions.capacity_estimate
-        balancer.probe_scheduler.credit = decisions.probe_credit
+        balancer.load_estimator.previous_mean_sessions = policy.capacity_estimate
+        balancer.probe_scheduler.credit = policy.probe_credit
         admission = balancer.admission
-        admission.concurrency_limit = decisions.set_up_window
-        admission.limit_reduced_ms = decisions.window_cut_at_ms
-        admission.next_admission_ms = decisions.next_set_up_at_ms
+        admission.concurrency_limit = policy.concurrency_limit
+        admission.limit_reduced_ms = policy.limit_reduced_ms
+        admission.next_admission_ms = policy.next_admission_ms
         balancer.outlier_detector.recent_attempts.extend(self.attempts)
         balancer.retry_budget.retries.extend(
-            Retry(retry.at_ms, retry.utility) for retry in decisions.retries
+            Retry(retry.at_ms, retry.priority_weight) for retry in policy.retries
         )
 
 
@@ -144,21 +144,21 @@
         zone=record.zone,
         cell=record.cell,
         weight=record.weight,
-        started_ms=record.started_at_ms,
+        started_ms=record.started_ms,
         phase=record.phase,
         listed_phase=record.listed_phase,
     )
     server.unanswered_probes = record.unanswered_probes
-    server.is_removal_unconfirmed = record.is_leaving_unconfirmed
+    server.is_removal_unconfirmed = record.is_removal_unconfirmed
     server.load_samples.extend(record.load_samples)
-    server.recent_results.extend(record.results)
+    server.recent_results.extend(record.recent_results)
     server.attempt_times_ms.extend(record.attempt_times_ms)
-    server.leaving_since_ms = record.left_at_ms
-    server.last_late_message_ms = record.missed_target_at_ms
-    server.last_received_ms = record.last_received_at_ms
-    server.next_shift_ms = record.next_shift_at_ms
-    server.next_migration_ms = record.next_migration_at_ms
-    server.last_probe_ms = record.last_probe_at_ms
+    server.leaving_since_ms = record.leaving_since_ms
+    server.last_late_message_ms = record.last_late_message_ms
+    server.last_received_ms = record.last_received_ms
+    server.next_shift_ms = record.next_shift_ms
+    server.next_migration_ms = record.next_migration_ms
+    server.last_probe_ms = record.last_probe_ms
     return server
 
 
@@ -170,20 +170,20 @@
     session = Session(
         listener=listeners.get(record.listener_name) or Listener(record.listener_name),
         key=record.key,
-        deadline_ms=record.accepted_at_ms,
+        deadline_ms=record.accepted_ms,
         tenant=record.tenant,
         group=record.group,
         load=record.load,
         mid_flow=record.is_mid_flow,
         returning=record.is_returning,
-        is_client_retry=record.is_repeat,
+        is_client_retry=record.is_client_retry,
     )
-    session.accepted_ms = record.accepted_at_ms
+    session.accepted_ms = record.accepted_ms
     return session
 
 
 def _resolve_attempts(
-    record: DecisionsRecord, servers: Sequence[Server]
+    record: PolicyRecord, servers: Sequence[Server]
 ) -> list[RecordedAttempt]:
     return [
         RecordedAttempt(attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
@@ -193,12 +193,12 @@
 
 def _resolve_slots(record: SlotTableRecord, servers: Sequence[Server]) -> _SlotTables:
     tables = _SlotTables(
-        preferred=_resolve_indexes(record.preferred, servers),
+        preferred_servers=_resolve_indexes(record.preferred_servers, servers),
         current=_resolve_indexes(record.current, servers),
         new=_resolve_indexes(record.new, servers),
         transition_started_ms=record.transition_started_ms,
     )
-    size = len(tables.preferred)
+    size = len(tables.preferred_servers)
     if len(tables.current) != size or len(tables.new) != size:
         raise HandoverError("tables of unlike sizes")
     if any(
@@ -230,7 +230,7 @@
     addresses: Mapping[Server, tuple[str, int]],
 ) -> None:
     """A slot that leads to a server that leaves would break the rule on drains."""
-    led_to = {*slots.preferred, *slots.current, *slots.new} - {None}
+    led_to = {*slots.preferred_servers, *slots.current, *slots.new} - {None}
     if led_to <= ready_servers.keys() <= addresses.keys():
         return
     raise HandoverError(
--- a/wheathill/handover/server_codec.py
+++ b/wheathill/handover/server_codec.py
@@ -37,17 +37,17 @@
         "phase": record.phase.value,
         "listed": record.listed_phase.value,
         "silent": record.unanswered_probes,
-        "doubted": record.is_leaving_unconfirmed,
+        "doubted": record.is_removal_unconfirmed,
         "samples": record.load_samples,
-        "results": record.results,
+        "results": record.recent_results,
         "dialled": record.attempt_times_ms,
-        "started": record.started_at_ms,
-        "told": record.left_at_ms,
-        "late": record.missed_target_at_ms,
-        "heard": record.last_received_at_ms,
-        "shift_after": record.next_shift_at_ms,
-        "move_after": record.next_migration_at_ms,
-        "asked": record.last_probe_at_ms,
+        "started": record.started_ms,
+        "told": record.leaving_since_ms,
+        "late": record.last_late_message_ms,
+        "heard": record.last_received_ms,
+        "shift_after": record.next_shift_ms,
+        "move_after": record.next_migration_ms,
+        "asked": record.last_probe_ms,
         "weight": record.weight,
         "credit": 0.0,
         "credited": now_ms,
@@ -70,23 +70,23 @@
         listed_phase=Phase(fields["listed"]),
         unanswered_probes=require_count(fields["silent"]),
         # A process from before such lists sends none.
-        is_leaving_unconfirmed=require_type(fields.get("doubted", False), bool),
+        is_removal_unconfirmed=require_type(fields.get("doubted", False), bool),
         load_samples=[
             (require_number(when), require_number(figure))
             for when, figure in fields["samples"]
         ],
-        results=[
+        recent_results=[
             (require_number(when), require_type(well, bool))
             for when, well in fields["results"]
         ],
         attempt_times_ms=[require_number(when) for when in fields["dialled"]],
-        started_at_ms=require_optional_number(fields["started"]),
-        left_at_ms=decode_time(fields["told"]),
-        missed_target_at_ms=decode_time(fields["late"]),
-        last_received_at_ms=decode_time(fields["heard"]),
-        next_shift_at_ms=decode_time(fields["shift_after"]),
-        next_migration_at_ms=decode_time(fields["move_after"]),
-        last_probe_at_ms=decode_time(fields["asked"]),
+        started_ms=require_optional_number(fields["started"]),
+        leaving_since_ms=decode_time(fields["told"]),
+        last_late_message_ms=decode_time(fields["late"]),
+        last_received_ms=decode_time(fields["heard"]),
+        next_shift_ms=decode_time(fields["shift_after"]),
+        next_migration_ms=decode_time(fields["move_after"]),
+        last_probe_ms=decode_time(fields["asked"]),
         weight=require_number(fields["weight"], LOWEST_WEIGHT, HIGHEST_WEIGHT),
     )
 
@@ -125,6 +125,6 @@
 
 
 def _max_encoded_bytes(record: ServerRecord) -> int:
-    pairs = len(record.load_samples) + len(record.results)
+    pairs = len(record.load_samples) + len(record.recent_results)
     times = len(record.attempt_times_ms)
     return SERVER_BYTES + len(record.name) + TIME_BYTES * times + PAIR_BYTES * pairs
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -4,9 +4,9 @@
 
 from wheathill.handover.records import (
     AttemptRecord,
-    DecisionsRecord,
     HandoverSnapshot,
     KeyRouteRecord,
+    PolicyRecord,
     RetryRecord,
     ServerRecord,
     SessionRecord,
@@ -35,7 +35,7 @@
         exception_keys=_collect_key_routes(balancer.slot_table.exception_keys, indexes),
         session_ids=list(proxy.session_ids),
         server_names=list(proxy.known_names),
-        decisions=collect_decisions(
+        policy=collect_policy(
             balancer, indexes, proxy.list_version, proxy.node.discovery_address
         ),
     )
@@ -51,17 +51,17 @@
         phase=server.phase,
         listed_phase=server.listed_phase,
         unanswered_probes=server.unanswered_probes,
-        is_leaving_unconfirmed=server.is_removal_unconfirmed,
+        is_removal_unconfirmed=server.is_removal_unconfirmed,
         load_samples=list(server.load_samples),
-        results=list(server.recent_results),
+        recent_results=list(server.recent_results),
         attempt_times_ms=list(server.attempt_times_ms),
-        started_at_ms=server.started_ms,
-        left_at_ms=server.leaving_since_ms,
-        missed_target_at_ms=server.last_late_message_ms,
-        last_received_at_ms=server.last_received_ms,
-        next_shift_at_ms=server.next_shift_ms,
-        next_migration_at_ms=server.next_migration_ms,
-        last_probe_at_ms=server.last_probe_ms,
+        started_ms=server.started_ms,
+        leaving_since_ms=server.leaving_since_ms,
+        last_late_message_ms=server.last_late_message_ms,
+        last_received_ms=server.last_received_ms,
+        next_shift_ms=server.next_shift_ms,
+        next_migration_ms=server.next_migration_ms,
+        last_probe_ms=server.last_probe_ms,
         weight=server.weight,
     )
 
@@ -69,7 +69,7 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred=_indexes_of(table.preferred_servers, indexes),
+        preferred_servers=_indexes_of(table.preferred_servers, indexes),
         current=_indexes_of(table.current, indexes),
         new=_indexes_of(table.new, indexes),
         transition_started_ms=dict(table.transition_started_ms),
@@ -94,15 +94,15 @@
     ]
 
 
-def collect_decisions(
+def collect_policy(
     balancer: Balancer,
     indexes: ServerIndexes,
     list_version: int,
     discovery_address: tuple[str, int] | None,
-) -> DecisionsRecord:
+) -> PolicyRecord:
     """Return the record of what belongs to no single server or slot."""
     admission = balancer.admission
-    return DecisionsRecord(
+    return PolicyRecord(
         list_version=list_version,
         discovery_address=discovery_address,
         maintenance_since_ms=dict(balancer.endpoint_list.maintenance_since_ms),
@@ -112,12 +112,12 @@
         },
         capacity_estimate=balancer.load_estimator.capacity_estimate,
         probe_credit=balancer.probe_scheduler.credit,
-        set_up_window=admission.concurrency_limit,
-        window_cut_at_ms=admission.limit_reduced_ms,
-        next_set_up_at_ms=admission.next_admission_ms,
+        concurrency_limit=admission.concurrency_limit,
+        limit_reduced_ms=admission.limit_reduced_ms,
+        next_admission_ms=admission.next_admission_ms,
         retries=[
-            RetryRecord(when, utility)
-            for when, utility in balancer.retry_budget.retries
+            RetryRecord(when, priority_weight)
+            for when, priority_weight in balancer.retry_budget.retries
         ],
         attempts=[
             AttemptRecord(attempt.at_ms, indexes[attempt.server], attempt.succeeded)
@@ -139,9 +139,9 @@
         load=session.load,
         is_mid_flow=session.mid_flow,
         is_returning=session.returning,
-        is_repeat=session.is_client_retry,
-        accepted_at_ms=session.accepted_ms,
-        requested_at_ms=client.connected_ms,
+        is_client_retry=session.is_client_retry,
+        accepted_ms=session.accepted_ms,
+        connected_ms=client.connected_ms,
         unanswered_since_ms=client.unanswered_since_ms,
         server_name=attempt.server.name,
         partial_line=attempt.partial_line,
--- a/wheathill/handover/state_codec.py
+++ b/wheathill/handover/state_codec.py
@@ -7,9 +7,9 @@
 
 from wheathill.handover.records import (
     AttemptRecord,
-    DecisionsRecord,
     HandoverSnapshot,
     KeyRouteRecord,
+    PolicyRecord,
     RetryRecord,
     SlotTableRecord,
 )
@@ -40,7 +40,7 @@
     yield from _split_section("exceptions", exceptions)
     yield from _split_section("ids", snapshot.session_ids)
     yield from _split_section("names", snapshot.server_names)
-    yield {"rest": encode_decisions(snapshot.decisions)}
+    yield {"rest": encode_policy(snapshot.policy)}
 
 
 def decode_snapshot(sections: dict) -> HandoverSnapshot:
@@ -50,7 +50,7 @@
         HandoverError: if a value cannot be used.
         KeyError, TypeError, IndexError, AttributeError: if a section has another shape.
     """
-    decisions = sections["rest"]
+    policy = sections["rest"]
     return HandoverSnapshot(
         servers=[decode_server(fields) for fields in sections["servers"]],
         slots=decode_slot_table(sections["table"]),
@@ -58,7 +58,7 @@
         exception_keys=[decode_key_route(entry) for entry in sections["exceptions"]],
         session_ids=[require_type(name, str) for name in sections["ids"]],
         server_names=[require_type(name, str) for name in sections["names"]],
-        decisions=decode_decisions(decisions),
+        policy=decode_policy(policy),
     )
 
 
@@ -70,7 +70,7 @@
 def encode_slot_table(record: SlotTableRecord) -> dict:
     """Return the tables as the wire has them."""
     return {
-        "home": record.preferred,
+        "home": record.preferred_servers,
         "current": record.current,
         "new": record.new,
         "opened": list(record.transition_started_ms.items()),
@@ -80,7 +80,7 @@
 def decode_slot_table(fields: dict) -> SlotTableRecord:
     """Return the record of what `encode_slot_table` made; raises as that of a state."""
     return SlotTableRecord(
-        preferred=_decode_slots(fields["home"]),
+        preferred_servers=_decode_slots(fields["home"]),
         current=_decode_slots(fields["current"]),
         new=_decode_slots(fields["new"]),
         transition_started_ms={
@@ -110,7 +110,7 @@
     )
 
 
-def encode_decisions(record: DecisionsRecord) -> dict:
+def encode_policy(record: PolicyRecord) -> dict:
     """Return what belongs to no server or slot as the wire has it."""
     return {
         "seen": record.list_version,
@@ -119,10 +119,10 @@
         "back": record.maintenance_ended_ms,
         "bearable": record.capacity_estimate,
         "earned": record.probe_credit,
-        "window": record.set_up_window,
-        "cut_at": record.window_cut_at_ms,
-        "next_at": record.next_set_up_at_ms,
-        "further": [(retry.at_ms, retry.utility) for retry in record.retries],
+        "window": record.concurrency_limit,
+        "cut_at": record.limit_reduced_ms,
+        "next_at": record.next_admission_ms,
+        "further": [(retry.at_ms, retry.priority_weight) for retry in record.retries],
         "dials": [
             (attempt.at_ms, attempt.server_index, attempt.succeeded)
             for attempt in record.attempts
@@ -130,9 +130,9 @@
     }
 
 
-def decode_decisions(fields: dict) -> DecisionsRecord:
+def decode_policy(fields: dict) -> PolicyRecord:
     """Return the record of what `encode_decisions` made; raises as that of a state."""
-    return DecisionsRecord(
+    return PolicyRecord(
         maintenance_since_ms={
             require_type(name, str): require_number(since)
             for name, since in fields["out"].items()
@@ -148,13 +148,13 @@
             for when, index, well in fields["dials"]
         ],
         capacity_estimate=_decode_estimate(fields["bearable"]),
-        set_up_window=_decode_estimate(fields["window"]),
-        window_cut_at_ms=decode_time(fields["cut_at"]),
-        next_set_up_at_ms=decode_time(fields["next_at"]),
+        concurrency_limit=_decode_estimate(fields["window"]),
+        limit_reduced_ms=decode_time(fields["cut_at"]),
+        next_admission_ms=decode_time(fields["next_at"]),
         # A process from before the retry budget sends none.
         retries=[
-            RetryRecord(require_number(when), require_number(utility))
-            for when, utility in fields.get("further", ())
+            RetryRecord(require_number(when), require_number(priority_weight))
+            for when, priority_weight in fields.get("further", ())
         ],
         probe_credit=require_number(
             fields["earned"], -PROBE_CREDIT_LIMIT, PROBE_CREDIT_LIMIT
