--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -17,7 +17,7 @@
 from drive import Rig, kept
 from wheathill.config.platform import build_node_config
 from wheathill.handover import sender as sender_module
-from wheathill.handover.messages import VERSION
+from wheathill.handover.messages import PROTOCOL_VERSION
 from wheathill.handover.sender import HandoverSender
 from wheathill.handover.snapshot import collect_snapshot
 from wheathill.handover.state_codec import encode_snapshot
@@ -501,7 +501,7 @@
         line, _, self.rest = self.rest.partition(b"\n")
         return json.loads(line)
 
-    def take_over(self, name="n0", version=VERSION):
+    def take_over(self, name="n0", version=PROTOCOL_VERSION):
         """The parts of the state that the running process tells."""
         self.sock.connect(self.path)
         self.say(hello=[version, name])
@@ -574,10 +574,10 @@
         rig.watched("a", "b")
         rig.until_logged(LogEvent.READY)
         client, server = rig.up()
-        for version, name in ((VERSION + 1, "n0"), (VERSION, "n9")):
+        for version, name in ((PROTOCOL_VERSION + 1, "n0"), (PROTOCOL_VERSION, "n9")):
             partner = Partner(rig)
             rig.lines.append(
-                f"version {version - VERSION:+}, {name}: {partner.take_over(name, version)}"
+                f"version {version - PROTOCOL_VERSION:+}, {name}: {partner.take_over(name, version)}"
             )
             partner.close()
         partner = Partner(rig)
--- a/wheathill/handover/messages.py
+++ b/wheathill/handover/messages.py
@@ -9,7 +9,7 @@
 
 from wheathill.handover.errors import HandoverError
 
-VERSION = 1  # of the conversation; processes of another one are refused
+PROTOCOL_VERSION = 1  # of the conversation; processes of another one are refused
 
 # The wire's names.
 HELLO = "hello"
@@ -27,7 +27,7 @@
     """The new process asks for the state."""
 
     proxy_name: str
-    version: int = VERSION
+    version: int = PROTOCOL_VERSION
 
     def encode(self) -> dict:
         """Return the message's object."""
