--- a/tests/test_golden_handover.py
+++ b/tests/test_golden_handover.py
@@ -1,8 +1,8 @@
 """What two processes of one proxy send each other during an upgrade, byte for byte.
 
 The files `tests/golden/handover_*` were recorded by commit 1c90a33, from which processes may still be running when
-one of the present build is started beside them; but for lines that say `is no number`, where that commit failed by an
-AttributeError. `python tests/test_golden_handover.py FOLDER` records the same
+one of the present build is started beside them; but for the wording of errors, which is that of the present build, and
+for lines that say `is not a number`, where that commit failed by an AttributeError. `python tests/test_golden_handover.py FOLDER` records the same
 files from the present code into a folder, for a person to compare.
 
 Both processes run here without sockets: `Transport` and `Connection` stand where the network driver is, and the clock
--- a/tests/test_handover_codec.py
+++ b/tests/test_handover_codec.py
@@ -161,10 +161,10 @@
 @pytest.mark.parametrize(
     "changed, error",
     [
-        ({"servers": [SERVER, SERVER]}, "a server stands there twice"),
-        ({"new": [0, 0]}, "tables of unlike sizes"),
-        ({"transition_started_ms": {2: 1.0}}, "a slot is said to move nowhere"),
-        ({"transition_started_ms": {3: 1.0}}, "a slot is said to move nowhere"),
+        ({"servers": [SERVER, SERVER]}, "state contains two servers of the same name"),
+        ({"new": [0, 0]}, "slot tables differ in size"),
+        ({"transition_started_ms": {2: 1.0}}, "slot in transition has no new server"),
+        ({"transition_started_ms": {3: 1.0}}, "slot in transition has no new server"),
         ({"current": [None, 1, 0]}, "not ready"),
         ({"servers": [dataclasses.replace(SERVER, address=None), LEAVING]}, "no addr"),
     ],
--- a/wheathill/handover/__init__.py
+++ b/wheathill/handover/__init__.py
@@ -1,14 +1,14 @@
-"""An upgrade in flight (hot restart): one process of a proxy takes over from another.
+"""Hot restart: a new process of a proxy takes over from the running one.
 
-The new process is started beside the old one. It receives the old one's state and its
-open sessions with their descriptors, and accepts clients in its place.
+The new process is started beside the old one. It receives the state of the old process
+and its open sessions with their descriptors, and accepts connections in its place.
 
-Modules, from the bottom up:
-    errors, validation: refusals, and the checks of single values.
-    records: what goes over, as typed records.
-    server_codec, state_codec, session_codec: each record's form on the wire.
-    snapshot, restore: records made of a running proxy, and a proxy filled from records.
-    state_receiver: collects the messages of a state, bounded.
-    messages, protocol, sender, receiver: the conversation of the two processes.
-    coordinator: an upgrade as one process sees it.
+Modules, from the lowest layer to the highest:
+    errors, validation: the exception, and checks of single values.
+    records: typed records of what is handed over.
+    server_codec, state_codec, session_codec: encode and decode each record.
+    snapshot, restore: create records of a running proxy, and fill a proxy from records.
+    state_receiver: collects the messages of a state, up to a limit.
+    messages, protocol, sender, receiver: the protocol between the two processes.
+    coordinator: the upgrades that one process takes part in.
 """
--- a/wheathill/handover/coordinator.py
+++ b/wheathill/handover/coordinator.py
@@ -1,4 +1,4 @@
-"""An upgrade as one process sees it: whom it takes over from, and who takes over."""
+"""Coordinates the upgrades of one process: taking over, and being taken over from."""
 
 import math
 
@@ -14,14 +14,15 @@
 from wheathill.log_events import LogEvent
 from wheathill.net.proxy import Proxy
 
-BUSY = "another upgrade is under way"
+# On the wire, where the new process recognizes it, also from another build.
+UPGRADE_IN_PROGRESS = "another upgrade is under way"
 
 
 class UpgradeCoordinator:
-    """Lets one process at a time accept, of all on one clients' socket.
+    """Ensures that only one of the processes of a proxy accepts connections.
 
-    `begin` ends with the proxy serving, from another process's state or from nothing;
-    then another process may come and take over.
+    All of them share one listening socket. `begin` starts the proxy, with the state of
+    another process or without one; afterwards another process can take over.
     """
 
     def __init__(
@@ -34,22 +35,20 @@
         self._socket_name = f"wheathill-{proxy.node.file_tag}.up"
         self._receiver: HandoverReceiver | None = None
         self._sender: HandoverSender | None = None
-        self._server_socket: ServerSocket | None = (
-            None  # where another process may come
-        )
-        self._began_at_ms: float | None = None
-        # Budgets that were given away, to be taken back if the handover is undone.
-        self._slow_start_since_ms: float | None = None
-        self._free_retries: float | None = None
+        self._server_socket: ServerSocket | None = None  # where a successor connects
+        self._began_ms: float | None = None
+        # Budgets that were handed over, to be restored on a rollback.
+        self._saved_process_started_ms: float | None = None
+        self._saved_free_retries: float | None = None
         proxy.handover_coordinator = self
         proxy.listening_socket.set_paused(True)
 
     # The new process
 
     def begin(self) -> None:
-        """Ask the process that is there, if any, to hand over."""
-        if self._began_at_ms is None:
-            self._began_at_ms = self._clock.now()
+        """Request a handover by the running process, if there is one."""
+        if self._began_ms is None:
+            self._began_ms = self._clock.now()
         try:
             self._receiver = self._transport.connect_unix(
                 self._proxy.node.state_directory,
@@ -57,52 +56,55 @@
                 lambda connection: HandoverReceiver(connection, self._proxy, self),
             ).machine
         except OSError as error:
-            self._start_from_nothing(error.strerror)
+            self._start_without_state(error.strerror)
 
-    def on_state_received(self, refusal: str | None) -> None:
-        """Serve, as the old process has sent all and accepts no longer.
+    def on_state_received(self, failure_reason: str | None) -> None:
+        """Start serving, as the old process accepts no more connections.
 
         Args:
-            refusal: why its state could not be used, or None.
+            failure_reason: why the state could not be applied, or None if it was.
         """
-        if refusal:
-            self.log_event(LogEvent.HANDOVER_ERROR, what=refusal)
+        if failure_reason:
+            self.log_event(LogEvent.HANDOVER_ERROR, what=failure_reason)
         else:
             self.log_event(
                 LogEvent.HANDOVER_RECEIVED,
                 servers=len(self._proxy.servers),
                 after=self._elapsed_ms(),
             )
-        self._serve(with_state=refusal is None)
+        self._serve(with_state=failure_reason is None)
+
+    def on_receiver_ended(self, receiver: HandoverReceiver, reason: str) -> None:
+        """Start without a state, unless it was received.
 
-    def on_receiver_over(self, receiver: HandoverReceiver, reason: str) -> None:
-        """Serve from nothing, unless the state is here; or ask again for a while."""
+        If another upgrade is in progress, the request is first repeated for a while.
+        """
         if receiver.has_state:
             self.log_event(LogEvent.PREVIOUS_PROCESS_EXITED, why=reason)
         elif (
-            reason == BUSY
+            reason == UPGRADE_IN_PROGRESS
             and self._elapsed_ms() < self._proxy.limits.handover_timeout_ms
         ):
             self._clock.after(self._proxy.limits.handover_retry_interval_ms, self.begin)
         else:
-            self._start_from_nothing(reason)
+            self._start_without_state(reason)
 
     def _elapsed_ms(self) -> float:
-        """Return the time since the first try, to a tenth."""
-        return round(self._clock.now() - (self._began_at_ms or 0.0), 1)
+        """Return the time since the first request, rounded to 0.1 ms."""
+        return round(self._clock.now() - (self._began_ms or 0.0), 1)
 
-    def _start_from_nothing(self, reason: str | None) -> None:
+    def _start_without_state(self, reason: str | None) -> None:
         self.log_event(LogEvent.HANDOVER_UNAVAILABLE, why=reason)
         self._serve(with_state=False)
 
     def _serve(self, with_state: bool) -> None:
-        self._await_successor()
+        self._listen_for_successor()
         self._proxy.start(with_state)
         if self._proxy.stopping_since_ms is None:
             self._proxy.listening_socket.set_paused(False)
             self.log_event(LogEvent.ACCEPTING_CONNECTIONS)
 
-    def _await_successor(self) -> None:
+    def _listen_for_successor(self) -> None:
         try:
             self._server_socket = self._transport.listen_unix(
                 self._proxy.node.state_directory,
@@ -112,38 +114,38 @@
         except OSError as error:
             self.log_event(
                 LogEvent.HANDOVER_UNAVAILABLE,
-                why=f"nobody can take over from here: {error.strerror}",
+                why=f"cannot listen for a successor process: {error.strerror}",
             )
 
     # The old process
 
     def rejection_reason(self) -> str | None:
-        """Return why nobody can take over now, or None."""
-        return BUSY if self._sender else None
+        """Return why no process can take over now, or None if one can."""
+        return UPGRADE_IN_PROGRESS if self._sender else None
 
     def on_state_requested(self, sender: HandoverSender) -> None:
-        """Let nobody in any more."""
+        """Stop accepting connections."""
         self._sender = sender
         self._proxy.listening_socket.set_paused(True)
 
     def on_state_sent(self) -> None:
-        """Give away what may go to warming servers, and what retries are left.
+        """Give up the permits of slow start and the remaining free retries.
 
-        The new process was sent them whole: none of it stays here.
+        They were handed over in full to the new process, so none may be used here.
         """
         slow_start = self._proxy.balancer.slow_start
-        self._slow_start_since_ms, slow_start.process_started_ms = (
+        self._saved_process_started_ms, slow_start.process_started_ms = (
             slow_start.process_started_ms,
             math.inf,
         )
         retry_budget = self._proxy.balancer.retry_budget
-        self._free_retries, retry_budget.free_retries = (
+        self._saved_free_retries, retry_budget.free_retries = (
             retry_budget.free_retries,
             -math.inf,
         )
 
-    def on_state_taken(self, with_state: bool) -> None:
-        """Leave the place to the new process, which accepts from now on."""
+    def on_state_applied(self, with_state: bool) -> None:
+        """Mark the proxy as handed over, as the new process accepts connections."""
         self._proxy.handed_over = True
         self.log_event(
             LogEvent.HANDOVER_SENT, whole=with_state, sessions=len(self._proxy.clients)
@@ -152,37 +154,37 @@
             self._server_socket.close()
             self._server_socket = None
 
-    def on_sender_over(self, sender: HandoverSender, reason: str) -> None:
-        """Go on, as the new process is gone; unless this one is told to stop."""
+    def on_sender_ended(self, sender: HandoverSender, reason: str) -> None:
+        """Roll back, as the new process is gone: accept again, unless stopping."""
         if sender is not self._sender:
             return
         self._sender = None
         self._proxy.handed_over = False
-        self._take_budgets_back()
+        self._restore_budgets()
         self.log_event(LogEvent.HANDOVER_ROLLED_BACK, why=reason)
         if self._proxy.stopping_since_ms is None:
             self._proxy.listening_socket.set_paused(False)
             if self._server_socket is None:
-                self._await_successor()
+                self._listen_for_successor()
 
-    def _take_budgets_back(self) -> None:
-        if self._slow_start_since_ms is not None:
+    def _restore_budgets(self) -> None:
+        if self._saved_process_started_ms is not None:
             self._proxy.balancer.slow_start.process_started_ms = (
-                self._slow_start_since_ms
+                self._saved_process_started_ms
             )
-            self._proxy.balancer.retry_budget.free_retries = self._free_retries
+            self._proxy.balancer.retry_budget.free_retries = self._saved_free_retries
 
-    # Both
+    # Both processes
 
     def forward_maintenance(
-        self, server_name: str, is_out: bool, source: HandoverProtocol | None
+        self, server_name: str, is_in_maintenance: bool, source: HandoverProtocol | None
     ) -> None:
-        """Pass an operator's call on to all processes of this proxy but its source."""
+        """Send a maintenance change to all processes of this proxy but its source."""
         for protocol in (self._receiver, self._sender):
             if (
                 protocol
                 and protocol is not source
-                and not protocol.is_over
-                and protocol.is_agreed
+                and not protocol.is_ended
+                and protocol.is_established
             ):
-                protocol.send_maintenance(server_name, is_out)
+                protocol.send_maintenance(server_name, is_in_maintenance)
--- a/wheathill/handover/errors.py
+++ b/wheathill/handover/errors.py
@@ -1,5 +1,5 @@
-"""Errors of an upgrade in flight."""
+"""Exceptions raised during a handover."""
 
 
 class HandoverError(ValueError):
-    """What the other process sent cannot be used; nothing of it has taken effect."""
+    """Raised for invalid data of the other process; nothing of it was applied."""
--- a/wheathill/handover/interfaces.py
+++ b/wheathill/handover/interfaces.py
@@ -1,67 +1,69 @@
-"""What a handover needs of its surroundings: the transport, the clock and the log."""
+"""Interfaces that a handover depends on: transport, clock and log."""
 
 from collections.abc import Callable, Sequence
 from typing import Any, Protocol
 
-Handle = Any  # a descriptor that goes over, as the transport has it
+Handle = Any  # a descriptor to be passed, as the transport represents it
 
 
 class EventLog(Protocol):
-    """Writes a line to the log."""
+    """Writes log lines."""
 
     def __call__(self, event: str, **values: object) -> None:
-        """Write the event and its values."""
+        """Write an event with its values."""
 
 
 class Clock(Protocol):
     """The machine's monotonic clock, in milliseconds."""
 
     def now(self) -> float:
-        """Return the present time."""
+        """Return the current time."""
 
-    def after(self, wait: float, call: Callable[..., None], *args: object) -> object:
-        """Call after a wait."""
+    def after(
+        self, delay_ms: float, call: Callable[..., None], *args: object
+    ) -> object:
+        """Schedule a call after a delay."""
 
 
 class ServerSocket(Protocol):
-    """The Unix socket at which another process may connect."""
+    """A Unix socket that another process can connect to."""
 
     def close(self) -> None:
-        """Let nobody connect any more."""
+        """Stop accepting connections."""
 
 
 class Transport(Protocol):
     """The sockets of this process.
 
     Attributes:
-        sockets: how many descriptors it holds.
-        previous_process_sockets: how many of its descriptors another process holds
-            still.
+        sockets: the number of descriptors that the connections hold.
+        previous_process_sockets: the number of descriptors that the previous process
+            still holds; they count towards the limit of this process.
     """
 
     sockets: int
     previous_process_sockets: int
 
     def close_handles(self, handles: Sequence[Handle]) -> None:
-        """Close descriptors that came over or were meant to."""
+        """Close descriptors that were received, or were to be sent."""
 
     def listen_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> ServerSocket:
-        """Listen for other processes on a Unix socket; raises OSError."""
+        """Listen on a Unix socket for other processes; raises OSError."""
 
     def connect_unix(
         self, directory: str | None, name: str, make_machine: Callable[..., Any]
     ) -> "Connection":
-        """Connect to another process's Unix socket; raises OSError."""
+        """Connect to the Unix socket of another process; raises OSError."""
 
 
 class Connection(Protocol):
-    """A Unix socket to another process, which passes bytes and descriptors.
+    """A Unix socket connection to another process, for bytes and descriptors.
 
     Attributes:
         transport: the transport that it belongs to.
-        machine: the end of the handover that it feeds.
+        machine: the protocol state machine that receives its events.
     """
 
     transport: Transport
@@ -71,4 +73,4 @@
         """Send bytes, with descriptors."""
 
     def close(self) -> None:
-        """Close; nothing comes any more."""
+        """Close the connection; the machine receives nothing more."""
--- a/wheathill/handover/messages.py
+++ b/wheathill/handover/messages.py
@@ -1,17 +1,18 @@
-"""The messages of a handover: typed here, named fields of JSON objects on the wire.
+"""Typed messages of the handover protocol.
 
-Each stands for one field of an object, `{"name": value}`; an object with several fields
-is several messages. `encode` returns the whole object, `decode` takes the value alone.
-The sections of a state are messages as well, see `state_codec`.
+On the wire, a message is a field of a JSON object, `{"name": value}`; an object with
+several fields contains several messages. `encode` returns the whole object, `decode`
+and `matches` take only the value. The sections of a state are messages too, see
+`state_codec`.
 """
 
 from dataclasses import dataclass
 
 from wheathill.handover.errors import HandoverError
 
-PROTOCOL_VERSION = 1  # of the conversation; processes of another one are refused
+PROTOCOL_VERSION = 1  # a process with another version is rejected
 
-# The wire's names.
+# Message names on the wire.
 HELLO = "hello"
 REJECTION = "no"
 STATE_COMPLETE = "told"
@@ -24,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Hello:
-    """The new process asks for the state."""
+    """Sent by the new process to request the state."""
 
     proxy_name: str
     version: int = PROTOCOL_VERSION
@@ -34,13 +35,13 @@
         return {HELLO: [self.version, self.proxy_name]}
 
     def matches(self, value: object) -> bool:
-        """Return whether another process's value says the same."""
+        """Return whether a received value has the same version and proxy name."""
         return value == [self.version, self.proxy_name]
 
 
 @dataclass(frozen=True, slots=True)
 class Rejection:
-    """The old process does not hand over now."""
+    """Sent by the old process if it cannot hand over now."""
 
     reason: str
 
@@ -50,13 +51,13 @@
 
     @classmethod
     def decode(cls, value: object) -> "Rejection":
-        """Return the message of a value, whatever it is: it is only logged."""
+        """Return the message for any value; an unknown reason is only logged."""
         return cls(str(value))
 
 
 @dataclass(frozen=True, slots=True)
 class StateComplete:
-    """The old process has sent its whole state, and accepts no longer."""
+    """The old process has sent its whole state and accepts no more connections."""
 
     def encode(self) -> dict:
         """Return the message's object."""
@@ -65,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StateApplied:
-    """The new process accepts: with the state, or as from nothing."""
+    """The new process accepts connections, with the state applied or without it."""
 
     with_state: bool
 
@@ -75,13 +76,13 @@
 
     @classmethod
     def decode(cls, value: object) -> "StateApplied":
-        """Return the message of a value."""
+        """Return the message for a value; anything but true means without."""
         return cls(value is True)
 
 
 @dataclass(frozen=True, slots=True)
 class SessionBatch:
-    """Some sessions; two descriptors of each come along, the client's first."""
+    """Sessions with two descriptors each, that of the client connection first."""
 
     sessions: list[dict]
 
@@ -91,19 +92,19 @@
 
     @classmethod
     def decode(cls, value: object, descriptor_count: int) -> "SessionBatch":
-        """Return the message of a value, with sessions that are not decoded yet.
+        """Return the message for a value, with its sessions not decoded yet.
 
         Raises:
-            HandoverError: if it is no list, or more than came with descriptors.
+            HandoverError: if it is not a list, or there are too few descriptors.
         """
         if not isinstance(value, list) or descriptor_count < 2 * len(value):
-            raise HandoverError("sessions without their handles")
+            raise HandoverError("sessions are not a list, or descriptors are missing")
         return cls(value)
 
 
 @dataclass(frozen=True, slots=True)
 class SessionsReceived:
-    """The new process has a batch, and has not read a byte of its sessions yet."""
+    """Acknowledges a batch, before a byte of its sessions is read."""
 
     count: int
 
@@ -112,13 +113,16 @@
         return {SESSIONS_RECEIVED: self.count}
 
     def matches(self, value: object) -> bool:
-        """Return whether another process's value says the same."""
+        """Return whether a received value is the same count."""
         return value == self.count
 
 
 @dataclass(frozen=True, slots=True)
 class DescriptorsHeld:
-    """The old process still holds so many, which the new one takes off its own."""
+    """The number of descriptors that the old process still holds.
+
+    The new process reduces its own limit by it.
+    """
 
     count: int
 
@@ -128,36 +132,36 @@
 
     @classmethod
     def decode(cls, value: object) -> "DescriptorsHeld":
-        """Return the message of a value.
+        """Return the message for a value.
 
         Raises:
-            ValueError, TypeError: if it is no number.
+            ValueError, TypeError: if it is not a number.
         """
-        return cls(int(value))  # type: ignore[call-overload]  # TypeError says so
+        return cls(int(value))  # type: ignore[call-overload]  # raises TypeError
 
 
 @dataclass(frozen=True, slots=True)
 class MaintenanceChange:
-    """An operator's call at the other process: a server out of use, or back."""
+    """An operator has started or ended the maintenance of a server."""
 
     server_name: str
-    is_out: bool
+    is_in_maintenance: bool
 
     def encode(self) -> dict:
         """Return the message's object."""
-        return {MAINTENANCE: [self.server_name, self.is_out]}
+        return {MAINTENANCE: [self.server_name, self.is_in_maintenance]}
 
     @classmethod
     def decode(cls, value: object) -> "MaintenanceChange":
-        """Return the message of a value.
+        """Return the message for a value.
 
         Raises:
-            HandoverError: if its parts are not a name and a flag.
-            ValueError, TypeError: if it does not have two parts.
+            HandoverError: if its elements are not a name and a bool.
+            ValueError, TypeError: if it does not have two elements.
         """
         name: object
-        is_out: object
-        name, is_out = value  # type: ignore[misc]  # TypeError says so
-        if not isinstance(name, str) or not isinstance(is_out, bool):
-            raise HandoverError("hand without a name")
-        return cls(name, is_out)
+        is_in_maintenance: object
+        name, is_in_maintenance = value  # type: ignore[misc]  # raises TypeError
+        if not isinstance(name, str) or not isinstance(is_in_maintenance, bool):
+            raise HandoverError("maintenance change is not a server name and a bool")
+        return cls(name, is_in_maintenance)
--- a/wheathill/handover/protocol.py
+++ b/wheathill/handover/protocol.py
@@ -1,21 +1,21 @@
-"""What both ends of a handover share: state machines fed bytes and descriptors.
+"""Base class of the two protocol state machines of a handover.
 
-The conversation, in lines of JSON:
+Messages are lines of JSON; their Python types are in `messages`:
 
-    new process                       old process
-    hello [VERSION, NAME]         ->
-                                  <-  no REASON; or it stops accepting and sends
-                                      the sections of its state, then told
-    took (whether from the state) ->
-                                  <-  sessions [...], two descriptors each
-    carried COUNT                 ->
-                                  <-  held COUNT (descriptors)
-    hand [SERVER, IS_OUT]        <->  hand [SERVER, IS_OUT]
+    new process                            old process
+    hello [VERSION, PROXY_NAME]        ->
+                                       <-  no REASON; or it stops accepting and sends
+                                           the sections of its state, then told
+    took WITH_STATE                    ->
+                                       <-  sessions [...], with two descriptors each
+    carried COUNT                      ->
+                                       <-  held COUNT (descriptors)
+    hand [SERVER, IS_IN_MAINTENANCE]  <->  hand [SERVER, IS_IN_MAINTENANCE]
 
-From `took` on this goes on until the old process has no session left, and ends.
+After `took`, sessions are handed over until the old process exits.
 
-Bounded: a line by `limits.max_list_line_bytes`, waits by `limits.handover_timeout_ms`.
-Whoever is in doubt closes.
+A line is limited to `limits.max_list_line_bytes`, and the wait for a reply to
+`limits.handover_timeout_ms`. On any error a process closes the connection.
 """
 
 from collections.abc import Sequence
@@ -34,14 +34,14 @@
 
 
 class Message(Protocol):
-    """Any of `messages`."""
+    """Interface of the types in `messages`."""
 
     def encode(self) -> dict:
         """Return the message's object."""
 
 
 class Coordinator(Protocol):
-    """What both ends need of `coordinator.UpgradeCoordinator`."""
+    """The part of `coordinator.UpgradeCoordinator` that both ends use."""
 
     log_event: EventLog
 
@@ -50,7 +50,7 @@
     """One end of a handover.
 
     Attributes:
-        is_over: the conversation has ended; nothing is sent or taken any more.
+        is_ended: whether the handover has ended; nothing more is sent or processed.
     """
 
     def __init__(
@@ -58,59 +58,59 @@
     ) -> None:
         super().__init__(coordinator, proxy.limits, proxy.clock)
         self.connection = connection
-        self.is_over = False
+        self.is_ended = False
         self._proxy = proxy
         self._coordinator = coordinator
-        self._unfinished_line = b""
-        self._received_handles: list[Handle] = []  # of no message yet
+        self._partial_line = b""
+        self._unclaimed_handles: list[Handle] = []  # received before their message
 
     @property
-    def is_agreed(self) -> bool:
-        """Whether both processes go on with the handover."""
+    def is_established(self) -> bool:
+        """Whether both processes have agreed to the handover."""
         raise NotImplementedError
 
     def on_message(self, name: str, value: object) -> None:
-        """React to one message.
+        """Handle one message.
 
         Raises:
-            ValueError, AttributeError: if it is out of turn or cannot be used; the
-                conversation ends.
+            ValueError, AttributeError: if it is unexpected or invalid, which ends the
+                handover.
         """
         raise NotImplementedError
 
-    def on_over(self, reason: str) -> None:
-        """React to the end of the conversation, which comes once."""
+    def on_ended(self, reason: str) -> None:
+        """Handle the end of the handover; called once."""
         raise NotImplementedError
 
     # Called by the connection
 
     def received(self, data: bytes, handles: Sequence[Handle] = ()) -> None:
-        """Take bytes and the descriptors that came with them."""
-        self._received_handles += handles
-        *lines, self._unfinished_line = (self._unfinished_line + data).split(b"\n")
+        """Process bytes, and the descriptors that were received with them."""
+        self._unclaimed_handles += handles
+        *lines, self._partial_line = (self._partial_line + data).split(b"\n")
         try:
-            if len(self._unfinished_line) > self.limits.max_list_line_bytes:
-                raise HandoverError("a message too long")
+            if len(self._partial_line) > self.limits.max_list_line_bytes:
+                raise HandoverError("message too long")
             for line in lines:
                 self._receive_line(line)
-        # An AttributeError: a line that holds no object.
+        # AttributeError: the line is valid JSON, but not an object.
         except (ValueError, AttributeError) as error:
             self.end(f"{error}")
 
     def _receive_line(self, line: bytes) -> None:
-        if not self.is_over:
+        if not self.is_ended:
             for name, value in orjson.loads(line).items():
                 self.on_message(name, value)
 
     def lost(self, reset: bool) -> None:
-        """End, as the connection is over."""
+        """End the handover, as the connection was lost."""
         self.end("the other process is gone")
 
     def fault(self) -> None:
-        """End, as a call from the connection has raised an exception."""
-        self.end("a fault")
+        """End the handover, as a callback of the connection raised an exception."""
+        self.end("internal error")
 
-    # Called by both ends
+    # Called by the subclasses
 
     def send_message(self, message: Message, handles: Sequence[Handle] = ()) -> None:
         """Send one message, with descriptors."""
@@ -123,26 +123,28 @@
             handles,
         )
 
-    def await_answer(self) -> None:
-        """Give the other process so long to answer."""
-        self.set_timer(self.limits.handover_timeout_ms, self.end, "no answer in time")
+    def start_reply_timeout(self) -> None:
+        """End the handover unless the other process replies in time."""
+        self.set_timer(
+            self.limits.handover_timeout_ms, self.end, "timed out waiting for a reply"
+        )
 
     def end(self, reason: str) -> None:
-        """End the conversation, once; descriptors of no message are closed."""
-        if not self.is_over:
-            self.is_over = True
+        """End the handover, unless it has ended; close unclaimed descriptors."""
+        if not self.is_ended:
+            self.is_ended = True
             self.timer.cancel()
             self.connection.close()
-            self.connection.transport.close_handles(self._received_handles)
-            self._received_handles = []
-            self.on_over(reason)
+            self.connection.transport.close_handles(self._unclaimed_handles)
+            self._unclaimed_handles = []
+            self.on_ended(reason)
 
     def adopt_sessions(
         self, sessions: Sequence[dict], handles: Sequence[Handle]
     ) -> None:
-        """Serve sessions, each with two descriptors, counted so far as plain ones.
+        """Serve sessions, each with two descriptors that the transport has counted.
 
-        One that cannot be used is logged, and its connections are closed.
+        An invalid session is logged, and its descriptors are closed.
         """
         for index, fields in enumerate(sessions):
             pair = handles[2 * index : 2 * index + 2]
@@ -164,15 +166,15 @@
             partial_line=record.partial_line,
         )
 
-    # Operators' calls count for all processes of a proxy
+    # Maintenance changes by operators apply to all processes of a proxy
 
-    def send_maintenance(self, server_name: str, is_out: bool) -> None:
-        """Pass on an operator's call that came to this process."""
-        self.send_message(MaintenanceChange(server_name, is_out))
+    def send_maintenance(self, server_name: str, is_in_maintenance: bool) -> None:
+        """Send a maintenance change that this process received from an operator."""
+        self.send_message(MaintenanceChange(server_name, is_in_maintenance))
 
     def apply_maintenance(self, value: object) -> None:
-        """Put an operator's call that came to the other process in force here."""
+        """Apply a maintenance change that the other process has sent."""
         change = MaintenanceChange.decode(value)
         self._proxy.set_maintenance(
-            change.server_name, change.is_out, forwarded_by=self
+            change.server_name, change.is_in_maintenance, forwarded_by=self
         )
--- a/wheathill/handover/receiver.py
+++ b/wheathill/handover/receiver.py
@@ -1,4 +1,4 @@
-"""The new process's end of a handover: takes a state, then sessions."""
+"""The new process's end of a handover: receives the state, then the sessions."""
 
 from typing import Protocol
 
@@ -19,20 +19,21 @@
 
 
 class ReceiverCoordinator(Coordinator, Protocol):
-    """What this end needs of `coordinator.UpgradeCoordinator`."""
+    """The part of `coordinator.UpgradeCoordinator` that the receiver uses."""
 
-    def on_state_received(self, refusal: str | None) -> None:
-        """The whole state has come, and was used unless there is a refusal."""
+    def on_state_received(self, failure_reason: str | None) -> None:
+        """The whole state was received, and applied if `failure_reason` is None."""
 
-    def on_receiver_over(self, receiver: "HandoverReceiver", reason: str) -> None:
-        """The conversation has ended."""
+    def on_receiver_ended(self, receiver: "HandoverReceiver", reason: str) -> None:
+        """The handover has ended."""
 
 
 class HandoverReceiver(HandoverProtocol):
-    """Asks for the state, uses it whole or not at all, then serves the sessions.
+    """Requests the state, applies all or nothing of it, then serves the sessions.
 
     Attributes:
-        has_state: the old process has sent its whole state, and accepts no longer.
+        has_state: whether the old process has sent its whole state; it then accepts no
+            more connections.
     """
 
     def __init__(
@@ -44,17 +45,17 @@
         self._state_receiver: StateReceiver | None = StateReceiver(proxy.limits)
 
     @property
-    def is_agreed(self) -> bool:
-        """Whether the old process has handed over."""
+    def is_established(self) -> bool:
+        """Whether the old process has sent its whole state."""
         return self.has_state
 
     def connected(self) -> None:
-        """Ask for the state."""
-        self.await_answer()
+        """Request the state."""
+        self.start_reply_timeout()
         self.send_message(Hello(self._proxy.node.name))
 
     def on_message(self, name: str, value: object) -> None:
-        """React to one message, see `HandoverProtocol`."""
+        """Handle one message, see `HandoverProtocol`."""
         if self._state_receiver is None:
             self._on_message_after_state(name, value)
         elif name == messages.REJECTION:
@@ -75,30 +76,31 @@
             case messages.MAINTENANCE:
                 self.apply_maintenance(value)
             case _:
-                raise HandoverError(f"{name} out of turn")
+                raise HandoverError(f"{name} message not expected in this state")
 
     def _on_state_complete(self, state_receiver: StateReceiver) -> None:
         self.timer.cancel()
         self.has_state = True
-        refusal = None
+        failure_reason = None
         try:
             state_receiver.apply(self._proxy)
         except ValueError as error:
-            refusal = str(error)
+            failure_reason = str(error)
         self._state_receiver = None
-        self._coordinator.on_state_received(refusal)
-        self.send_message(StateApplied(with_state=refusal is None))
+        self._coordinator.on_state_received(failure_reason)
+        self.send_message(StateApplied(with_state=failure_reason is None))
 
     def _on_sessions(self, value: object) -> None:
-        batch = SessionBatch.decode(value, len(self._received_handles))
+        batch = SessionBatch.decode(value, len(self._unclaimed_handles))
         count = len(batch.sessions)
-        # Before a byte of them is read: who dies now has taken none.
+        # Sent before a byte of the sessions is read: if this process dies before the
+        # acknowledgement, the old process continues them without loss.
         self.send_message(SessionsReceived(count))
-        handles = self._received_handles[: 2 * count]
-        self._received_handles = self._received_handles[2 * count :]
+        handles = self._unclaimed_handles[: 2 * count]
+        self._unclaimed_handles = self._unclaimed_handles[2 * count :]
         self.adopt_sessions(batch.sessions, handles)
 
-    def on_over(self, reason: str) -> None:
-        """Take back what the old process held of the descriptors."""
+    def on_ended(self, reason: str) -> None:
+        """Reclaim the descriptors that were left to the old process."""
         self.connection.transport.previous_process_sockets = 0
-        self._coordinator.on_receiver_over(self, reason)
+        self._coordinator.on_receiver_ended(self, reason)
--- a/wheathill/handover/records.py
+++ b/wheathill/handover/records.py
@@ -1,9 +1,10 @@
-"""What goes over from one process of a proxy to the next, as typed records.
+"""Typed records of what one process of a proxy hands over to the next.
 
-The records belong to neither the wire (the codecs' part) nor the decisions (the part of
-`snapshot` and `restore`), so that names of either may change without the other's. All
-times are milliseconds of the machine's monotonic clock, which both processes read.
-Servers are referred to by their index in `HandoverSnapshot.servers`.
+The records are independent of the wire format, which the codecs define, and of the
+proxy's own classes, which `snapshot` and `restore` access: names on either side can
+change without the other. All times are milliseconds of the machine's monotonic clock,
+which both processes read. Servers are referenced by their index in
+`HandoverSnapshot.servers`.
 """
 
 from dataclasses import dataclass
@@ -13,9 +14,10 @@
 
 @dataclass(slots=True)
 class ServerRecord:
-    """What one process knows of a server.
+    """The state that one process keeps for a server.
 
-    A time of minus infinity stands for "never"; `started_at_ms` of None for "long ago".
+    A time of minus infinity means never; a `started_ms` of None means long ago. The
+    fields are those of `model.Server`, where they are described.
     """
 
     name: str
@@ -25,9 +27,9 @@
     phase: Phase
     listed_phase: Phase
     unanswered_probes: int
-    is_removal_unconfirmed: bool  # its list says gone, which alone does not bind
-    load_samples: list[tuple[float, float]]  # (time, load figure)
-    recent_results: list[tuple[float, bool]]  # (time, whether it went well)
+    is_removal_unconfirmed: bool
+    load_samples: list[tuple[float, float]]  # (time, load)
+    recent_results: list[tuple[float, bool]]  # (time, succeeded)
     attempt_times_ms: list[float]
     started_ms: float | None
     leaving_since_ms: float
@@ -41,7 +43,7 @@
 
 @dataclass(slots=True)
 class SlotTableRecord:
-    """Each slot's server in the three tables, and the slots in transition."""
+    """The server of each slot in the three tables, and the slots in transition."""
 
     preferred_servers: list[int | None]
     current: list[int | None]
@@ -51,7 +53,7 @@
 
 @dataclass(slots=True)
 class KeyRouteRecord:
-    """A key that is led to a server past the slot table."""
+    """A key that is routed to a server other than that of its slot."""
 
     key: str
     server_index: int
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One of the last attempts to set up a session, at any server."""
+    """A recent attempt to set up a session at any server."""
 
     at_ms: float
     server_index: int
@@ -69,7 +71,7 @@
 
 @dataclass(slots=True)
 class RetryRecord:
-    """One retry that the retry budget still counts."""
+    """A retry that still counts against the retry budget."""
 
     at_ms: float
     priority_weight: float
@@ -77,13 +79,13 @@
 
 @dataclass(slots=True)
 class PolicyRecord:
-    """What the decisions know that belongs to no single server or slot."""
+    """State of the policy that belongs to no single server or slot."""
 
     list_version: int
-    discovery_address: object  # only compared: versions count at one address
+    discovery_address: object  # only compared; each address counts its own versions
     maintenance_since_ms: dict[str, float]  # by server name
-    maintenance_ended_ms: dict[str, tuple[float, float]]  # name -> (since, until)
-    capacity_estimate: float  # sessions of this proxy that a warm server bears
+    maintenance_ended_ms: dict[str, tuple[float, float]]  # name -> (started, ended)
+    capacity_estimate: float  # sessions of this proxy that a warm server can take
     probe_credit: float
     concurrency_limit: float
     limit_reduced_ms: float
@@ -94,22 +96,22 @@
 
 @dataclass(slots=True)
 class HandoverSnapshot:
-    """The whole state of a proxy but its sessions."""
+    """The whole state of a proxy except its sessions."""
 
     servers: list[ServerRecord]
     slots: SlotTableRecord
     moved_keys: list[KeyRouteRecord]
     exception_keys: list[KeyRouteRecord]
     session_ids: list[str]  # oldest first
-    server_names: list[str]  # of all that were ever listed, longest unlisted first
+    server_names: list[str]  # all that were ever listed; longest unlisted first
     policy: PolicyRecord
 
 
 @dataclass(slots=True)
 class SessionRecord:
-    """A session that is up, with no byte waiting on either side."""
+    """An open session without any buffered bytes in either direction."""
 
-    open_line: bytes  # of its client
+    open_line: bytes  # the OPEN line of the client
     listener_name: str
     key: str
     tenant: int
@@ -119,7 +121,7 @@
     is_returning: bool
     is_client_retry: bool
     accepted_ms: float
-    connected_ms: float  # its client's line came
-    unanswered_since_ms: float | None  # a line that its server has not answered
+    connected_ms: float  # when the client's connection was accepted
+    unanswered_since_ms: float | None  # when the oldest unanswered line was sent
     server_name: str
-    partial_line: bytes  # of an unfinished line to the client
+    partial_line: bytes  # start of an incomplete line from the server to the client
--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -1,7 +1,7 @@
-"""A proxy that has just been made, filled from another process's records.
+"""Fills a new proxy from the records of another process.
 
-All that is to be set is built and checked beside what stands, then set: a state that
-cannot be used changes nothing.
+Everything is built and checked before the proxy is changed, so that an invalid state
+has no effect.
 """
 
 from collections.abc import Mapping, Sequence
@@ -28,6 +28,8 @@
 
 @dataclass(slots=True)
 class _SlotTables:
+    """A slot table record with its server indexes resolved."""
+
     preferred_servers: list[Server | None]
     current: list[Server | None]
     new: list[Server | None]
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What a proxy is filled with: records with their servers in place of indexes."""
+    """The state that a proxy is filled with: its records, with resolved indexes."""
 
     servers: dict[str, Server]
     addresses: dict[Server, tuple[str, int]]
@@ -54,13 +56,13 @@
         """Build the servers and resolve all references to them.
 
         Raises:
-            HandoverError: if parts of the state contradict each other.
-            IndexError: if a reference leads to no server.
+            HandoverError: if the state is inconsistent.
+            IndexError: if an index refers to no server.
         """
         servers = [build_server(record) for record in snapshot.servers]
-        by_name = {server.name: server for server in servers}
-        if len(by_name) < len(servers):
-            raise HandoverError("a server stands there twice")
+        servers_by_name = {server.name: server for server in servers}
+        if len(servers_by_name) < len(servers):
+            raise HandoverError("state contains two servers of the same name")
         addresses = {
             server: record.address
             for server, record in zip(servers, snapshot.servers, strict=True)
@@ -76,7 +78,7 @@
         }
         _check_ready_servers(ready_servers, slots, addresses)
         return cls(
-            servers=by_name,
+            servers=servers_by_name,
             addresses=addresses,
             ready_servers=ready_servers,
             slots=slots,
@@ -89,7 +91,7 @@
         )
 
     def apply(self, proxy: Proxy) -> None:
-        """Fill a proxy that has just been made; nothing here fails."""
+        """Fill a new proxy; this raises no exception."""
         proxy.servers.update(self.servers)
         proxy.addresses.update(self.addresses)
         proxy.session_ids.update(dict.fromkeys(self.session_ids))
@@ -97,7 +99,7 @@
         self._apply_endpoint_list(proxy)
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
-        # Versions count at one address.
+        # Each discovery address counts its own versions.
         if self.policy.discovery_address == list(proxy.node.discovery_address or ()):
             proxy.list_version = self.policy.list_version
 
@@ -116,7 +118,8 @@
         if len(slots.current) == table.size:
             table.restore(ready, slots.current, slots.new, slots.transition_started_ms)
         else:
-            # Of a build with fewer or more slots: filled anew, as by a list.
+            # A build with another number of slots sent it: the table is filled by
+            # claims, as for an endpoint list.
             table.restore(ready, None, None, {})
         table.moved_keys = self.moved_keys
         table.exception_keys = self.exception_keys
@@ -124,7 +127,8 @@
     def _apply_estimates(self, proxy: Proxy) -> None:
         balancer, policy = proxy.balancer, self.policy
         balancer.load_estimator.capacity_estimate = policy.capacity_estimate
-        # What comes over comes fast, and was reported long ago.
+        # Sessions arrive fast during a handover, but load reports already include them,
+        # so the estimator must not treat this as a growth that reports lag behind.
         balancer.load_estimator.previous_mean_sessions = policy.capacity_estimate
         balancer.probe_scheduler.credit = policy.probe_credit
         admission = balancer.admission
@@ -138,7 +142,7 @@
 
 
 def build_server(record: ServerRecord) -> Server:
-    """Return the server of a record."""
+    """Return a server with the state of a record."""
     server = Server(
         record.name,
         zone=record.zone,
@@ -163,9 +167,9 @@
 
 
 def build_session(record: SessionRecord, listeners: Mapping[str, Listener]) -> Session:
-    """Return the session of a record.
+    """Return a session with the state of a record.
 
-    A listener that the settings no longer name keeps its name until its sessions end.
+    If the settings no longer contain its listener, the session gets one of that name.
     """
     session = Session(
         listener=listeners.get(record.listener_name) or Listener(record.listener_name),
@@ -200,12 +204,12 @@
     )
     size = len(tables.preferred_servers)
     if len(tables.current) != size or len(tables.new) != size:
-        raise HandoverError("tables of unlike sizes")
+        raise HandoverError("slot tables differ in size")
     if any(
         slot >= size or tables.new[slot] is None
         for slot in record.transition_started_ms
     ):
-        raise HandoverError("a slot is said to move nowhere")
+        raise HandoverError("slot in transition has no new server")
     return tables
 
 
@@ -229,10 +233,13 @@
     slots: _SlotTables,
     addresses: Mapping[Server, tuple[str, int]],
 ) -> None:
-    """A slot that leads to a server that leaves would break the rule on drains."""
-    led_to = {*slots.preferred_servers, *slots.current, *slots.new} - {None}
-    if led_to <= ready_servers.keys() <= addresses.keys():
+    """Check that slots refer to ready servers, and that those have addresses.
+
+    A slot of a leaving server would send new sessions to it, which a drain forbids.
+    """
+    referenced_servers = {*slots.preferred_servers, *slots.current, *slots.new} - {None}
+    if referenced_servers <= ready_servers.keys() <= addresses.keys():
         return
     raise HandoverError(
-        "a slot leads to a server that is not ready, or one that is has no address"
+        "slot refers to a server that is not ready, or a ready server has no address"
     )
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -1,4 +1,4 @@
-"""The old process's end of a handover: sends its state, then its sessions."""
+"""The old process's end of a handover: sends the state, then the sessions."""
 
 import enum
 from collections.abc import Iterator
@@ -25,41 +25,41 @@
 from wheathill.net.client import Client
 from wheathill.net.proxy import Proxy
 
-WRONG_PARTNER = "it speaks another version, or for another proxy"
+INCOMPATIBLE_PROCESS = "it speaks another version, or for another proxy"  # on the wire
 
 
 class SenderState(enum.Enum):
-    """How far the handover is."""
+    """Progress of the handover."""
 
-    CONNECTED = enum.auto()  # the new process has not asked yet
+    AWAITING_HELLO = enum.auto()
     STATE_SENT = enum.auto()
-    HANDING_OVER = enum.auto()  # the new process accepts
+    SENDING_SESSIONS = enum.auto()  # the new process accepts connections
 
 
 class SenderCoordinator(Coordinator, Protocol):
-    """What this end needs of `coordinator.UpgradeCoordinator`."""
+    """The part of `coordinator.UpgradeCoordinator` that the sender uses."""
 
     def rejection_reason(self) -> str | None:
-        """Return why nobody can take over now, or None."""
+        """Return why no process can take over now, or None if one can."""
 
     def on_state_requested(self, sender: "HandoverSender") -> None:
-        """A new process has asked for the state, which is sent next."""
+        """A new process has requested the state, which is sent next."""
 
     def on_state_sent(self) -> None:
         """The whole state has been sent."""
 
-    def on_state_taken(self, with_state: bool) -> None:
-        """The new process accepts."""
+    def on_state_applied(self, with_state: bool) -> None:
+        """The new process accepts connections."""
 
-    def on_sender_over(self, sender: "HandoverSender", reason: str) -> None:
-        """The conversation has ended."""
+    def on_sender_ended(self, sender: "HandoverSender", reason: str) -> None:
+        """The handover has ended."""
 
 
 class HandoverSender(HandoverProtocol):
-    """Sends the state when asked, then sessions as they become quiet.
+    """Sends the state on request, then sessions once they have no buffered bytes.
 
-    Few sessions at a time, the next ones once these are taken: descriptors are doubled
-    on their way.
+    Sessions are sent in small batches, each after the acknowledgement of the one
+    before, because their descriptors are duplicated until then.
     """
 
     def __init__(
@@ -67,40 +67,40 @@
     ) -> None:
         super().__init__(connection, proxy, coordinator)
         self._coordinator: SenderCoordinator = coordinator
-        self._state = SenderState.CONNECTED
-        self._batch: list[dict] = []  # of sessions that were sent and not yet taken
-        self._batch_handles: list[Handle] = []
-        self._last_descriptors_held: int | None = None  # as the other process knows
+        self._state = SenderState.AWAITING_HELLO
+        self._unacknowledged_sessions: list[dict] = []
+        self._unacknowledged_handles: list[Handle] = []
+        self._reported_descriptor_count: int | None = None  # to the other process
 
     @property
-    def is_agreed(self) -> bool:
-        """Whether the new process has asked and was not rejected."""
-        return self._state is not SenderState.CONNECTED
+    def is_established(self) -> bool:
+        """Whether the new process has requested the state and was not rejected."""
+        return self._state is not SenderState.AWAITING_HELLO
 
     def connected(self) -> None:
-        """Wait to be asked."""
-        self.await_answer()
+        """Wait for the request of the state."""
+        self.start_reply_timeout()
 
     def on_message(self, name: str, value: object) -> None:
-        """React to one message, see `HandoverProtocol`."""
+        """Handle one message, see `HandoverProtocol`."""
         match name, self._state:
-            case messages.HELLO, SenderState.CONNECTED:
+            case messages.HELLO, SenderState.AWAITING_HELLO:
                 self._on_hello(value)
             case messages.STATE_APPLIED, SenderState.STATE_SENT:
                 self._on_state_applied(StateApplied.decode(value))
-            case messages.SESSIONS_RECEIVED, SenderState.HANDING_OVER:
+            case messages.SESSIONS_RECEIVED, SenderState.SENDING_SESSIONS:
                 self._on_sessions_received(value)
             case (
                 messages.MAINTENANCE,
-                SenderState.STATE_SENT | SenderState.HANDING_OVER,
+                SenderState.STATE_SENT | SenderState.SENDING_SESSIONS,
             ):
                 self.apply_maintenance(value)
             case _:
-                raise HandoverError(f"{name} out of turn")
+                raise HandoverError(f"{name} message not expected in this state")
 
     def _on_hello(self, value: object) -> None:
         if not Hello(self._proxy.node.name).matches(value):
-            self._reject(WRONG_PARTNER)
+            self._reject(INCOMPATIBLE_PROCESS)
         elif reason := self._coordinator.rejection_reason():
             self._reject(reason)
         else:
@@ -113,7 +113,7 @@
     def _send_state(self) -> None:
         self._state = SenderState.STATE_SENT
         self._coordinator.on_state_requested(self)
-        self.await_answer()
+        self.start_reply_timeout()
         snapshot = collect_snapshot(self._proxy)
         now_ms, max_server_bytes = (
             self._proxy.now(),
@@ -126,34 +126,34 @@
 
     def _on_state_applied(self, message: StateApplied) -> None:
         self.timer.cancel()
-        self._state = SenderState.HANDING_OVER
-        self._coordinator.on_state_taken(message.with_state)
+        self._state = SenderState.SENDING_SESSIONS
+        self._coordinator.on_state_applied(message.with_state)
         self.send_sessions()
 
     def send_sessions(self) -> None:
-        """Send the next batch, unless one is on its way; again after a while."""
-        if self.is_over:
+        """Send the next batch, unless one is unacknowledged; runs periodically."""
+        if self.is_ended:
             return
         self._send_descriptors_held()
-        if self._batch:
+        if self._unacknowledged_sessions:
             return
-        batch, handles = self._take_sessions()
+        batch, handles = self._detach_sessions()
         if batch:
-            self._batch, self._batch_handles = batch, handles
+            self._unacknowledged_sessions, self._unacknowledged_handles = batch, handles
             self.send_message(SessionBatch(batch), handles)
         self.set_timer(self.limits.handover_batch_interval_ms, self.send_sessions)
 
     def _send_descriptors_held(self) -> None:
-        held = self.connection.transport.sockets + self.limits.own_sockets
-        if held != self._last_descriptors_held:
-            self._last_descriptors_held = held
-            self.send_message(DescriptorsHeld(held))
+        descriptor_count = self.connection.transport.sockets + self.limits.own_sockets
+        if descriptor_count != self._reported_descriptor_count:
+            self._reported_descriptor_count = descriptor_count
+            self.send_message(DescriptorsHeld(descriptor_count))
 
-    def _take_sessions(self) -> tuple[list[dict], list[Handle]]:
-        """Let go of some sessions: their forms on the wire and their descriptors."""
+    def _detach_sessions(self) -> tuple[list[dict], list[Handle]]:
+        """Release a batch of sessions; return their encodings and descriptors."""
         batch, handles = [], []
         for session, client in list(
-            islice(self._quiet(), self.limits.handover_batch_size)
+            islice(self._transferable_sessions(), self.limits.handover_batch_size)
         ):
             fields = encode_session(collect_session(client))
             pair = self._proxy.hand_over_session(session, client)
@@ -162,28 +162,30 @@
                 handles += pair
         return batch, handles
 
-    def _quiet(self) -> Iterator[tuple[Session, Client]]:
-        """Yield sessions that may go over.
+    def _transferable_sessions(self) -> Iterator[tuple[Session, Client]]:
+        """Yield sessions that can be handed over now.
 
-        No more are looked at than go over now: all, each time, would be their square.
+        The caller stops after one batch: checking all sessions for every batch would
+        take quadratic time, and stalled the old process.
         """
         for session, client in self._proxy.clients.items():
             if client.quiet:
                 yield session, client
 
     def _on_sessions_received(self, value: object) -> None:
-        if not SessionsReceived(len(self._batch)).matches(value):
-            raise HandoverError("not what was sent")
-        self.connection.transport.close_handles(self._batch_handles)
-        self._batch, self._batch_handles = [], []
+        if not SessionsReceived(len(self._unacknowledged_sessions)).matches(value):
+            raise HandoverError("acknowledged session count differs from that sent")
+        self.connection.transport.close_handles(self._unacknowledged_handles)
+        self._unacknowledged_sessions, self._unacknowledged_handles = [], []
         self.send_sessions()
 
-    def on_over(self, reason: str) -> None:
-        """Serve what was sent and not said to be taken.
+    def on_ended(self, reason: str) -> None:
+        """Serve the unacknowledged sessions again.
 
-        It is still this process's: the other one answers before it reads a byte of it.
+        The new process acknowledges a batch before it reads a byte of its sessions, so
+        they are unchanged.
         """
-        batch, self._batch = self._batch, []
-        handles, self._batch_handles = self._batch_handles, []
+        batch, self._unacknowledged_sessions = self._unacknowledged_sessions, []
+        handles, self._unacknowledged_handles = self._unacknowledged_handles, []
         self.adopt_sessions(batch, handles)
-        self._coordinator.on_sender_over(self, reason)
+        self._coordinator.on_sender_ended(self, reason)
--- a/wheathill/handover/server_codec.py
+++ b/wheathill/handover/server_codec.py
@@ -1,7 +1,7 @@
-"""The form of a server's record between two processes.
+"""Encodes and decodes the record of a server.
 
-The names on the left are those of the wire and stay, whatever the records' become:
-processes of unlike builds talk to each other.
+The string keys are the names on the wire. They stay the same if fields of the records
+are renamed, as processes of different builds communicate.
 """
 
 import math
@@ -16,18 +16,18 @@
 )
 from wheathill.model import Phase
 
-HIGHEST_PORT = 65_535
-LOWEST_WEIGHT, HIGHEST_WEIGHT = 1e-9, 1e9
-# Bytes of one server on the wire at most: without its name and lists, one time of an
-# attempt, one pair of a time and a figure.
-SERVER_BYTES, TIME_BYTES, PAIR_BYTES = 700, 20, 45
+MAX_PORT = 65_535
+MIN_WEIGHT, MAX_WEIGHT = 1e-9, 1e9
+# Maximum encoded bytes of a server without its name and lists, of the time of an
+# attempt, and of a pair of a time and a value.
+MAX_SERVER_BYTES, MAX_TIME_BYTES, MAX_PAIR_BYTES = 700, 20, 45
 
 
 def encode_server(record: ServerRecord, now_ms: float) -> dict:
-    """Return the record as the wire has it.
+    """Return the encoded record.
 
-    A build that still keeps a credit for cold servers asks for one, as of now: it gets
-    none.
+    Older builds require each server's slow-start credit, and the time that it is as of:
+    they get a credit of zero at `now_ms`.
     """
     return {
         "name": record.name,
@@ -55,11 +55,11 @@
 
 
 def decode_server(fields: dict) -> ServerRecord:
-    """Return the record of what `encode_server` made.
+    """Return the record of an encoded server.
 
     Raises:
-        HandoverError: if a value cannot be used.
-        KeyError, TypeError, IndexError: if the object has another shape.
+        HandoverError: if a value is invalid.
+        KeyError, TypeError, IndexError: if the object has another structure.
     """
     return ServerRecord(
         name=require_type(fields["name"], str),
@@ -69,17 +69,17 @@
         phase=Phase(fields["phase"]),
         listed_phase=Phase(fields["listed"]),
         unanswered_probes=require_count(fields["silent"]),
-        # A process from before such lists sends none.
+        # Absent in older builds, where removal by the list needed no confirmation.
         is_removal_unconfirmed=require_type(fields.get("doubted", False), bool),
         load_samples=[
-            (require_number(when), require_number(figure))
-            for when, figure in fields["samples"]
+            (require_number(at_ms), require_number(load))
+            for at_ms, load in fields["samples"]
         ],
         recent_results=[
-            (require_number(when), require_type(well, bool))
-            for when, well in fields["results"]
+            (require_number(at_ms), require_type(succeeded, bool))
+            for at_ms, succeeded in fields["results"]
         ],
-        attempt_times_ms=[require_number(when) for when in fields["dialled"]],
+        attempt_times_ms=[require_number(at_ms) for at_ms in fields["dialled"]],
         started_ms=require_optional_number(fields["started"]),
         leaving_since_ms=decode_time(fields["told"]),
         last_late_message_ms=decode_time(fields["late"]),
@@ -87,44 +87,49 @@
         next_shift_ms=decode_time(fields["shift_after"]),
         next_migration_ms=decode_time(fields["move_after"]),
         last_probe_ms=decode_time(fields["asked"]),
-        weight=require_number(fields["weight"], LOWEST_WEIGHT, HIGHEST_WEIGHT),
+        weight=require_number(fields["weight"], MIN_WEIGHT, MAX_WEIGHT),
     )
 
 
 def _decode_address(value: object) -> tuple[str, int] | None:
     if value is None:
         return None
-    host = require_type(value[0], str)  # type: ignore[index]  # TypeError says so
-    port = require_number(value[1], 0, HIGHEST_PORT)  # type: ignore[index]
+    host = require_type(value[0], str)  # type: ignore[index]  # raises TypeError
+    port = require_number(value[1], 0, MAX_PORT)  # type: ignore[index]
     return host, int(port)
 
 
 def decode_time(value: object) -> float:
-    """Return a time; JSON has null for minus infinity."""
+    """Return a decoded time; JSON represents minus infinity as null."""
     return -math.inf if value is None else require_number(value)
 
 
 def split_servers(
     servers: Iterable[ServerRecord], now_ms: float, max_bytes: float
 ) -> Iterator[list[dict]]:
-    """Yield the servers' forms in parts of about `max_bytes` at most.
+    """Yield the encoded servers in chunks of at most about `max_bytes`.
 
-    All in one where they fit, and one part also where there are none: builds that take
-    only one part read that.
+    Older builds read only a single chunk, so there is just one if all servers fit in
+    it, and also one if there are no servers.
     """
-    part: list[dict] = []
-    part_bytes = 0
+    chunk: list[dict] = []
+    chunk_bytes = 0
     for record in servers:
         server_bytes = _max_encoded_bytes(record)
-        if part and part_bytes + server_bytes > max_bytes:
-            yield part
-            part, part_bytes = [], 0
-        part.append(encode_server(record, now_ms))
-        part_bytes += server_bytes
-    yield part
+        if chunk and chunk_bytes + server_bytes > max_bytes:
+            yield chunk
+            chunk, chunk_bytes = [], 0
+        chunk.append(encode_server(record, now_ms))
+        chunk_bytes += server_bytes
+    yield chunk
 
 
 def _max_encoded_bytes(record: ServerRecord) -> int:
     pairs = len(record.load_samples) + len(record.recent_results)
     times = len(record.attempt_times_ms)
-    return SERVER_BYTES + len(record.name) + TIME_BYTES * times + PAIR_BYTES * pairs
+    return (
+        MAX_SERVER_BYTES
+        + len(record.name)
+        + MAX_TIME_BYTES * times
+        + MAX_PAIR_BYTES * pairs
+    )
--- a/wheathill/handover/session_codec.py
+++ b/wheathill/handover/session_codec.py
@@ -1,6 +1,7 @@
-"""The form of a session between two processes.
+"""Encodes and decodes the record of a session.
 
-Tens of thousands may go over: one record, one dictionary and no more for each.
+Tens of thousands of sessions may be handed over, so only one record and one dictionary
+are created for each.
 """
 
 from wheathill.handover.errors import HandoverError
@@ -14,7 +15,7 @@
 
 
 def encode_session(record: SessionRecord) -> dict:
-    """Return the record as the wire has it."""
+    """Return the encoded record."""
     return {
         "line": record.open_line.decode(),
         "listener": record.listener_name,
@@ -34,10 +35,10 @@
 
 
 def decode_session(fields: dict) -> SessionRecord:
-    """Return the record of what `encode_session` made.
+    """Return the record of an encoded session.
 
     Raises:
-        HandoverError: if it is no session, or a value cannot be used.
+        HandoverError: if it is not a session, or a value is invalid.
     """
     try:
         group = fields["group"]
@@ -58,4 +59,4 @@
             partial_line=require_type(fields["rest"], str).encode("latin-1"),
         )
     except (KeyError, TypeError, UnicodeError) as error:
-        raise HandoverError(f"not a session: {error!r}") from None
+        raise HandoverError(f"malformed session: {error!r}") from None
--- a/wheathill/handover/snapshot.py
+++ b/wheathill/handover/snapshot.py
@@ -1,4 +1,4 @@
-"""Records made of a running proxy: the one place where its state is read."""
+"""Creates the records of a running proxy; only this module reads its state."""
 
 from collections.abc import Iterable, Mapping
 
@@ -18,11 +18,11 @@
 from wheathill.policy.balancer import Balancer
 from wheathill.policy.slot_table import KeyRoute, SlotTable
 
-ServerIndexes = Mapping[Server, int]  # of each server's record
+ServerIndexes = Mapping[Server, int]  # server -> index of its record
 
 
 def collect_snapshot(proxy: Proxy) -> HandoverSnapshot:
-    """Return the proxy's whole state but its sessions."""
+    """Return the whole state of a proxy except its sessions."""
     balancer = proxy.balancer
     servers = list(proxy.servers.values())
     indexes = {server: index for index, server in enumerate(servers)}
@@ -69,17 +69,17 @@
 def collect_slot_table(table: SlotTable, indexes: ServerIndexes) -> SlotTableRecord:
     """Return the record of the slot table."""
     return SlotTableRecord(
-        preferred_servers=_indexes_of(table.preferred_servers, indexes),
-        current=_indexes_of(table.current, indexes),
-        new=_indexes_of(table.new, indexes),
+        preferred_servers=_server_indexes(table.preferred_servers, indexes),
+        current=_server_indexes(table.current, indexes),
+        new=_server_indexes(table.new, indexes),
         transition_started_ms=dict(table.transition_started_ms),
     )
 
 
-def _indexes_of(
+def _server_indexes(
     servers: Iterable[Server | None], indexes: ServerIndexes
 ) -> list[int | None]:
-    """Return the servers' indexes, None for those that are no longer known."""
+    """Return the index of each server; None for one that is no longer known."""
     return [None if server is None else indexes.get(server) for server in servers]
 
 
@@ -88,8 +88,8 @@
 ) -> list[KeyRouteRecord]:
     """Return the routes whose servers are still known."""
     return [
-        KeyRouteRecord(key, indexes[server], since)
-        for key, (server, since) in routes.items()
+        KeyRouteRecord(key, indexes[server], since_ms)
+        for key, (server, since_ms) in routes.items()
         if server in indexes
     ]
 
@@ -100,7 +100,7 @@
     list_version: int,
     discovery_address: tuple[str, int] | None,
 ) -> PolicyRecord:
-    """Return the record of what belongs to no single server or slot."""
+    """Return the record of the state that belongs to no single server or slot."""
     admission = balancer.admission
     return PolicyRecord(
         list_version=list_version,
@@ -116,8 +116,8 @@
         limit_reduced_ms=admission.limit_reduced_ms,
         next_admission_ms=admission.next_admission_ms,
         retries=[
-            RetryRecord(when, priority_weight)
-            for when, priority_weight in balancer.retry_budget.retries
+            RetryRecord(at_ms, priority_weight)
+            for at_ms, priority_weight in balancer.retry_budget.retries
         ],
         attempts=[
             AttemptRecord(attempt.at_ms, indexes[attempt.server], attempt.succeeded)
@@ -128,7 +128,7 @@
 
 
 def collect_session(client: Client) -> SessionRecord:
-    """Return the record of a client's session, which must be up and quiet."""
+    """Return the record of a client's session; `client.quiet` must be true."""
     session, attempt = client.session, client.attempt
     return SessionRecord(
         open_line=client.open_request.line,
--- a/wheathill/handover/state_codec.py
+++ b/wheathill/handover/state_codec.py
@@ -1,6 +1,7 @@
-"""The form of a proxy's state between two processes: named sections, in messages.
+"""Encodes and decodes the state of a proxy: messages that contain named sections.
 
-The names on the left are those of the wire and stay, whatever the records' become.
+The string keys are the names on the wire. They stay the same if fields of the records
+are renamed.
 """
 
 from collections.abc import Iterator, Sequence
@@ -16,20 +17,21 @@
 from wheathill.handover.server_codec import decode_server, decode_time, split_servers
 from wheathill.handover.validation import require_count, require_number, require_type
 
-CHUNK_ENTRIES = 1000  # keys, ids or names in one message: none takes the loop for long
-LOWEST_ESTIMATE, HIGHEST_ESTIMATE = 1e-6, 1e9  # of the capacity and the window
-PROBE_CREDIT_LIMIT = 1e9
+# Keys, ids or names in a message; a larger message would block the event loop for long.
+MAX_MESSAGE_ENTRIES = 1000
+MIN_ESTIMATE, MAX_ESTIMATE = 1e-6, 1e9  # capacity, concurrency limit
+MAX_PROBE_CREDIT = 1e9
 
 
 def encode_snapshot(
     snapshot: HandoverSnapshot, now_ms: float, max_server_bytes: float
 ) -> Iterator[dict]:
-    """Yield the messages of a state, in order; each is one object.
+    """Yield the messages of a state in order, each as an object.
 
     Args:
         snapshot: the state.
-        now_ms: the present time.
-        max_server_bytes: about how long a message with servers may be.
+        now_ms: the current time.
+        max_server_bytes: the approximate maximum length of a message with servers.
     """
     for servers in split_servers(snapshot.servers, now_ms, max_server_bytes):
         yield {"servers": servers}
@@ -44,11 +46,12 @@
 
 
 def decode_snapshot(sections: dict) -> HandoverSnapshot:
-    """Return the state of its collected sections; what is missing first is reported.
+    """Return the state of its collected sections.
 
     Raises:
-        HandoverError: if a value cannot be used.
-        KeyError, TypeError, IndexError, AttributeError: if a section has another shape.
+        HandoverError: if a value is invalid.
+        KeyError, TypeError, IndexError, AttributeError: if a section is missing, the
+            first of which is reported, or has another structure.
     """
     policy = sections["rest"]
     return HandoverSnapshot(
@@ -63,12 +66,12 @@
 
 
 def _split_section(section: str, entries: Sequence) -> Iterator[dict]:
-    for start in range(0, len(entries), CHUNK_ENTRIES):
-        yield {section: entries[start : start + CHUNK_ENTRIES]}
+    for start in range(0, len(entries), MAX_MESSAGE_ENTRIES):
+        yield {section: entries[start : start + MAX_MESSAGE_ENTRIES]}
 
 
 def encode_slot_table(record: SlotTableRecord) -> dict:
-    """Return the tables as the wire has them."""
+    """Return the encoded slot tables."""
     return {
         "home": record.preferred_servers,
         "current": record.current,
@@ -78,14 +81,14 @@
 
 
 def decode_slot_table(fields: dict) -> SlotTableRecord:
-    """Return the record of what `encode_slot_table` made; raises as that of a state."""
+    """Return the record of encoded slot tables; raises as `decode_snapshot`."""
     return SlotTableRecord(
         preferred_servers=_decode_slots(fields["home"]),
         current=_decode_slots(fields["current"]),
         new=_decode_slots(fields["new"]),
         transition_started_ms={
-            require_count(slot): require_number(since)
-            for slot, since in fields["opened"]
+            require_count(slot): require_number(since_ms)
+            for slot, since_ms in fields["opened"]
         },
     )
 
@@ -98,20 +101,20 @@
 
 
 def encode_key_route(record: KeyRouteRecord) -> tuple:
-    """Return a key's server as the wire has it."""
+    """Return the encoded route of a key."""
     return record.key, record.server_index, record.since_ms
 
 
 def decode_key_route(entry: Sequence) -> KeyRouteRecord:
-    """Return the record of what `encode_key_route` made; raises as that of a state."""
-    key, server_index, since = entry
+    """Return the record of an encoded key route; raises as `decode_snapshot`."""
+    key, server_index, since_ms = entry
     return KeyRouteRecord(
-        require_type(key, str), require_count(server_index), require_number(since)
+        require_type(key, str), require_count(server_index), require_number(since_ms)
     )
 
 
 def encode_policy(record: PolicyRecord) -> dict:
-    """Return what belongs to no server or slot as the wire has it."""
+    """Return the encoded policy record."""
     return {
         "seen": record.list_version,
         "discovery": record.discovery_address,
@@ -131,33 +134,38 @@
 
 
 def decode_policy(fields: dict) -> PolicyRecord:
-    """Return the record of what `encode_decisions` made; raises as that of a state."""
+    """Return the record of encoded policy state; raises as `decode_snapshot`."""
     return PolicyRecord(
         maintenance_since_ms={
-            require_type(name, str): require_number(since)
-            for name, since in fields["out"].items()
+            require_type(name, str): require_number(since_ms)
+            for name, since_ms in fields["out"].items()
         },
         maintenance_ended_ms={
-            require_type(name, str): (require_number(since), require_number(until))
-            for name, (since, until) in fields["back"].items()
+            require_type(name, str): (
+                require_number(since_ms),
+                require_number(until_ms),
+            )
+            for name, (since_ms, until_ms) in fields["back"].items()
         },
         attempts=[
             AttemptRecord(
-                require_number(when), require_count(index), require_type(well, bool)
+                require_number(at_ms),
+                require_count(index),
+                require_type(succeeded, bool),
             )
-            for when, index, well in fields["dials"]
+            for at_ms, index, succeeded in fields["dials"]
         ],
         capacity_estimate=_decode_estimate(fields["bearable"]),
         concurrency_limit=_decode_estimate(fields["window"]),
         limit_reduced_ms=decode_time(fields["cut_at"]),
         next_admission_ms=decode_time(fields["next_at"]),
-        # A process from before the retry budget sends none.
+        # Absent in builds without a retry budget.
         retries=[
-            RetryRecord(require_number(when), require_number(priority_weight))
-            for when, priority_weight in fields.get("further", ())
+            RetryRecord(require_number(at_ms), require_number(priority_weight))
+            for at_ms, priority_weight in fields.get("further", ())
         ],
         probe_credit=require_number(
-            fields["earned"], -PROBE_CREDIT_LIMIT, PROBE_CREDIT_LIMIT
+            fields["earned"], -MAX_PROBE_CREDIT, MAX_PROBE_CREDIT
         ),
         list_version=require_count(fields["seen"]),
         discovery_address=fields["discovery"],
@@ -165,4 +173,4 @@
 
 
 def _decode_estimate(value: object) -> float:
-    return require_number(value, LOWEST_ESTIMATE, HIGHEST_ESTIMATE)
+    return require_number(value, MIN_ESTIMATE, MAX_ESTIMATE)
--- a/wheathill/handover/state_receiver.py
+++ b/wheathill/handover/state_receiver.py
@@ -1,4 +1,4 @@
-"""The messages of another process's state, collected and bounded."""
+"""Collects the messages of another process's state, up to a limit."""
 
 from wheathill.config.limits import ProxyLimits
 from wheathill.handover.errors import HandoverError
@@ -7,60 +7,63 @@
 from wheathill.handover.validation import require_type, shorten
 from wheathill.net.proxy import Proxy
 
-SHORTEST_LIST_ENTRY = 40  # bytes of an entry of discovery's list that can be read
+MIN_LIST_ENTRY_BYTES = 40  # shortest valid entry of discovery's endpoint list
 LIST_SECTIONS = ("servers", "moved", "exceptions", "ids", "names")
 OBJECT_SECTIONS = ("table", "rest")
 
 
 class StateReceiver:
-    """Collects the sections of a state, each from one message or many."""
+    """Collects the sections of a state, each from one or more messages."""
 
     def __init__(self, limits: ProxyLimits) -> None:
         self._limits = limits
-        # Where nothing is known of the others no message comes; one with servers does.
+        # An empty section is not sent, except that of the servers.
         self._sections: dict = {
             section: [] for section in LIST_SECTIONS if section != "servers"
         }
 
     def add(self, section: str, value: object) -> None:
-        """Take what a message says of one section.
+        """Add the value that a message has for a section.
 
         Raises:
-            HandoverError: if there is no such section, or more of it than may be.
+            HandoverError: if the section is unknown or has too many entries.
         """
         if section in LIST_SECTIONS:
             entries = self._sections.setdefault(section, [])
             entries += require_type(value, list)
             if len(entries) > self._max_entries(section):
-                raise HandoverError(f"more than {self._max_entries(section)} {section}")
+                raise HandoverError(
+                    f"more than {self._max_entries(section)} entries in {section}"
+                )
         elif section in OBJECT_SECTIONS:
             self._sections[section] = require_type(value, dict)
         else:
-            raise HandoverError(f"{shorten(section)!r} is no part of the state")
+            raise HandoverError(f"{shorten(section)!r} is not a section of the state")
 
     def apply(self, proxy: Proxy) -> None:
-        """Give the state to a proxy that has just been made.
+        """Fill a new proxy with the state.
 
         Raises:
-            HandoverError: if it cannot be used; the proxy is as it was.
+            HandoverError: if the state is invalid; the proxy is unchanged then.
         """
         try:
             state = RestoredState.build(decode_snapshot(self._sections))
         except (KeyError, TypeError, IndexError, AttributeError) as error:
-            raise HandoverError(f"not a state: {error!r}") from None
+            raise HandoverError(f"malformed state: {error!r}") from None
         state.apply(proxy)
 
     def _max_entries(self, section: str) -> int:
-        """Return how many of a section one process may hold.
+        """Return the maximum number of entries of a section in one process.
 
-        Bounded by its descriptors and by the longest list: a session takes two
-        descriptors while, beyond the limit, there are no more ids of sessions that are
-        over than of open ones. Servers come before their names.
+        The longest endpoint list limits the servers, and descriptors limit the session
+        ids: an open session takes two, and beyond `max_session_ids` at most as many ids
+        of ended sessions are kept as there are open sessions. The servers are received
+        before the names, so that their number is known by then.
         """
         limits = self._limits
         match section:
             case "servers":
-                return limits.max_list_line_bytes // SHORTEST_LIST_ENTRY
+                return limits.max_list_line_bytes // MIN_LIST_ENTRY_BYTES
             case "ids":
                 return limits.max_session_ids + limits.max_sockets
             case "names":
--- a/wheathill/handover/validation.py
+++ b/wheathill/handover/validation.py
@@ -1,34 +1,41 @@
 """Checks of single values that another process sent.
 
-Each returns the value that it was given, or raises HandoverError.
+Each function returns the value that it was given, or raises HandoverError.
 """
 
 from typing import TypeVar
 
 from wheathill.handover.errors import HandoverError
 
-Kind = TypeVar("Kind")
+ExpectedType = TypeVar("ExpectedType")
 
-# Wider than any clock or counter here, and far from where floats lose whole numbers.
-NUMBER_LIMIT = 1e15
-SHOWN_CHARACTERS = 40  # of a refused value, in the log
+# Above any time or counter of a proxy, and below 2**53, from which on floats cannot
+# represent all integers.
+MAX_MAGNITUDE = 1e15
+MAX_SHOWN_CHARACTERS = 40  # of an invalid value in an error message
 
 
-def require_type(value: object, kind: type[Kind]) -> Kind:
-    """Require an instance of `kind`; a flag is no number."""
-    if not isinstance(value, kind) or isinstance(value, bool) and kind is not bool:
-        raise HandoverError(f"{shorten(value)!r} is no {kind.__name__}")
+def require_type(value: object, expected_type: type[ExpectedType]) -> ExpectedType:
+    """Require an instance of a type; a bool does not count as an int."""
+    if (
+        not isinstance(value, expected_type)
+        or isinstance(value, bool)
+        and expected_type is not bool
+    ):
+        raise HandoverError(
+            f"{shorten(value)!r} is not of type {expected_type.__name__}"
+        )
     return value
 
 
 def require_number(
-    value: object, lowest: float = -NUMBER_LIMIT, highest: float = NUMBER_LIMIT
+    value: object, minimum: float = -MAX_MAGNITUDE, maximum: float = MAX_MAGNITUDE
 ) -> float:
     """Require an integer or a float within both limits."""
     if isinstance(value, bool) or not isinstance(value, (int, float)):
-        raise HandoverError(f"{shorten(value)!r} is no number")
-    if not lowest <= value <= highest:
-        raise HandoverError(f"{value} is not within {lowest:g} and {highest:g}")
+        raise HandoverError(f"{shorten(value)!r} is not a number")
+    if not minimum <= value <= maximum:
+        raise HandoverError(f"{value} is not between {minimum:g} and {maximum:g}")
     return value
 
 
@@ -38,13 +45,13 @@
 
 
 def require_count(value: object) -> int:
-    """Require an integer from 0 on."""
+    """Require a non-negative integer."""
     count = require_type(value, int)
     if count < 0:
-        raise HandoverError(f"{count} is below 0")
+        raise HandoverError(f"{count} is negative")
     return count
 
 
 def shorten(value: object) -> str:
-    """Return the beginning of the value's text, for an error."""
-    return str(value)[:SHOWN_CHARACTERS]
+    """Return the beginning of the value's text, for an error message."""
+    return str(value)[:MAX_SHOWN_CHARACTERS]
