--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -228,7 +228,7 @@
 
 
 def test_of_too_many_the_oldest_go_at_all_alike(monkeypatch):
-    monkeypatch.setattr(replicated_table, "MAX_SERVERS", 20)
+    monkeypatch.setattr(replicated_table, "MAX_SERVER_RECORDS", 20)
     records = [
         [f"s/g{place}", WALL + place, 1, "", [True, WALL + place]]
         for place in range(60)
@@ -310,7 +310,7 @@
         self.writer = self.another_writer(f"{own}1 5")
 
     def another_writer(self, name):
-        own = self.directory.own.name
+        own = self.directory.own_zone.name
         return SummaryWriter(own, name, self.table, 1000.0, 0.0)
 
 
@@ -362,7 +362,7 @@
     assert one.directory.state("w", converged) == ViewState.DIVERGED
     assert one.directory.region_state(converged) == converged
     next_one = ZoneParts(parts=parts, held=one.table)
-    next_one.contacts.restart(16_500.0)
+    next_one.contacts.reset(16_500.0)
     assert next_one.contacts.unreachable_zones(17_000.0) == ["v"]
     next_one.contacts.record_contact(17_500.0, "v")
     assert next_one.contacts.unreachable_zones(18_000.0) == []
@@ -532,15 +532,15 @@
     fleet = small(4)
     fleet.run(8)
     one, asked = fleet.peers["a1-1"], []
-    send_words = one.send_words
+    send_encoded = one.send_encoded
 
     def lossy(address, words, is_bulk=False):
         if words[0] == TableMessageKind.DIGEST_REQUEST:
             asked.append(fleet.clock.now())
         if words[0] != TableMessageKind.DIGEST_REQUEST or len(asked) > 1:
-            send_words(address, words, is_bulk)
+            send_encoded(address, words, is_bulk)
 
-    one.send_words = lossy
+    one.send_encoded = lossy
     fleet.cut(["a1-1"])
     fleet.change("missed", "b1-0")
     fleet.run(1)
@@ -584,7 +584,7 @@
     one.transport.send_by_stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
-    buckets = range(replicated_table.BUCKETS)
+    buckets = range(replicated_table.BUCKET_COUNT)
     found = one.zone_table.encoded_by_bucket(buckets)
     told = list(one.zone_table.bucket_batches(buckets))
     assert len(told) > 4 and [
@@ -609,7 +609,7 @@
     fleet.run(5)
     region = fleet.of_region("a")
     rest = [name for name in fleet.peers if name not in region]
-    before = {name: peers.quota_in_force for name, peers in fleet.peers.items()}
+    before = {name: peers.applied_quota for name, peers in fleet.peers.items()}
     fleet.cut(region)
     fleet.run(30)
     assert {state[1] for state in fleet.states(region)} == {ViewState.PARTITIONED}
@@ -617,7 +617,7 @@
     assert {state[1:] for state in fleet.states(rest)} == {
         (ViewState.CONVERGED, ViewState.DIVERGED)
     }
-    assert {name: peers.quota_in_force for name, peers in fleet.peers.items()} == before
+    assert {name: peers.applied_quota for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
     assert len(fleet.in_force("in", inside, region)) == len(
@@ -757,7 +757,7 @@
     )
     for name, peers in fleet.peers.items():
         assert abs(peers.zone_quota.quota() - parts[fleet.zone_of[name]]) < 1e-9
-    assert abs(sum(peers.quota_in_force for peers in fleet.peers.values()) - 1.0) < 1e-9
+    assert abs(sum(peers.applied_quota for peers in fleet.peers.values()) - 1.0) < 1e-9
 
 
 # Frames and files
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -15,7 +15,12 @@
 from wheathill.peers.fleet_limits import FleetLimits
 from wheathill.peers.health_exchange import EvidenceLimits
 from wheathill.peers.membership import FallbackProbe, Member, ProbeResult
-from wheathill.peers.messages import DigestNote, Sender, ViewHeader, ZonedViewHeader
+from wheathill.peers.messages import (
+    DigestAnnouncement,
+    Sender,
+    ViewHeader,
+    ZonedViewHeader,
+)
 from wheathill.peers.peer_service import PeerService
 from wheathill.peers.server_records import ServerRecords
 from wheathill.peers.server_updates import ServerUpdates
@@ -53,7 +58,7 @@
     where a socket can't be opened.
     """
 
-    EVIDENCE_LIMITS = EvidenceLimits(recipients=4, servers=12)
+    EVIDENCE_LIMITS = EvidenceLimits(recipients_per_interval=4, servers_per_message=12)
 
     def __init__(
         self,
@@ -113,7 +118,7 @@
 
     def _create_server_updates(self) -> ServerUpdates:
         return ReplicatedServerUpdates(
-            self.proxy, self.server_records, self.wall_ms, self.pass_on_own
+            self.proxy, self.server_records, self.wall_ms, self.publish_record
         )
 
     def _create_status(self) -> StatusReporter:
@@ -142,7 +147,7 @@
 
     def send_table_message(self, address: str, message: TableMessage) -> None:
         """Send a message about the table to a proxy of any zone."""
-        self.send_words(address, message.encode())
+        self.send_encoded(address, message.encode())
 
     def announce_view(self) -> None:
         """Notify the leaders of a view that has changed.
@@ -152,7 +157,7 @@
         if self._announcements.is_due(self.clock.now(), self.cluster_view):
             for leader in self.zone_leaders():
                 if leader.name != self.settings.name:
-                    self.send_message(leader.address, DigestNote())
+                    self.send_message(leader.address, DigestAnnouncement())
 
     # Receiving
 
@@ -183,7 +188,7 @@
             self.cluster_view.record_report(
                 sender.name, sender.generation, header.view, int(header.layout_version)
             )
-        elif header.zone in self.zone_directory.others:
+        elif header.zone in self.zone_directory.other_zones:
             self.zone_contacts.record_contact(now_ms, header.zone)
         else:
             raise ValueError(f"no zone of the layout: {header.zone}")
@@ -216,7 +221,7 @@
                 record.server for record in newer if record.server is not None
             )
 
-    def pass_on_own(self, record: ZoneTableRecord) -> None:
+    def publish_record(self, record: ZoneTableRecord) -> None:
         """Send a record that this proxy wrote."""
         self.table_gossip.add_own(record)
         self._on_table_changed(self.clock.now())
@@ -265,8 +270,8 @@
     def other_zone_addresses(self, now_ms: float) -> list[str]:
         """Return an address in each other zone, in the order of the layout."""
         return [
-            self.zone_contacts.address(now_ms, zone)
-            for zone in self.zone_directory.others
+            self.zone_contacts.choose_address(now_ms, zone)
+            for zone in self.zone_directory.other_zones
         ]
 
     def zone_state(self) -> ViewState:
@@ -278,7 +283,7 @@
     def tick(self) -> None:
         """Do what is done once each probe interval."""
         now_ms = self.clock.now()
-        self.table_anti_entropy.on_interval()
+        self.table_anti_entropy.start_interval()
         self.replicated_table.remove_expired(self.wall_ms())
         super().tick()
         leaders = self.zone_leaders()
@@ -291,17 +296,17 @@
         if not leaders or leaders[0].name != self.settings.name:
             return
         view = self.cluster_view
-        if view.state == ViewState.STANDALONE and not view.may_stand_alone(now_ms):
+        if view.state == ViewState.STANDALONE and not view.is_startup_wait_over(now_ms):
             return  # others may be about to answer
         summary = build_summary(now_ms, view, self.zone_contacts, leaders)
         record = self._summary_writer.write(now_ms, summary)
         if record is not None:
-            self.pass_on_own(record)
+            self.publish_record(record)
 
     def _send_heartbeats(self, now_ms: float, leaders: list[Member]) -> None:
         """Send heartbeats to other zones, where this proxy is a leader."""
         if all(leader.name != self.settings.name for leader in leaders):
-            self.zone_contacts.restart(now_ms)
+            self.zone_contacts.reset(now_ms)
             return
         for address in self.zone_contacts.heartbeat_addresses(now_ms):
             records = self.zone_table.encoded_summary(self._zone)
