--- a/wheathill/handover/records.py
+++ b/wheathill/handover/records.py
@@ -1,9 +1,10 @@
-"""What goes over from one process of a proxy to the next, as typed records.
+"""Typed records of what one process of a proxy hands over to the next.
 
-The records belong to neither the wire (the codecs' part) nor the decisions (the part of
-`snapshot` and `restore`), so that names of either may change without the other's. All
-times are milliseconds of the machine's monotonic clock, which both processes read.
-Servers are referred to by their index in `HandoverSnapshot.servers`.
+The records are independent of the wire format, which the codecs define, and of the
+proxy's own classes, which `snapshot` and `restore` access: names on either side can
+change without the other. All times are milliseconds of the machine's monotonic clock,
+which both processes read. Servers are referenced by their index in
+`HandoverSnapshot.servers`.
 """
 
 from dataclasses import dataclass
@@ -13,9 +14,10 @@
 
 @dataclass(slots=True)
 class ServerRecord:
-    """What one process knows of a server.
+    """The state that one process keeps for a server.
 
-    A time of minus infinity stands for "never"; `started_at_ms` of None for "long ago".
+    A time of minus infinity means never; a `started_ms` of None means long ago. The
+    fields are those of `model.Server`, where they are described.
     """
 
     name: str
@@ -25,25 +27,25 @@
     phase: Phase
     listed_phase: Phase
     unanswered_probes: int
-    is_leaving_unconfirmed: bool  # its list says gone, which alone does not bind
-    load_samples: list[tuple[float, float]]  # (time, load figure)
-    results: list[tuple[float, bool]]  # (time, whether it went well)
+    is_removal_unconfirmed: bool
+    load_samples: list[tuple[float, float]]  # (time, load)
+    recent_results: list[tuple[float, bool]]  # (time, succeeded)
     attempt_times_ms: list[float]
-    started_at_ms: float | None
-    left_at_ms: float
-    missed_target_at_ms: float
-    last_received_at_ms: float
-    next_shift_at_ms: float
-    next_migration_at_ms: float
-    last_probe_at_ms: float
+    started_ms: float | None
+    leaving_since_ms: float
+    last_late_message_ms: float
+    last_received_ms: float
+    next_shift_ms: float
+    next_migration_ms: float
+    last_probe_ms: float
     weight: float
 
 
 @dataclass(slots=True)
 class SlotTableRecord:
-    """Each slot's server in the three tables, and the slots in transition."""
+    """The server of each slot in the three tables, and the slots in transition."""
 
-    preferred: list[int | None]
+    preferred_servers: list[int | None]
     current: list[int | None]
     new: list[int | None]
     transition_started_ms: dict[int, float]  # by slot
@@ -51,7 +53,7 @@
 
 @dataclass(slots=True)
 class KeyRouteRecord:
-    """A key that is led to a server past the slot table."""
+    """A key that is routed to a server other than that of its slot."""
 
     key: str
     server_index: int
@@ -60,7 +62,7 @@
 
 @dataclass(slots=True)
 class AttemptRecord:
-    """One of the last attempts to set up a session, at any server."""
+    """A recent attempt to set up a session at any server."""
 
     at_ms: float
     server_index: int
@@ -69,47 +71,47 @@
 
 @dataclass(slots=True)
 class RetryRecord:
-    """One retry that the retry budget still counts."""
+    """A retry that still counts against the retry budget."""
 
     at_ms: float
-    utility: float
+    priority_weight: float
 
 
 @dataclass(slots=True)
-class DecisionsRecord:
-    """What the decisions know that belongs to no single server or slot."""
+class PolicyRecord:
+    """State of the policy that belongs to no single server or slot."""
 
     list_version: int
-    discovery_address: object  # only compared: versions count at one address
+    discovery_address: object  # only compared; each address counts its own versions
     maintenance_since_ms: dict[str, float]  # by server name
-    maintenance_ended_ms: dict[str, tuple[float, float]]  # name -> (since, until)
-    capacity_estimate: float  # sessions of this proxy that a warm server bears
+    maintenance_ended_ms: dict[str, tuple[float, float]]  # name -> (started, ended)
+    capacity_estimate: float  # sessions of this proxy that a warm server can take
     probe_credit: float
-    set_up_window: float
-    window_cut_at_ms: float
-    next_set_up_at_ms: float
+    concurrency_limit: float
+    limit_reduced_ms: float
+    next_admission_ms: float
     retries: list[RetryRecord]
     attempts: list[AttemptRecord]
 
 
 @dataclass(slots=True)
 class HandoverSnapshot:
-    """The whole state of a proxy but its sessions."""
+    """The whole state of a proxy except its sessions."""
 
     servers: list[ServerRecord]
     slots: SlotTableRecord
     moved_keys: list[KeyRouteRecord]
     exception_keys: list[KeyRouteRecord]
     session_ids: list[str]  # oldest first
-    server_names: list[str]  # of all that were ever listed, longest unlisted first
-    decisions: DecisionsRecord
+    server_names: list[str]  # all that were ever listed; longest unlisted first
+    policy: PolicyRecord
 
 
 @dataclass(slots=True)
 class SessionRecord:
-    """A session that is up, with no byte waiting on either side."""
+    """An open session without any buffered bytes in either direction."""
 
-    open_line: bytes  # of its client
+    open_line: bytes  # the OPEN line of the client
     listener_name: str
     key: str
     tenant: int
@@ -117,9 +119,9 @@
     load: float | None
     is_mid_flow: bool
     is_returning: bool
-    is_repeat: bool
-    accepted_at_ms: float
-    requested_at_ms: float  # its client's line came
-    unanswered_since_ms: float | None  # a line that its server has not answered
+    is_client_retry: bool
+    accepted_ms: float
+    connected_ms: float  # when the client's connection was accepted
+    unanswered_since_ms: float | None  # when the oldest unanswered line was sent
     server_name: str
-    partial_line: bytes  # of an unfinished line to the client
+    partial_line: bytes  # start of an incomplete line from the server to the client
