--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -152,7 +152,7 @@
             (kind, *rest), encoded = fields
             entry = None if encoded is None else decode_entry(kind, encoded)
             replica.load_entry(EntryKey(EntryKind(kind), *rest), entry, 7.0)
-    replica.cover_own_changes("a/g1")
+    replica.include_previous_generation("a/g1")
     return {
         **result,
         "snapshot": hashed(image),
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -128,7 +128,7 @@
     synchronize(b, a)
     restored = make_replica("a", "2")
     restored.load_snapshot(snapshot, 0.0)
-    restored.cover_own_changes(a.replica_id)
+    restored.include_previous_generation(a.replica_id)
     restored.set_register("other", 1)
     sequence = restored.version_vector[restored.replica_id]
     yield f"its next change is no dot of before: {restored.replica_id} {sequence}"
--- a/wheathill/lab/cores/store_cluster.py
+++ b/wheathill/lab/cores/store_cluster.py
@@ -155,7 +155,7 @@
                     else decode_entry(record.key.kind, record.encoded)
                 )
                 self.replica.load_entry(record.key, entry, now_ms)
-        self.replica.cover_own_changes(self.disk.last_replica_id)
+        self.replica.include_previous_generation(self.disk.last_replica_id)
         self.disk.last_replica_id = self.replica.replica_id
 
     def _persist(self, key: EntryKey, entry: Entry | None) -> None:
--- a/wheathill/store/replica.py
+++ b/wheathill/store/replica.py
@@ -193,7 +193,7 @@
         if isinstance(entry, LeaseEntry):
             self._state.lease_first_seen_ms[key] = now_ms
 
-    def cover_own_changes(self, last_replica_id: str | None) -> None:
+    def include_previous_generation(self, last_replica_id: str | None) -> None:
         """Cover what the last start on this directory changed.
 
         It made its changes here and in order, so all up to the last are held. This is
