--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -140,7 +140,10 @@
     """What is read from a directory, and a replica that is started from it."""
     log = WriteAheadLog(str(folder), CLUSTER)
     image, tail = log.last_snapshot, log.records
-    result = {"torn": log.torn_bytes, "damage": [list(each) for each in log.damage]}
+    result = {
+        "torn": log.torn_bytes,
+        "damage": [list(each) for each in log.corrupt_locations],
+    }
     log.close()
     replica = Replica("a", "g2", lambda *_: None, LIMITS)
     if image is not None:
--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -54,7 +54,7 @@
         log = WriteAheadLog(str(path), "c")
         numbers = [content[1] for content in log.records]
         assert numbers == ([0, 1, 2, 3, 4] if size == len(whole) else [0, 1, 2, 3])
-        assert log.damage == []
+        assert log.corrupt_locations == []
         assert log.torn_bytes == (size - start if size < len(whole) else 0)
         # What comes after is read again.
         log.append([["cell", 9, ""]])
@@ -79,7 +79,7 @@
             [0, 1, 2, 4],
             [0, 1, 2, 3],
         )
-        assert decoded.damaged_offsets or decoded.intact_bytes < len(whole)
+        assert decoded.corrupt_offsets or decoded.intact_bytes < len(whole)
 
 
 def test_snapshot_and_death_between_its_steps(tmp_path):
@@ -95,7 +95,7 @@
     (path / "log.0").write_bytes(encode_record(["cell", "old"]))
     (path / "snap.2.new").write_bytes(b"half")
     log = WriteAheadLog(str(path), "c")
-    assert (log.last_snapshot, log.records, log.damage) == (
+    assert (log.last_snapshot, log.records, log.corrupt_locations) == (
         ["image", 5],
         [["cell", 6]],
         [],
@@ -104,7 +104,7 @@
     # The snapshot itself is damaged: it is named, and what is left is read.
     (path / "snap.1").write_bytes(b"\0" * 40)
     log = WriteAheadLog(str(path), "c")
-    assert log.last_snapshot is None and log.damage == [("snap.1", 0)]
+    assert log.last_snapshot is None and log.corrupt_locations == [("snap.1", 0)]
     assert log.records == [["cell", "old"], ["cell", 6]]
     log.close()
 
@@ -145,7 +145,7 @@
             yield f"and then: {said(lambda log=log: log.append([['cell', 4]]))}"
             log.close()
         log = WriteAheadLog(path, "c")
-        yield f"read again: {log.records}, torn {log.torn_bytes}, damage {log.damage}"
+        yield f"read again: {log.records}, torn {log.torn_bytes}, damage {log.corrupt_locations}"
         log.close()
         os.remove(os.path.join(path, "cluster"))
         yield f"no name of a cluster: {said(lambda: WriteAheadLog(path, 'c'))}"
--- a/wheathill/store/record_framing.py
+++ b/wheathill/store/record_framing.py
@@ -23,12 +23,12 @@
     Attributes:
         records: contents of the intact records.
         intact_bytes: where the last intact record ends; what follows was torn off.
-        damaged_offsets: where damage begins that intact records follow.
+        corrupt_offsets: where damage begins that intact records follow.
     """
 
     records: list[Any] = field(default_factory=list)
     intact_bytes: int = 0
-    damaged_offsets: list[int] = field(default_factory=list)
+    corrupt_offsets: list[int] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
@@ -56,7 +56,7 @@
             next_offset = _next_intact_offset(data, offset + 1)
             if next_offset is None:
                 break  # nothing intact follows: the end was torn off
-            decoded.damaged_offsets.append(offset)
+            decoded.corrupt_offsets.append(offset)
             offset = next_offset
             continue
         decoded.records.append(record.content)
--- a/wheathill/store/write_ahead_log.py
+++ b/wheathill/store/write_ahead_log.py
@@ -8,7 +8,7 @@
 What was given to `append` is durable once the `sync` after it has returned. A log whose
 end was torn off by a crash ends before the torn record, which was never confirmed. A
 record that is damaged in the middle is another matter: what follows it is still read,
-where it can be, and `damage` names it. A snapshot is written beside, synced, renamed,
+where it can be, and `corrupt_locations` names it. A snapshot is written beside, synced, renamed,
 the directory is synced, and only then the older log is removed.
 """
 
@@ -25,7 +25,7 @@
 )
 
 
-class DamagedPlace(NamedTuple):
+class CorruptLocation(NamedTuple):
     """A file and the offset in bytes at which damage begins."""
 
     file_name: str
@@ -41,7 +41,7 @@
         last_snapshot: content of the last snapshot, or None.
         records: records since that snapshot, as they were read at the start.
         torn_bytes: bytes of an unfinished record that were cut off.
-        damage: places of damage in what had been durable.
+        corrupt_locations: places of damage in what had been durable.
     """
 
     def __init__(
@@ -60,7 +60,7 @@
         self.last_snapshot: Any = None
         self.records: list[Any] = []
         self.torn_bytes = 0
-        self.damage: list[DamagedPlace] = []
+        self.corrupt_locations: list[CorruptLocation] = []
         try:
             self._directory.open(cluster)
             self._read_snapshot()
@@ -146,7 +146,7 @@
             if len(records) == 1:
                 self.last_snapshot, self._number = records[0], number
                 return
-            self.damage.append(DamagedPlace(name, 0))
+            self.corrupt_locations.append(CorruptLocation(name, 0))
 
     def _read_logs(self) -> None:
         # Logs older than the snapshot are left over from a crash before their removal;
@@ -165,8 +165,8 @@
         data = self._directory.read(name)
         decoded = decode_records(data)
         self.records += decoded.records
-        self.damage += [
-            DamagedPlace(name, offset) for offset in decoded.damaged_offsets
+        self.corrupt_locations += [
+            CorruptLocation(name, offset) for offset in decoded.corrupt_offsets
         ]
         torn_bytes = len(data) - decoded.intact_bytes
         if is_last:
@@ -174,7 +174,7 @@
             if torn_bytes:
                 os.truncate(self._directory.file_path(name), decoded.intact_bytes)
         elif torn_bytes:
-            self.damage.append(DamagedPlace(name, decoded.intact_bytes))
+            self.corrupt_locations.append(CorruptLocation(name, decoded.intact_bytes))
 
     @property
     def _log_path(self) -> str:
