--- a/tests/test_write_ahead_log.py
+++ b/tests/test_write_ahead_log.py
@@ -189,7 +189,7 @@
     log = WriteAheadLog(str(tmp_path / "d"), "c", SlowFileSystem())
     gate.clear()
     writer = GroupCommitWriter(
-        log, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400
+        log, loop.call_soon, loop.note, loop.failures.append, snapshot_threshold=400
     )
     del syncs[:]
     for number in range(500):
@@ -208,7 +208,7 @@
     loop = Loop()
     log = WriteAheadLog(str(tmp_path / "d"), "c", FaultyFileSystem(writes=2))
     writer = GroupCommitWriter(
-        log, loop.call_soon, loop.note, loop.failures.append, snapshot_after=400
+        log, loop.call_soon, loop.note, loop.failures.append, snapshot_threshold=400
     )
     for number in range(20):
         loop.event.clear()
--- a/wheathill/store/group_commit.py
+++ b/wheathill/store/group_commit.py
@@ -49,7 +49,7 @@
         on_durable: Callable[[int], object],
         on_failure: Callable[[str], object],
         *,
-        snapshot_after: int,
+        snapshot_threshold: int,
     ) -> None:
         """Start the thread.
 
@@ -60,13 +60,13 @@
             on_durable: called in the loop with the number of records that are done with
                 so far.
             on_failure: called in the loop with the reason when the disk begins to fail.
-            snapshot_after: records of the log from which on a snapshot is due.
+            snapshot_threshold: records of the log from which on a snapshot is due.
         """
         self._log = log
         self._call_soon = call_soon
         self._on_durable = on_durable
         self._on_failure = on_failure
-        self._snapshot_after = snapshot_after
+        self._snapshot_threshold = snapshot_threshold
         # None ends the thread.
         self._requests: queue.SimpleQueue[WriteRequest | None] = queue.SimpleQueue()
         self._records_since_snapshot = len(log.records)
@@ -76,7 +76,7 @@
     @property
     def is_snapshot_due(self) -> bool:
         """Whether a snapshot would shorten the log."""
-        return self._records_since_snapshot >= self._snapshot_after
+        return self._records_since_snapshot >= self._snapshot_threshold
 
     def append(self, record: object) -> None:
         """Hand a record over, and return at once."""
