--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -125,8 +125,8 @@
                 [
                     "seen",
                     self.replica.version_vector,
-                    tombstones.collected,
-                    tombstones.collected_time,
+                    tombstones.collected_vector,
+                    tombstones.collected_lamport_time,
                 ]
             ]
         )
@@ -170,7 +170,12 @@
     """A record of a member's disk in the play of random faults, as it was recorded."""
     if isinstance(record, store_cluster.LoggedEntry):
         return ["cell", record.key, record.encoded]
-    return ["seen", record.version_vector, record.collected, record.collected_time]
+    return [
+        "seen",
+        record.version_vector,
+        record.collected_vector,
+        record.collected_lamport_time,
+    ]
 
 
 def play(seed, monkeypatch):
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -237,8 +237,8 @@
     header = ReplyHeader(
         is_full_state=True,
         version_vector=VersionVector(x=1, z=2),
-        collected=VersionVector(z=2),
-        collected_time=4,
+        collected_vector=VersionVector(z=2),
+        collected_lamport_time=4,
     )
     theirs = [4, {}, {}, {"z": 2}]
     assert a.exchange.apply_reply(header, [["set", "s", "e", theirs]], 0.0)
--- a/wheathill/lab/cores/store_cluster.py
+++ b/wheathill/lab/cores/store_cluster.py
@@ -69,8 +69,8 @@
     """What the changes before it bring a replica to."""
 
     version_vector: VersionVector
-    collected: VersionVector
-    collected_time: int
+    collected_vector: VersionVector
+    collected_lamport_time: int
 
 
 @dataclass(slots=True)
@@ -146,7 +146,9 @@
         for record in self.disk.records:
             if isinstance(record, LoggedVectors):
                 self.replica.load_vectors(
-                    record.version_vector, record.collected, record.collected_time
+                    record.version_vector,
+                    record.collected_vector,
+                    record.collected_lamport_time,
                 )
             else:
                 entry = (
@@ -170,8 +172,8 @@
         self.disk.records.append(
             LoggedVectors(
                 VersionVector(self.replica.version_vector),
-                VersionVector(tombstones.collected),
-                tombstones.collected_time,
+                VersionVector(tombstones.collected_vector),
+                tombstones.collected_lamport_time,
             )
         )
         self.disk.synced_count = len(self.disk.records)
--- a/wheathill/store/exchange.py
+++ b/wheathill/store/exchange.py
@@ -21,14 +21,14 @@
         is_full_state: whether the reply holds all entries, not only those that the
             other lacks.
         version_vector: vector that the reply brings the other to.
-        collected: dots of the tombstones that were dropped.
-        collected_time: latest Lamport time of these.
+        collected_vector: dots of the tombstones that were dropped.
+        collected_lamport_time: latest Lamport time of these.
     """
 
     is_full_state: bool
     version_vector: VersionVector
-    collected: VersionVector
-    collected_time: int
+    collected_vector: VersionVector
+    collected_lamport_time: int
 
 
 @dataclass(frozen=True, slots=True)
@@ -96,8 +96,8 @@
         header = ReplyHeader(
             is_full_state,
             VersionVector(self._state.version_vector),
-            VersionVector(self._tombstones.collected),
-            self._tombstones.collected_time,
+            VersionVector(self._tombstones.collected_vector),
+            self._tombstones.collected_lamport_time,
         )
         return Reply(header, parts or [[]])
 
@@ -110,7 +110,9 @@
             return False  # the sender needs the full state itself first
         has_changed = False
         if header.is_full_state:
-            self._tombstones.adopt(header.collected, header.collected_time)
+            self._tombstones.adopt(
+                header.collected_vector, header.collected_lamport_time
+            )
             has_changed = self._reconciler.remove_deleted(rows, vector)
             self._reconciler.rewrite_unseen(vector)
         has_changed |= self._merger.merge(rows, now_ms)
--- a/wheathill/store/full_state.py
+++ b/wheathill/store/full_state.py
@@ -94,7 +94,7 @@
         return (
             entry.is_live
             and not sender_vector.covers(entry.current_dots())
-            and entry.lamport_time <= self._tombstones.collected_time
+            and entry.lamport_time <= self._tombstones.collected_lamport_time
         )
 
     def _rewrite(self, key: EntryKey, entry: Entry) -> None:
@@ -106,5 +106,7 @@
         else:
             assert isinstance(entry, LastWriterWinsEntry)
             _, replica_id, sequence = self._state.next_version()
-            version = Version(self._tombstones.collected_time + 1, replica_id, sequence)
+            version = Version(
+                self._tombstones.collected_lamport_time + 1, replica_id, sequence
+            )
             self._writer.put(key, self._writer.new_entry(key, version, entry.value))
--- a/wheathill/store/messages.py
+++ b/wheathill/store/messages.py
@@ -110,8 +110,8 @@
             self.part_count,
             self.header.is_full_state,
             self.header.version_vector,
-            self.header.collected,
-            self.header.collected_time,
+            self.header.collected_vector,
+            self.header.collected_lamport_time,
             self.rows,
         ]
 
@@ -119,12 +119,12 @@
     def decode(fields: list[Any]) -> ReplyMessage:
         """Return the message of its fields behind the kind."""
         number, part, part_count, *header_fields, rows = fields
-        is_full_state, vector, collected, collected_time = header_fields
+        is_full_state, vector, collected_vector, collected_lamport_time = header_fields
         header = ReplyHeader(
             is_full_state,
             _decode_vector(vector),
-            _decode_vector(collected),
-            collected_time,
+            _decode_vector(collected_vector),
+            collected_lamport_time,
         )
         return ReplyMessage(number, part, part_count, header, rows)
 
--- a/wheathill/store/replica.py
+++ b/wheathill/store/replica.py
@@ -153,8 +153,8 @@
         return ReplicaSnapshot(
             self._state.lamport_time,
             VersionVector(self._state.version_vector),
-            VersionVector(self.tombstones.collected),
-            self.tombstones.collected_time,
+            VersionVector(self.tombstones.collected_vector),
+            self.tombstones.collected_lamport_time,
             list(self._state.table.items()),
         )
 
@@ -166,7 +166,9 @@
         """
         self._state.lamport_time = snapshot.lamport_time
         self.load_vectors(
-            snapshot.version_vector, snapshot.collected, snapshot.collected_time
+            snapshot.version_vector,
+            snapshot.collected_vector,
+            snapshot.collected_lamport_time,
         )
         for key, entry in snapshot.entries:
             self.load_entry(key, entry, now_ms)
@@ -174,13 +176,13 @@
     def load_vectors(
         self,
         version_vector: VersionVector,
-        collected: VersionVector,
-        collected_time: int,
+        collected_vector: VersionVector,
+        collected_lamport_time: int,
     ) -> None:
         """Replace the vectors and the time of collection by those of a log."""
         self._state.version_vector = VersionVector(version_vector)
-        self.tombstones.collected = VersionVector(collected)
-        self.tombstones.collected_time = collected_time
+        self.tombstones.collected_vector = VersionVector(collected_vector)
+        self.tombstones.collected_lamport_time = collected_lamport_time
 
     def load_entry(self, key: EntryKey, entry: Entry | None, now_ms: float) -> None:
         """Replay one change of a log; None where the entry was removed."""
--- a/wheathill/store/snapshot.py
+++ b/wheathill/store/snapshot.py
@@ -17,15 +17,15 @@
     Attributes:
         lamport_time: time of the last change.
         version_vector: changes that are included.
-        collected: dots of the tombstones that were dropped.
-        collected_time: latest Lamport time of these.
+        collected_vector: dots of the tombstones that were dropped.
+        collected_lamport_time: latest Lamport time of these.
         entries: keys and entries, in the order of their last change.
     """
 
     lamport_time: int
     version_vector: VersionVector
-    collected: VersionVector
-    collected_time: int
+    collected_vector: VersionVector
+    collected_lamport_time: int
     entries: list[tuple[EntryKey, Entry]]
 
     def encode(self) -> list[Any]:
@@ -33,8 +33,8 @@
         return [
             self.lamport_time,
             self.version_vector,
-            self.collected,
-            self.collected_time,
+            self.collected_vector,
+            self.collected_lamport_time,
             [encode_row(key, entry) for key, entry in self.entries],
         ]
 
@@ -45,11 +45,13 @@
         Raises:
             ValueError: the data is no snapshot.
         """
-        lamport_time, version_vector, collected, collected_time, rows = encoded
+        lamport_time, version_vector, collected_vector, collected_lamport_time, rows = (
+            encoded
+        )
         return ReplicaSnapshot(
             lamport_time,
             VersionVector(version_vector),
-            VersionVector(collected),
-            collected_time,
+            VersionVector(collected_vector),
+            collected_lamport_time,
             [decode_row(row) for row in rows],
         )
--- a/wheathill/store/tombstones.py
+++ b/wheathill/store/tombstones.py
@@ -16,15 +16,15 @@
     """Drops tombstones that all members have seen, and knows which were dropped.
 
     Attributes:
-        collected: dots of the dropped tombstones, as a version vector.
-        collected_time: latest Lamport time of these.
+        collected_vector: dots of the dropped tombstones, as a version vector.
+        collected_lamport_time: latest Lamport time of these.
     """
 
     def __init__(self, state: ReplicaState) -> None:
         self._state = state
         self._peer_vectors: dict[str, VersionVector] = {}
-        self.collected = VersionVector()
-        self.collected_time = 0
+        self.collected_vector = VersionVector()
+        self.collected_lamport_time = 0
 
     def record_peer_vector(self, member: str, vector: Mapping[str, int]) -> None:
         """Note what a member has seen."""
@@ -33,7 +33,7 @@
 
     def is_behind(self, vector: VersionVector) -> bool:
         """Return whether a replica with this vector lacks a dropped tombstone."""
-        return not vector.covers(self.collected.items())
+        return not vector.covers(self.collected_vector.items())
 
     def collect(self, members: Iterable[str]) -> None:
         """Drop the tombstones that every one of `members` has seen."""
@@ -49,14 +49,22 @@
             if all(vector.covers(dots) for vector in vectors):
                 self._drop(key)
 
-    def adopt(self, collected: Mapping[str, int], collected_time: int) -> None:
+    def adopt(
+        self, collected_vector: Mapping[str, int], collected_lamport_time: int
+    ) -> None:
         """Take over what another replica has dropped, before its state is merged."""
-        self.collected = self.collected.merged_with(collected)
-        self.collected_time = max(self.collected_time, collected_time)
-        self._state.observe_time(collected_time)
+        self.collected_vector = self.collected_vector.merged_with(collected_vector)
+        self.collected_lamport_time = max(
+            self.collected_lamport_time, collected_lamport_time
+        )
+        self._state.observe_time(collected_lamport_time)
 
     def _drop(self, key: EntryKey) -> None:
         entry = self._state.table[key]
-        self.collected = self.collected.merged_with(dict(entry.all_dots()))
-        self.collected_time = max(self.collected_time, entry.lamport_time)
+        self.collected_vector = self.collected_vector.merged_with(
+            dict(entry.all_dots())
+        )
+        self.collected_lamport_time = max(
+            self.collected_lamport_time, entry.lamport_time
+        )
         self._state.remove(key)
