--- a/wheathill/store/record_framing.py
+++ b/wheathill/store/record_framing.py
@@ -1,7 +1,7 @@
-"""Records with checksums, as logs and snapshots hold them.
+"""Record format of logs and snapshots, with checksums.
 
-A record is its length (4 bytes, big-endian), the CRC-32 of its body (4 bytes,
-big-endian) and the body in msgpack.
+A record consists of the length of its body (4 bytes, big-endian), the CRC-32 of the
+body (4 bytes, big-endian) and the body in msgpack.
 """
 
 import struct
@@ -11,19 +11,21 @@
 
 from msgspec import DecodeError, msgpack
 
-HEADER = struct.Struct(">II")
-# A longer one is taken for damage of the length.
+RECORD_HEADER = struct.Struct(">II")
+# A larger length is treated as a corrupt length field.
 MAX_RECORD_BYTES = 64 * 2**20
 
 
 @dataclass(slots=True)
 class DecodedRecords:
-    """What was read from a file.
+    """Records read from a file.
 
     Attributes:
         records: contents of the intact records.
-        intact_bytes: where the last intact record ends; what follows was torn off.
-        corrupt_offsets: where damage begins that intact records follow.
+        intact_bytes: offset of the end of the last intact record; anything after it is
+            a torn write.
+        corrupt_offsets: offsets at which corruption begins that is followed by intact
+            records.
     """
 
     records: list[Any] = field(default_factory=list)
@@ -38,15 +40,15 @@
 
 
 def encode_record(content: object) -> bytes:
-    """Return the bytes of one record."""
+    """Encode one record with its header."""
     body = msgpack.encode(content)
-    return HEADER.pack(len(body), zlib.crc32(body)) + body
+    return RECORD_HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def decode_records(data: bytes) -> DecodedRecords:
-    """Read all intact records.
+    """Decode all intact records.
 
-    After damage the next offset is searched at which an intact record stands.
+    After corruption, decoding resumes at the next offset that holds an intact record.
     """
     decoded = DecodedRecords()
     offset = 0
@@ -55,7 +57,7 @@
         if record is None:
             next_offset = _next_intact_offset(data, offset + 1)
             if next_offset is None:
-                break  # nothing intact follows: the end was torn off
+                break  # no intact record follows: a torn write at the end
             decoded.corrupt_offsets.append(offset)
             offset = next_offset
             continue
@@ -65,17 +67,17 @@
 
 
 def _next_intact_offset(data: bytes, start: int) -> int | None:
-    for offset in range(start, len(data) - HEADER.size + 1):
+    for offset in range(start, len(data) - RECORD_HEADER.size + 1):
         if _record_at(data, offset) is not None:
             return offset
     return None
 
 
 def _record_at(data: bytes, offset: int) -> _FramedRecord | None:
-    if offset + HEADER.size > len(data):
+    if offset + RECORD_HEADER.size > len(data):
         return None
-    length, checksum = HEADER.unpack_from(data, offset)
-    start = offset + HEADER.size
+    length, checksum = RECORD_HEADER.unpack_from(data, offset)
+    start = offset + RECORD_HEADER.size
     end = start + length
     if not 0 < length <= MAX_RECORD_BYTES or end > len(data):
         return None
--- a/wheathill/store/store_directory.py
+++ b/wheathill/store/store_directory.py
@@ -1,4 +1,4 @@
-"""The directory of one replica: a lock, the cluster's name, and numbered files."""
+"""Directory of one replica: a lock file, the cluster name and numbered files."""
 
 import fcntl
 import os
@@ -7,9 +7,7 @@
 from wheathill.store.file_system import FILE_MODE, FileSystem
 
 LOCK_FILE = "lock"  # locked by the process that has the directory open
-CLUSTER_FILE = (
-    "cluster"  # the cluster's name, so that a directory of another one is recognized
-)
+CLUSTER_FILE = "cluster"  # cluster name, to detect the directory of another cluster
 LOG_PREFIX = "log."
 SNAPSHOT_PREFIX = "snap."
 TEMPORARY_SUFFIX = ".new"
@@ -17,11 +15,11 @@
 
 
 class StoreDirectory:
-    """Opens, locks and checks a directory, and replaces its files atomically.
+    """Opens, locks and validates a directory, and replaces its files atomically.
 
     Attributes:
         path: path of the directory.
-        file_system: calls of the operating system.
+        file_system: system calls for writing.
     """
 
     def __init__(self, path: str, file_system: FileSystem) -> None:
@@ -30,11 +28,12 @@
         self._lock_descriptor: int | None = None
 
     def open(self, cluster: str) -> None:
-        """Create the directory if needed, lock it and check whose it is.
+        """Create the directory if missing, lock it and check its cluster name.
 
         Raises:
-            DiskError: another process has it open, or it belongs to another cluster.
-            OSError: the system refuses.
+            DiskError: another process has it open, it belongs to another cluster, or
+                its cluster name is missing although it contains a log or a snapshot.
+            OSError: a system call failed.
         """
         os.makedirs(self.path, mode=DIRECTORY_MODE, exist_ok=True)
         self._lock()
@@ -44,8 +43,8 @@
         """Return the path of a file in the directory."""
         return os.path.join(self.path, name)
 
-    def numbers(self, prefix: str) -> list[int]:
-        """Return the sorted numbers of the files with that prefix."""
+    def file_numbers(self, prefix: str) -> list[int]:
+        """Return the sorted numbers of all files whose names begin with a prefix."""
         return sorted(
             int(name[len(prefix) :])
             for name in os.listdir(self.path)
@@ -54,11 +53,11 @@
 
     def read(self, name: str) -> bytes:
         """Return the content of a file."""
-        with open(self.file_path(name), "rb") as source:
-            return source.read()
+        with open(self.file_path(name), "rb") as file:
+            return file.read()
 
     def replace(self, name: str, data: bytes) -> None:
-        """Write a file beside, make it durable, and rename it into place."""
+        """Write and sync a temporary file, then rename it over the given one."""
         temporary_path = self.file_path(name + TEMPORARY_SUFFIX)
         descriptor = self.file_system.open(temporary_path, append=False)
         try:
@@ -70,7 +69,7 @@
         self.sync()
 
     def sync(self) -> None:
-        """Make the names of the files durable."""
+        """Sync the directory itself, so that its file names are durable."""
         descriptor = os.open(self.path, os.O_RDONLY)
         try:
             self.file_system.sync(descriptor)
@@ -89,22 +88,24 @@
         try:
             fcntl.flock(self._lock_descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            raise DiskError(
-                f"{path}: another process has this directory open"
-            ) from None
+            raise DiskError(f"{path}: directory is in use by another process") from None
 
     def _check_cluster(self, cluster: str) -> None:
         path = self.file_path(CLUSTER_FILE)
         try:
-            with open(path) as source:
-                found = source.read().strip()
+            with open(path) as file:
+                owner = file.read().strip()
         except FileNotFoundError:
             if any(
                 name.startswith((LOG_PREFIX, SNAPSHOT_PREFIX))
                 for name in os.listdir(self.path)
             ):
-                raise DiskError(f"{path}: is missing beside a log") from None
+                raise DiskError(
+                    f"{path}: missing, but the directory contains a log or a snapshot"
+                ) from None
             self.replace(CLUSTER_FILE, cluster.encode())
             return
-        if found != cluster:
-            raise DiskError(f"{path}: a directory of {found!r}, not of {cluster!r}")
+        if owner != cluster:
+            raise DiskError(
+                f"{path}: directory belongs to cluster {owner!r}, not {cluster!r}"
+            )
--- a/wheathill/store/write_ahead_log.py
+++ b/wheathill/store/write_ahead_log.py
@@ -1,15 +1,15 @@
-"""Write-ahead log with snapshots; the directory is read whole at the start.
+"""Write-ahead log with snapshots; the whole directory is read on opening.
 
-    cluster     the cluster's name
+    cluster     name of the cluster
     lock        locked by the process that has the directory open
     log.N       records since snapshot N
-    snap.N      one record that holds everything
+    snap.N      one record with the complete state
 
-What was given to `append` is durable once the `sync` after it has returned. A log whose
-end was torn off by a crash ends before the torn record, which was never confirmed. A
-record that is damaged in the middle is another matter: what follows it is still read,
-where it can be, and `corrupt_locations` names it. A snapshot is written beside, synced, renamed,
-the directory is synced, and only then the older log is removed.
+Records passed to `append` are durable once the following `sync` has returned. If a
+crash tore the last record of the last log, the log is truncated before it: that record
+was never acknowledged. Any other corruption is listed in `corrupt_locations`, and
+intact records after it are still read. A snapshot is written to a temporary file,
+synced and renamed, the directory is synced, and only then are older files removed.
 """
 
 import os
@@ -26,7 +26,7 @@
 
 
 class CorruptLocation(NamedTuple):
-    """A file and the offset in bytes at which damage begins."""
+    """A file and the byte offset at which corruption begins in it."""
 
     file_name: str
     offset: int
@@ -35,19 +35,19 @@
 class WriteAheadLog:
     """The log and snapshots of one open directory.
 
-    All failures of the disk are raised as `DiskError`.
+    Disk failures are raised as `DiskError`.
 
     Attributes:
-        last_snapshot: content of the last snapshot, or None.
-        records: records since that snapshot, as they were read at the start.
-        torn_bytes: bytes of an unfinished record that were cut off.
-        corrupt_locations: places of damage in what had been durable.
+        last_snapshot: content of the last readable snapshot, or None.
+        records: records since that snapshot, as read on opening.
+        torn_bytes: size of the incomplete record that was truncated on opening.
+        corrupt_locations: locations of corruption in data that had been durable.
     """
 
     def __init__(
         self, path: str, cluster: str, file_system: FileSystem | None = None
     ) -> None:
-        """Open the directory at `path`, which belongs to `cluster`, and read it.
+        """Open and read the directory at `path`, which must belong to `cluster`.
 
         Raises:
             DiskError: the directory can't be used.
@@ -55,8 +55,8 @@
         self._file_system = file_system or FileSystem()
         self._directory = StoreDirectory(path, self._file_system)
         self._descriptor: int | None = None
-        self._number = 0
-        self._write_failure: str | None = None  # why nothing can be written any more
+        self._log_number = 0
+        self._write_failure: str | None = None  # why writes are refused
         self.last_snapshot: Any = None
         self.records: list[Any] = []
         self.torn_bytes = 0
@@ -74,10 +74,10 @@
             raise
 
     def append(self, records: list[Any]) -> None:
-        """Write several records at once.
+        """Write several records with one call.
 
-        After a failure nothing more is written to this log: what follows half a record
-        could not be told from damage.
+        After a failure nothing more is written to this log, because records after a
+        partial one could not be distinguished from corruption.
 
         Raises:
             DiskError: this write or an earlier one failed.
@@ -91,13 +91,13 @@
             self._fail(error)
 
     def sync(self) -> None:
-        """Make durable what was appended.
+        """Make the appended records durable.
 
-        It is not tried again after a failure: the system may have let go of what was
-        written.
+        A failed sync is not retried, because the kernel may already have discarded the
+        unwritten pages.
 
         Raises:
-            DiskError: this write or an earlier one failed.
+            DiskError: this sync or an earlier write or sync failed.
         """
         descriptor = self._writable_descriptor()
         try:
@@ -106,14 +106,14 @@
             self._fail(error)
 
     def write_snapshot(self, content: object) -> None:
-        """Write everything in one record, and begin a new log behind it.
+        """Write the complete state as one record and start a new log.
 
-        The older files are removed once the new ones are durable.
+        Older files are removed once the new ones are durable.
 
         Raises:
-            DiskError: the snapshot can't be written; the open log goes on as it was.
+            DiskError: the snapshot can't be written; the current log stays in use.
         """
-        number = self._number + 1
+        number = self._log_number + 1
         name = f"{SNAPSHOT_PREFIX}{number}"
         try:
             self._directory.replace(name, encode_record(content))
@@ -123,10 +123,10 @@
         older_names = [
             f"{prefix}{older}"
             for prefix in (SNAPSHOT_PREFIX, LOG_PREFIX)
-            for older in self._directory.numbers(prefix)
+            for older in self._directory.file_numbers(prefix)
             if older < number
         ]
-        self._number = number
+        self._log_number = number
         self._write_failure = None
         self._open_log()
         for older_name in older_names:
@@ -140,26 +140,26 @@
         self._directory.close()
 
     def _read_snapshot(self) -> None:
-        for number in reversed(self._directory.numbers(SNAPSHOT_PREFIX)):
+        for number in reversed(self._directory.file_numbers(SNAPSHOT_PREFIX)):
             name = f"{SNAPSHOT_PREFIX}{number}"
             records = decode_records(self._directory.read(name)).records
             if len(records) == 1:
-                self.last_snapshot, self._number = records[0], number
+                self.last_snapshot, self._log_number = records[0], number
                 return
             self.corrupt_locations.append(CorruptLocation(name, 0))
 
     def _read_logs(self) -> None:
-        # Logs older than the snapshot are left over from a crash before their removal;
-        # all later ones count.
+        # Logs older than the snapshot remain if a crash preceded their removal; all
+        # others are read.
         numbers = [
             number
-            for number in self._directory.numbers(LOG_PREFIX)
-            if number >= self._number
+            for number in self._directory.file_numbers(LOG_PREFIX)
+            if number >= self._log_number
         ]
         for number in numbers:
             self._read_log(f"{LOG_PREFIX}{number}", is_last=number == numbers[-1])
         if numbers:
-            self._number = numbers[-1]
+            self._log_number = numbers[-1]
 
     def _read_log(self, name: str, *, is_last: bool) -> None:
         data = self._directory.read(name)
@@ -178,7 +178,7 @@
 
     @property
     def _log_path(self) -> str:
-        return self._directory.file_path(f"{LOG_PREFIX}{self._number}")
+        return self._directory.file_path(f"{LOG_PREFIX}{self._log_number}")
 
     def _open_log(self) -> None:
         if self._descriptor is not None:
