--- a/wheathill/store/anti_entropy.py
+++ b/wheathill/store/anti_entropy.py
@@ -1,8 +1,8 @@
-"""Anti-entropy between replicas, without I/O.
+"""Anti-entropy protocol between replicas, free of I/O.
 
-Changes are pushed as they are made, and every so often one member is asked for what is
-missing here. A message that is lost, duplicated, late or out of order costs time, never
-a difference that stays.
+Local changes are pushed shortly after they are made, and one random member is
+periodically asked for changes that are missing here. Lost, duplicated, delayed or
+reordered messages postpone convergence but never prevent it.
 """
 
 import random
@@ -20,10 +20,10 @@
 )
 from wheathill.store.replica import Replica
 
-# Shares of the interval between which the next request is drawn, so that members don't
-# ask in step.
-MIN_INTERVAL_SHARE = 0.75
-MAX_INTERVAL_SHARE = 1.25
+# Range of the random factor applied to the request interval, so that the members'
+# requests do not synchronize.
+MIN_INTERVAL_FACTOR = 0.75
+MAX_INTERVAL_FACTOR = 1.25
 
 
 class AntiEntropyTimer(StrEnum):
@@ -34,17 +34,17 @@
 
 
 class AntiEntropyEffects(Protocol):
-    """What the protocol needs of its surroundings."""
+    """Operations that the protocol calls for."""
 
     def send(self, member: str, message: Message) -> None:
-        """Encode and send a message, which may get lost.
+        """Encode and send a message; delivery is not guaranteed.
 
-        It is to be encoded before the call returns, as it refers to the replica's own
-        version vector.
+        Implementations must encode the message before they return, because it
+        references the replica's own mutable version vector.
         """
 
     def set_timer(self, at_ms: float, timer: AntiEntropyTimer) -> None:
-        """Call `AntiEntropy.on_timer` at that time."""
+        """Schedule a call of `AntiEntropy.on_timer` at `at_ms`."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,9 +53,10 @@
 
     Attributes:
         request_interval_ms: mean time between two requests.
-        push_delay_ms: how long a local change waits for others to be pushed with it.
-        reply_timeout_ms: time for all parts of a reply to arrive.
-        max_reply_parts: replies of more parts are dropped.
+        push_delay_ms: how long a local change is delayed so that later ones are pushed
+            in the same message.
+        reply_timeout_ms: time limit for all parts of a reply to arrive.
+        max_reply_parts: replies with more parts are dropped.
     """
 
     request_interval_ms: float
@@ -66,16 +67,16 @@
 
 @dataclass(slots=True)
 class PendingRequest:
-    """The request whose reply is awaited.
+    """Outstanding request whose reply has not arrived completely.
 
     Attributes:
-        number: number of the request.
-        member: member that was asked.
-        deadline_ms: time at which another request may be sent.
-        parts: index -> entries of the parts that have arrived.
+        request_id: id of the request.
+        member: member that the request was sent to.
+        deadline_ms: time from which another request may be sent.
+        parts: part index -> encoded entries of the parts that have arrived.
     """
 
-    number: int
+    request_id: int
     member: str
     deadline_ms: float
     parts: dict[int, list[EncodedRow]] = field(default_factory=dict)
@@ -94,16 +95,16 @@
         live_members: Callable[[], Iterable[str]],
         collection_members: Callable[[], Iterable[str]],
     ) -> None:
-        """Make the protocol machine of a replica.
+        """Create the protocol state machine of a replica.
 
         Args:
             effects: sends messages and sets timers.
             rng: draws intervals and members.
-            replica: the replica that is kept in step.
+            replica: the replica to synchronize.
             config: intervals and limits.
-            live_members: names of the members that are reachable.
-            collection_members: names of the members that must have seen a tombstone
-                before it is dropped.
+            live_members: returns the names of the reachable members.
+            collection_members: returns the names of the members that must have seen a
+                tombstone before it is collected.
         """
         self._effects = effects
         self._rng = rng
@@ -111,17 +112,17 @@
         self._config = config
         self._live_members = live_members
         self._collection_members = collection_members
-        self._request_count = 0
+        self._last_request_id = 0
         self._pending: PendingRequest | None = None
         self._is_push_due = False
 
     def start(self, now_ms: float) -> None:
-        """Set the timer of the first request."""
+        """Schedule the first request."""
         delay_ms = self._rng.uniform(0.0, self._config.request_interval_ms)
         self._effects.set_timer(now_ms + delay_ms, AntiEntropyTimer.REQUEST)
 
     def schedule_push(self, now_ms: float) -> None:
-        """Set the timer of a push after local changes."""
+        """Schedule a push if there are local changes and none is scheduled."""
         if not self._is_push_due and self._replica.exchange.has_delta:
             self._is_push_due = True
             self._effects.set_timer(
@@ -129,42 +130,43 @@
             )
 
     def on_timer(self, now_ms: float, timer: AntiEntropyTimer) -> None:
-        """Act on a timer that has expired."""
+        """Handle an expired timer."""
         if timer is AntiEntropyTimer.PUSH:
             self._is_push_due = False
             self._push()
             return
-        share = self._rng.uniform(MIN_INTERVAL_SHARE, MAX_INTERVAL_SHARE)
+        interval_factor = self._rng.uniform(MIN_INTERVAL_FACTOR, MAX_INTERVAL_FACTOR)
         self._effects.set_timer(
-            now_ms + self._config.request_interval_ms * share, AntiEntropyTimer.REQUEST
+            now_ms + self._config.request_interval_ms * interval_factor,
+            AntiEntropyTimer.REQUEST,
         )
         self.send_request(now_ms)
         self._replica.tombstones.collect(self._collection_members())
 
     def send_request(self, now_ms: float, member: str | None = None) -> None:
-        """Ask a member, by default a random one, for what is missing here.
+        """Ask a member, by default a random one, for changes missing here.
 
-        Nothing is sent while the reply to an earlier request is awaited.
+        Sends nothing while an earlier request is outstanding.
         """
-        others = self._other_members()
+        other_members = self._other_members()
         is_awaiting_reply = (
             self._pending is not None and now_ms < self._pending.deadline_ms
         )
-        if is_awaiting_reply or not others:
+        if is_awaiting_reply or not other_members:
             return
-        self._request_count += 1
-        member = member or self._rng.choice(others)
+        self._last_request_id += 1
+        member = member or self._rng.choice(other_members)
         deadline_ms = now_ms + self._config.reply_timeout_ms
-        self._pending = PendingRequest(self._request_count, member, deadline_ms)
-        request = RequestMessage(self._request_count, self._replica.version_vector)
+        self._pending = PendingRequest(self._last_request_id, member, deadline_ms)
+        request = RequestMessage(self._last_request_id, self._replica.version_vector)
         self._effects.send(member, request)
 
     def on_message(self, now_ms: float, member: str, message: Message) -> None:
-        """Act on a message of a member.
+        """Handle a message from a member.
 
         Raises:
-            ValueError: an entry of the message is malformed; those before it are
-                merged.
+            ValueError: an entry of the message is malformed; the entries before it have
+                been merged.
         """
         if isinstance(message, PushMessage):
             self._on_push(now_ms, message)
@@ -187,7 +189,7 @@
             self._effects.send(member, message)
 
     def _on_push(self, now_ms: float, message: PushMessage) -> None:
-        if not self._replica.tombstones.is_behind(message.version_vector):
+        if not self._replica.tombstones.needs_full_state(message.version_vector):
             self._replica.exchange.apply_push(message.replica_id, message.delta, now_ms)
 
     def _on_request(self, member: str, message: RequestMessage) -> None:
@@ -196,7 +198,7 @@
             self._effects.send(
                 member,
                 ReplyMessage(
-                    message.number, part, len(reply.parts), reply.header, rows
+                    message.request_id, part, len(reply.parts), reply.header, rows
                 ),
             )
 
@@ -204,11 +206,16 @@
         pending = self._pending
         if pending is None:
             return
-        if (pending.number, pending.member) != (message.number, member):
+        if (pending.request_id, pending.member) != (message.request_id, member):
             return
-        if not 0 <= message.part < message.part_count <= self._config.max_reply_parts:
+        if (
+            not 0
+            <= message.part_index
+            < message.part_count
+            <= self._config.max_reply_parts
+        ):
             return
-        pending.parts[message.part] = message.rows
+        pending.parts[message.part_index] = message.rows
         if len(pending.parts) == message.part_count:
             self._pending = None
             rows = [
--- a/wheathill/store/delta_buffer.py
+++ b/wheathill/store/delta_buffer.py
@@ -1,4 +1,4 @@
-"""Local changes that were not pushed to the other members yet."""
+"""Buffer of local changes that have not been pushed to the other members."""
 
 from dataclasses import dataclass
 
@@ -9,12 +9,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Delta:
-    """Changes of one replica.
+    """Changes made by one replica.
 
     Attributes:
-        first_sequence: first change that the entries stand for.
-        last_sequence: last of these. Both are 0 where the entries stand for no whole
-            range.
+        first_sequence: sequence number of the first change that the entries cover.
+        last_sequence: sequence number of the last one. Both are 0 if the entries do not
+            cover a contiguous range.
         rows: encoded entries.
     """
 
@@ -24,35 +24,36 @@
 
 
 class DeltaBuffer:
-    """Keys that were changed here since the last push."""
+    """Keys of the entries changed by this replica since the last push."""
 
     def __init__(self) -> None:
         self._keys: dict[EntryKey, None] = {}
-        self._has_gap = False  # a changed entry was removed before it was pushed
+        self._has_gap = False  # a changed entry was removed before its push
         self._last_pushed_sequence = 0
 
     @property
     def is_empty(self) -> bool:
-        """Whether there is nothing to push."""
+        """Whether there are no changes to push."""
         return not self._keys
 
     def add(self, key: EntryKey) -> None:
-        """Note a local change."""
+        """Record a local change."""
         self._keys[key] = None
 
-    def entry_removed(self, key: EntryKey) -> None:
-        """Note that an entry was removed without a trace.
+    def record_removal(self, key: EntryKey) -> None:
+        """Record that an entry was removed without leaving a tombstone.
 
-        What its change would have sent is lost with it.
+        If the entry had unpushed changes, they can no longer be sent, so the next delta
+        does not cover a contiguous range.
         """
         self._has_gap |= key in self._keys
 
     def take(self, table: EntryTable, last_sequence: int) -> Delta:
-        """Return and clear what has gathered.
+        """Return the buffered changes and clear the buffer.
 
         Args:
             table: the entries of this replica.
-            last_sequence: the last change of this replica.
+            last_sequence: sequence number of this replica's last change.
         """
         keys, has_gap = self._keys, self._has_gap
         self._keys, self._has_gap = {}, False
--- a/wheathill/store/entry_decoding.py
+++ b/wheathill/store/entry_decoding.py
@@ -1,25 +1,25 @@
-"""Checks of the stored form of entries; all raise `MalformedEntryError`."""
+"""Validation of the stored form of entries; failures raise `MalformedEntryError`."""
 
 from wheathill.store.errors import MalformedEntryError
 from wheathill.store.version_vector import VersionVector
 
-NO_ENTRY = "no entry of the store"
+MALFORMED_ENTRY = "malformed store entry"
 
 
 def decode_vector(encoded: object) -> VersionVector:
-    """Return the version vector of its stored form."""
+    """Decode a version vector from its stored form."""
     if not isinstance(encoded, dict):
-        raise MalformedEntryError(NO_ENTRY)
-    check(all(isinstance(sequence, int) for sequence in encoded.values()))
+        raise MalformedEntryError(MALFORMED_ENTRY)
+    require(all(isinstance(sequence, int) for sequence in encoded.values()))
     return VersionVector(encoded)
 
 
-def check_fields(encoded: object, count: int) -> None:
-    """Raise unless the data is a list of that many fields."""
-    check(isinstance(encoded, list) and len(encoded) == count)
+def require_field_count(encoded: object, count: int) -> None:
+    """Raise unless the data is a list of `count` fields."""
+    require(isinstance(encoded, list) and len(encoded) == count)
 
 
-def check(is_well_formed: bool) -> None:
-    """Raise unless a condition on the data holds."""
+def require(is_well_formed: bool) -> None:
+    """Raise unless the data is well formed."""
     if not is_well_formed:
-        raise MalformedEntryError(NO_ENTRY)
+        raise MalformedEntryError(MALFORMED_ENTRY)
--- a/wheathill/store/entry_key.py
+++ b/wheathill/store/entry_key.py
@@ -1,11 +1,11 @@
-"""Identity of entries."""
+"""Keys that identify entries."""
 
 from enum import StrEnum
 from typing import NamedTuple
 
 
 class EntryKind(StrEnum):
-    """Data types of the store; the values are what is stored and sent."""
+    """Data types of the store; the values are used on disk and on the wire."""
 
     REGISTER = "register"
     COUNTER = "counter"
@@ -14,13 +14,15 @@
 
 
 class EntryKey(NamedTuple):
-    """Identity of an entry.
+    """Key of an entry, encoded as an array of three strings.
 
-    `part` is the instance that owns this part of a counter, or the element of a set; it
-    is empty for registers and leases. The tuple is encoded as an array of three
-    strings.
+    Attributes:
+        kind: data type of the entry.
+        name: name of the register, counter, set or lease.
+        subkey: for a counter the instance that owns this part of it, for a set the
+            element; empty for registers and leases.
     """
 
     kind: EntryKind
     name: str
-    part: str = ""
+    subkey: str = ""
--- a/wheathill/store/entry_table.py
+++ b/wheathill/store/entry_table.py
@@ -1,4 +1,4 @@
-"""The entries of one replica, with their sizes and tombstones."""
+"""Table of a replica's entries, with their sizes and an index of tombstones."""
 
 from collections.abc import ItemsView
 
@@ -9,12 +9,12 @@
 
 
 class EntryTable:
-    """Entries in the order of their last change, the oldest first.
+    """Entries ordered by their last change, oldest first.
 
     Attributes:
-        live_bytes: encoded size of all entries that are no tombstones.
-        live_count: number of these.
-        tombstones: keys of tombstones, the oldest first; the values carry nothing.
+        live_bytes: total encoded size of all entries that are not tombstones.
+        live_count: number of entries that are not tombstones.
+        tombstones: keys of the tombstones, oldest first: a dict used as an ordered set.
     """
 
     def __init__(self) -> None:
@@ -31,17 +31,17 @@
         return self._entries[key]
 
     def get(self, key: EntryKey) -> Entry | None:
-        """Return the entry of that key, which may be a tombstone, or None."""
+        """Return the entry for a key, possibly a tombstone, or None."""
         return self._entries.get(key)
 
     def items(self) -> ItemsView[EntryKey, Entry]:
-        """Return keys and entries, tombstones included."""
+        """Return all keys and entries, including tombstones."""
         return self._entries.items()
 
     def put(self, key: EntryKey, entry: Entry) -> None:
-        """Add or replace an entry, and move it to the end of the order."""
+        """Add or replace an entry and move it to the end of the order."""
         size = len(msgpack.encode([key, entry.encode()])) if entry.is_live else 0
-        self._account(key, size)
+        self._update_totals(key, size)
         self._entries.pop(key, None)
         self._entries[key] = entry
         self._sizes[key] = size
@@ -50,16 +50,13 @@
             self.tombstones[key] = None
 
     def remove(self, key: EntryKey) -> None:
-        """Remove an entry without a trace."""
-        self._account(key, 0)
+        """Remove an entry without leaving a tombstone."""
+        self._update_totals(key, 0)
         del self._entries[key], self._sizes[key]
         self.tombstones.pop(key, None)
 
     def oldest_live_key(self, kind: EntryKind) -> EntryKey | None:
-        """Return the key of the oldest live entry of that kind, or None.
-
-        Its last change is the longest ago.
-        """
+        """Return the key of a kind's least recently changed live entry, or None."""
         return next(
             (
                 key
@@ -69,15 +66,15 @@
             None,
         )
 
-    def live_parts(self, kind: EntryKind, name: str) -> list[tuple[str, Entry]]:
-        """Return (part, entry) of all live entries under one name."""
+    def live_entries(self, kind: EntryKind, name: str) -> list[tuple[str, Entry]]:
+        """Return (subkey, entry) of all live entries with one name."""
         return [
-            (key.part, entry)
+            (key.subkey, entry)
             for key, entry in self._entries.items()
             if key.kind == kind and key.name == name and entry.is_live
         ]
 
-    def _account(self, key: EntryKey, size: int) -> None:
+    def _update_totals(self, key: EntryKey, size: int) -> None:
         previous = self._sizes.get(key, 0)
         self.live_bytes += size - previous
         self.live_count += bool(size) - bool(previous)
--- a/wheathill/store/errors.py
+++ b/wheathill/store/errors.py
@@ -2,19 +2,19 @@
 
 
 class StoreError(Exception):
-    """Base of all errors that the store raises."""
+    """Base class of all errors raised by the store."""
 
 
 class DiskError(StoreError):
     """A file of the store can't be read or written.
 
-    The text names the file and what is wrong with it.
+    The message names the file and the problem.
     """
 
 
 class MalformedEntryError(StoreError, ValueError):
-    """Data that stands for no entry of the store."""
+    """Data is not a valid entry of the store."""
 
 
 class MalformedMessageError(StoreError, ValueError):
-    """Data that stands for no message of the anti-entropy protocol."""
+    """Data is not a valid message of the anti-entropy protocol."""
--- a/wheathill/store/eviction.py
+++ b/wheathill/store/eviction.py
@@ -1,8 +1,9 @@
-"""Eviction of entries when a replica reaches its limits.
+"""Eviction of entries when a replica exceeds its limits.
 
-Tombstones do not count: they go by themselves once all members have seen them, and a
-member that is gone for long does not count. If they were evicted sooner, two replicas
-that have each dropped what the other has not seen would wait for one another for good.
+Tombstones do not count towards the limits. They are collected once all members have
+seen them, not counting members that have been absent for long. If tombstones were
+evicted earlier, two replicas that had each dropped one that the other had not seen
+would wait for each other's full state forever.
 """
 
 from dataclasses import dataclass
@@ -13,7 +14,7 @@
 from wheathill.store.set_element import SetElementEntry
 from wheathill.store.value_entries import new_value_entry
 
-KINDS_BY_VALUE = (
+KINDS_BY_PRIORITY = (
     EntryKind.REGISTER,
     EntryKind.LEASE,
     EntryKind.SET,
@@ -26,18 +27,23 @@
     """Limits on the live entries of a replica.
 
     Attributes:
-        max_entries: number of live entries.
-        max_bytes: their encoded size.
-        kinds_by_value: the most valuable kind first; the last is evicted first.
+        max_entries: maximum number of live entries.
+        max_bytes: maximum total encoded size of the live entries.
+        kinds_by_priority: kinds in order of decreasing priority; entries of the last
+            kind are evicted first.
     """
 
     max_entries: int
     max_bytes: int
-    kinds_by_value: tuple[EntryKind, ...] = KINDS_BY_VALUE
+    kinds_by_priority: tuple[EntryKind, ...] = KINDS_BY_PRIORITY
 
 
 class Evictor:
-    """Deletes the oldest entries of the least valuable kind over a limit."""
+    """Deletes the oldest entries of the lowest-priority kind while a limit is exceeded.
+
+    Attributes:
+        evicted_count: number of entries deleted so far.
+    """
 
     def __init__(self, state: ReplicaState, limits: StoreLimits) -> None:
         self._state = state
@@ -45,20 +51,20 @@
         self.evicted_count = 0
 
     def enforce_limits(self) -> None:
-        """Evict until the limits hold or nothing is left to evict."""
+        """Evict entries until the limits are met or no live entry is left."""
         table = self._state.table
         while (
             table.live_bytes > self._limits.max_bytes
             or table.live_count > self._limits.max_entries
         ):
-            key = self._next_key()
+            key = self._next_eviction_key()
             if key is None:
                 return
             self.evicted_count += 1
             self._state.store_local_change(key, self._tombstone(key))
 
-    def _next_key(self) -> EntryKey | None:
-        for kind in reversed(self._limits.kinds_by_value):
+    def _next_eviction_key(self) -> EntryKey | None:
+        for kind in reversed(self._limits.kinds_by_priority):
             key = self._state.table.oldest_live_key(kind)
             if key is not None:
                 return key
--- a/wheathill/store/exchange.py
+++ b/wheathill/store/exchange.py
@@ -1,4 +1,4 @@
-"""What a replica sends to others and takes from them, without the protocol."""
+"""Deltas and replies that a replica produces and applies, apart from the protocol."""
 
 from dataclasses import dataclass
 
@@ -15,14 +15,15 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplyHeader:
-    """What all parts of a reply state of the replica that made it.
+    """State of the replying replica, repeated in all parts of a reply.
 
     Attributes:
-        is_full_state: whether the reply holds all entries, not only those that the
-            other lacks.
-        version_vector: vector that the reply brings the other to.
-        collected_vector: dots of the tombstones that were dropped.
-        collected_lamport_time: latest Lamport time of these.
+        is_full_state: whether the reply contains all entries, not only those that the
+            requester lacks.
+        version_vector: changes that the requester includes once it has applied the
+            reply.
+        collected_vector: dots of the collected tombstones.
+        collected_lamport_time: latest Lamport time of the collected tombstones.
     """
 
     is_full_state: bool
@@ -33,17 +34,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Reply:
-    """A reply in at least one part, each of which one message holds."""
+    """A reply split into one or more parts, each of which fits one message."""
 
     header: ReplyHeader
     parts: list[list[EncodedRow]]
 
 
 class ReplicaExchange:
-    """Answers version vectors with entries, and takes pushes and replies in.
+    """Answers version vectors with entries, and applies pushes and replies.
 
-    Nothing is taken from a replica that is behind the collection of tombstones, until
-    it has taken the full state itself.
+    Replies from a replica that lacks collected tombstones are ignored until it has
+    applied the full state itself; `AntiEntropy` ignores its pushes as well.
     """
 
     def __init__(
@@ -68,22 +69,22 @@
         return self._state.delta.take(self._state.table, self._state.last_sequence)
 
     def apply_push(self, replica_id: str, delta: Delta, now_ms: float) -> bool:
-        """Merge changes of one replica; return whether this one changed.
+        """Merge changes made by another replica; return whether this one changed.
 
-        With none missing before them the changes count as seen, else the next reply
-        brings the rest.
+        The version vector advances only if no earlier change of that replica is
+        missing; otherwise the next reply delivers the missing changes.
         """
         has_changed = self._merger.merge(delta.rows, now_ms)
-        seen = self._state.version_vector
-        first = delta.first_sequence
-        if first and seen.get(replica_id, 0) >= first - 1:
-            seen.advance(replica_id, delta.last_sequence)
+        vector = self._state.version_vector
+        first_sequence = delta.first_sequence
+        if first_sequence and vector.get(replica_id, 0) >= first_sequence - 1:
+            vector.advance(replica_id, delta.last_sequence)
         return has_changed
 
     def reply_to(self, member: str, vector: VersionVector) -> Reply:
-        """Return what a member with that vector lacks."""
+        """Return the entries that a member with the given version vector lacks."""
         self._tombstones.record_peer_vector(member, vector)
-        is_full_state = self._tombstones.is_behind(vector)
+        is_full_state = self._tombstones.needs_full_state(vector)
         rows = [
             encode_row(key, entry)
             for key, entry in self._state.table.items()
@@ -106,11 +107,11 @@
     ) -> bool:
         """Merge all entries of a reply; return whether this replica changed."""
         vector = header.version_vector
-        if self._tombstones.is_behind(vector):
-            return False  # the sender needs the full state itself first
+        if self._tombstones.needs_full_state(vector):
+            return False  # the sender must apply the full state first
         has_changed = False
         if header.is_full_state:
-            self._tombstones.adopt(
+            self._tombstones.merge_collected(
                 header.collected_vector, header.collected_lamport_time
             )
             has_changed = self._reconciler.remove_deleted(rows, vector)
--- a/wheathill/store/full_state.py
+++ b/wheathill/store/full_state.py
@@ -1,6 +1,7 @@
-"""Taking over the full state of another replica.
+"""Reconciliation with the full state of another replica.
 
-It is needed after an absence that outlasted tombstones.
+It is needed when this replica was absent for so long that tombstones it had not seen
+were collected.
 """
 
 from collections.abc import Iterable
@@ -18,10 +19,10 @@
 class FullStateReconciler:
     """Prepares a replica for the merge of a full state.
 
-    What the sender has seen and no longer has was deleted there, and its tombstone
-    dropped: it goes here too. What was written here meanwhile, or learnt from others
-        that were away, is written again, later than
-    anything that a dropped tombstone may have won over.
+    An entry that the sender has seen but no longer stores was deleted there and its
+    tombstone collected, so it is removed here too. An entry that was written here in
+    the meantime, or received from other absent replicas, is rewritten with a Lamport
+    time later than any write that a collected tombstone may supersede.
     """
 
     def __init__(
@@ -34,22 +35,23 @@
     def remove_deleted(
         self, rows: Iterable[EncodedRow], sender_vector: VersionVector
     ) -> bool:
-        """Remove what the sender has seen and no longer has.
+        """Remove entries and adds that the sender has seen but no longer stores.
 
-        Return whether anything was removed.
+        Returns:
+            Whether anything was removed.
         """
         sender_entries = dict(decode_row(row) for row in rows)
         has_changed = False
         for key, entry in list(self._state.table.items()):
-            theirs = sender_entries.get(key)
-            if theirs is None:
+            sender_entry = sender_entries.get(key)
+            if sender_entry is None:
                 if sender_vector.covers(entry.current_dots()):
                     self._state.remove(key)
                     has_changed = True
             elif isinstance(entry, SetElementEntry):
-                assert isinstance(theirs, SetElementEntry)
+                assert isinstance(sender_entry, SetElementEntry)
                 has_changed |= self._remove_deleted_adds(
-                    key, entry, theirs, sender_vector
+                    key, entry, sender_entry, sender_vector
                 )
         return has_changed
 
@@ -57,18 +59,18 @@
         self,
         key: EntryKey,
         entry: SetElementEntry,
-        theirs: SetElementEntry,
+        sender_entry: SetElementEntry,
         sender_vector: VersionVector,
     ) -> bool:
-        """Remove the adds that the sender let go of.
+        """Remove the adds of an element that the sender no longer stores.
 
-        The element may be in the set there by a later add only.
+        The sender may have the element in the set only because of a later add.
         """
         adds = VersionVector(
             (replica_id, sequence)
             for replica_id, sequence in entry.adds.items()
             if sequence > sender_vector.get(replica_id, 0)
-            or theirs.adds.get(replica_id, 0) >= sequence
+            or sender_entry.adds.get(replica_id, 0) >= sequence
         )
         if len(adds) == len(entry.adds):
             return False
@@ -76,16 +78,16 @@
             (replica_id, sequence)
             for replica_id, sequence in entry.changes.items()
             if sequence > sender_vector.get(replica_id, 0)
-            or replica_id in theirs.changes
+            or replica_id in sender_entry.changes
         )
-        kept = SetElementEntry(
-            entry.lamport_time, adds, entry.removals, changes or theirs.changes
+        remaining_entry = SetElementEntry(
+            entry.lamport_time, adds, entry.removals, changes or sender_entry.changes
         )
-        self._state.store(key, kept)
+        self._state.store(key, remaining_entry)
         return True
 
     def rewrite_unseen(self, sender_vector: VersionVector) -> None:
-        """Write again what is not known where tombstones were dropped."""
+        """Rewrite live entries that the sender lacks and might treat as superseded."""
         for key, entry in list(self._state.table.items()):
             if self._may_be_superseded(entry, sender_vector):
                 self._rewrite(key, entry)
@@ -99,9 +101,9 @@
 
     def _rewrite(self, key: EntryKey, entry: Entry) -> None:
         if isinstance(entry, SetElementEntry):
-            self._writer.add_element(key.name, key.part)
-        elif isinstance(entry, CounterEntry) and key.part != self._state.instance:
-            # The instance that owns this part of the counter writes it again itself.
+            self._writer.add_element(key.name, key.subkey)
+        elif isinstance(entry, CounterEntry) and key.subkey != self._state.instance:
+            # The instance that owns this part of the counter rewrites it itself.
             self._state.remove(key)
         else:
             assert isinstance(entry, LastWriterWinsEntry)
--- a/wheathill/store/leases.py
+++ b/wheathill/store/leases.py
@@ -1,8 +1,8 @@
 """Leases, timed by each instance's own monotonic clock.
 
-A holder counts the term from before the lease was written, the others from when they
-first saw it, with a margin between the two. No instance has to trust another one's
-clock.
+The holder measures the term from before it wrote the lease, the other instances from
+when they first saw it, with a safety margin in between. No instance depends on another
+instance's clock.
 """
 
 from wheathill.store.entry_key import EntryKey, EntryKind
@@ -10,24 +10,24 @@
 from wheathill.store.replica_state import ReplicaState
 from wheathill.store.value_entries import Lease, LeaseEntry
 
-# Share of a term that its holder gives up early, and that others wait longer: room for
-# clocks that run at different rates.
+# Fraction of the term by which the holder stops early and the others wait longer, to
+# tolerate clocks that run at different rates.
 LEASE_MARGIN = 0.1
 
 
 class LeaseManager:
-    """Takes, renews and checks the leases of a replica."""
+    """Acquires, renews and checks leases on behalf of a replica."""
 
     def __init__(self, state: ReplicaState, writer: LocalWriter) -> None:
         self._state = state
         self._writer = writer
 
     def acquire(self, name: str, now_ms: float, term_ms: float) -> bool:
-        """Take or renew a lease; return False while another instance may hold it.
+        """Acquire or renew a lease; return False while another instance may hold it.
 
-        Two instances that can't reach each other may both take one. The later write
-        wins when they converge, so what the lease guards must compare the fencing
-        token, which only grows.
+        Two partitioned instances may both acquire the same lease. The later write wins
+        when they converge, so the protected resource must compare the fencing token,
+        which never decreases.
         """
         key = EntryKey(EntryKind.LEASE, name)
         current = self.current(name)
@@ -35,11 +35,11 @@
         if current is not None:
             token = current.token
             if current.owner != self._state.replica_id:
-                if now_ms < self._free_for_others_ms(key, current):
+                if now_ms < self._expiry_for_others_ms(key, current):
                     return False
                 token += 1
             elif not self.holds(name, now_ms):
-                token += 1  # it had expired: another instance may have seen it so
+                token += 1  # it had expired, which another instance may have noticed
         lease = Lease(self._state.replica_id, token, term_ms)
         self._writer.write_value(key, lease.encode())
         self._state.lease_first_seen_ms[key] = now_ms
@@ -48,22 +48,22 @@
     def holds(self, name: str, now_ms: float) -> bool:
         """Return whether this replica holds the lease.
 
-        A process that was suspended for longer than the term resumes without it, and a
-        restarted one holds nothing.
+        A process that was suspended for longer than the term no longer holds the lease
+        when it resumes, and a restarted process holds none.
         """
         lease = self.current(name)
         if lease is None or lease.owner != self._state.replica_id:
             return False
-        taken_ms = self._state.lease_first_seen_ms[EntryKey(EntryKind.LEASE, name)]
-        return now_ms < taken_ms + lease.term_ms * (1 - LEASE_MARGIN)
+        acquired_ms = self._state.lease_first_seen_ms[EntryKey(EntryKind.LEASE, name)]
+        return now_ms < acquired_ms + lease.term_ms * (1 - LEASE_MARGIN)
 
     def current(self, name: str) -> Lease | None:
-        """Return the lease as it was last written, expired or not."""
+        """Return the lease as last written, even if it has expired."""
         entry = self._state.table.get(EntryKey(EntryKind.LEASE, name))
         if isinstance(entry, LeaseEntry) and entry.is_live:
             return entry.lease
         return None
 
-    def _free_for_others_ms(self, key: EntryKey, lease: Lease) -> float:
+    def _expiry_for_others_ms(self, key: EntryKey, lease: Lease) -> float:
         first_seen_ms = self._state.lease_first_seen_ms[key]
         return first_seen_ms + lease.term_ms * (1 + LEASE_MARGIN)
--- a/wheathill/store/merging.py
+++ b/wheathill/store/merging.py
@@ -1,4 +1,4 @@
-"""Merging entries of other replicas into this one."""
+"""Merges entries received from other replicas into this one."""
 
 from collections.abc import Iterable
 
@@ -12,10 +12,10 @@
 
 
 class Merger:
-    """Merges entries one by one.
+    """Merges received entries one at a time.
 
-    An entry that is absent here while its dots are in the version vector was deleted
-    here: it is not taken in again, however late or from whichever member it arrives.
+    An entry that is absent here although the version vector covers its dots was deleted
+    here. It is not added again, however late and from whichever member it arrives.
     """
 
     def __init__(self, state: ReplicaState, evictor: Evictor) -> None:
@@ -25,10 +25,11 @@
     def merge(self, rows: Iterable[EncodedRow], now_ms: float) -> bool:
         """Merge encoded entries; return whether this replica changed.
 
-        The version vector stays as it is: only a complete reply may advance it.
+        The version vector is not advanced, because the entries alone do not show
+        whether earlier changes are missing. The caller advances it if none is missing.
 
         Raises:
-            ValueError: an entry is malformed; those before it are merged.
+            ValueError: an entry is malformed; the entries before it have been merged.
         """
         has_changed = False
         for row in rows:
@@ -41,7 +42,7 @@
         previous = state.table.get(key)
         state.observe_time(entry.lamport_time)
         if previous is None and state.version_vector.covers(entry.current_dots()):
-            return False  # seen, and deleted since
+            return False  # already seen, and deleted since
         if isinstance(entry, SetElementEntry):
             assert previous is None or isinstance(previous, SetElementEntry)
             entry = self._without_deleted_adds(entry, previous)
@@ -58,16 +59,17 @@
     def _without_deleted_adds(
         self, entry: SetElementEntry, previous: SetElementEntry | None
     ) -> SetElementEntry:
-        """Leave out adds that were seen here and are no longer held.
+        """Return the entry without adds that this replica has seen and since removed.
 
-        They were removed here.
+        The version vector covers such adds, but the stored entry no longer has them.
         """
-        held = previous.adds if previous is not None else VersionVector()
-        seen = self._state.version_vector
+        previous_adds = previous.adds if previous is not None else VersionVector()
+        version_vector = self._state.version_vector
         adds = VersionVector(
             (replica_id, sequence)
             for replica_id, sequence in entry.adds.items()
-            if sequence > seen.get(replica_id, 0) or held.get(replica_id, 0) >= sequence
+            if sequence > version_vector.get(replica_id, 0)
+            or previous_adds.get(replica_id, 0) >= sequence
         )
         if len(adds) == len(entry.adds):
             return entry
--- a/wheathill/store/messages.py
+++ b/wheathill/store/messages.py
@@ -1,6 +1,6 @@
 """Messages of the anti-entropy protocol.
 
-On the wire each is a msgpack array that begins with the message's kind.
+On the wire each message is a msgpack array that begins with the kind of the message.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class MessageKind(StrEnum):
-    """First field of a message on the wire."""
+    """Kind of a message: its first field on the wire."""
 
     PUSH = "push"
     REQUEST = "store?"
@@ -29,11 +29,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PushMessage:
-    """Changes of the sender since its last push.
+    """Changes made by the sender since its last push.
 
     Attributes:
         replica_id: replica that made the changes.
-        version_vector: what the sender has seen.
+        version_vector: changes that the sender includes.
         delta: the changes.
     """
 
@@ -42,7 +42,7 @@
     delta: Delta
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
+        """Return the fields in wire order, the kind first."""
         return [
             MessageKind.PUSH,
             self.replica_id,
@@ -54,7 +54,7 @@
 
     @staticmethod
     def decode(fields: list[Any]) -> PushMessage:
-        """Return the message of its fields behind the kind."""
+        """Decode the message from the fields that follow the kind."""
         replica_id, first_sequence, last_sequence, vector, rows = fields
         delta = Delta(first_sequence, last_sequence, rows)
         return PushMessage(replica_id, _decode_vector(vector), delta)
@@ -62,25 +62,25 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestMessage:
-    """Asks for what the sender lacks.
+    """Asks for the changes that the sender lacks.
 
     Attributes:
-        number: number of the request, repeated in the reply.
-        version_vector: what the sender has seen.
+        request_id: id of the request, repeated in the reply.
+        version_vector: changes that the sender includes.
     """
 
-    number: int
+    request_id: int
     version_vector: VersionVector
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
-        return [MessageKind.REQUEST, self.number, self.version_vector]
+        """Return the fields in wire order, the kind first."""
+        return [MessageKind.REQUEST, self.request_id, self.version_vector]
 
     @staticmethod
     def decode(fields: list[Any]) -> RequestMessage:
-        """Return the message of its fields behind the kind."""
-        number, vector = fields
-        return RequestMessage(number, _decode_vector(vector))
+        """Decode the message from the fields that follow the kind."""
+        request_id, vector = fields
+        return RequestMessage(request_id, _decode_vector(vector))
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,25 +88,25 @@
     """One part of the reply to a request.
 
     Attributes:
-        number: number of the request.
-        part: index of this part, from 0 up.
+        request_id: id of the request.
+        part_index: index of this part, starting at 0.
         part_count: number of parts of the reply.
-        header: the same in all parts.
-        rows: encoded entries, decoded one at a time as they are merged.
+        header: state of the replying replica, identical in all parts.
+        rows: encoded entries, which are decoded one at a time during the merge.
     """
 
-    number: int
-    part: int
+    request_id: int
+    part_index: int
     part_count: int
     header: ReplyHeader
     rows: list[EncodedRow]
 
     def encode(self) -> list[Any]:
-        """Return the form on the wire."""
+        """Return the fields in wire order, the kind first."""
         return [
             MessageKind.REPLY,
-            self.number,
-            self.part,
+            self.request_id,
+            self.part_index,
             self.part_count,
             self.header.is_full_state,
             self.header.version_vector,
@@ -117,8 +117,8 @@
 
     @staticmethod
     def decode(fields: list[Any]) -> ReplyMessage:
-        """Return the message of its fields behind the kind."""
-        number, part, part_count, *header_fields, rows = fields
+        """Decode the message from the fields that follow the kind."""
+        request_id, part_index, part_count, *header_fields, rows = fields
         is_full_state, vector, collected_vector, collected_lamport_time = header_fields
         header = ReplyHeader(
             is_full_state,
@@ -126,7 +126,7 @@
             _decode_vector(collected_vector),
             collected_lamport_time,
         )
-        return ReplyMessage(number, part, part_count, header, rows)
+        return ReplyMessage(request_id, part_index, part_count, header, rows)
 
 
 Message = PushMessage | RequestMessage | ReplyMessage
@@ -139,32 +139,32 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """Return a message as it goes on the wire."""
+    """Encode a message for transmission."""
     return msgspec.msgpack.encode(message.encode())
 
 
 def decode_message(data: bytes) -> Message:
-    """Return a message that was received.
+    """Decode a received message.
 
     Raises:
-        MalformedMessageError: the data is no message of the protocol.
+        MalformedMessageError: the data is not a valid message of the protocol.
     """
     try:
         kind, *fields = msgspec.msgpack.decode(data)
         decode = _DECODERS[kind]
     except (msgspec.DecodeError, TypeError, ValueError, KeyError):
-        raise MalformedMessageError("no message of the store") from None
+        raise MalformedMessageError("not a message of the store protocol") from None
     try:
         return decode(fields)
     except MalformedMessageError:
         raise
     except ValueError:
         raise MalformedMessageError(
-            f"{len(fields)} fields in a message {kind!r}"
+            f"unexpected field count {len(fields)} in a {kind!r} message"
         ) from None
 
 
 def _decode_vector(encoded: object) -> VersionVector:
     if not isinstance(encoded, dict):
-        raise MalformedMessageError("a version vector is no map")
+        raise MalformedMessageError("version vector is not a map")
     return VersionVector(encoded)
--- a/wheathill/store/replica.py
+++ b/wheathill/store/replica.py
@@ -1,9 +1,9 @@
-"""One instance's replica of the store, without I/O.
+"""One instance's replica of the store, free of I/O.
 
-It writes at once and converges with the other replicas by anti-entropy, by means of
-version vectors. Each start of an instance is a replica of its own, with a random
-generation in its id, so that a directory that was restored from an old copy can't give
-out a dot twice.
+Local writes take effect immediately, and anti-entropy based on version vectors makes
+the replicas converge. Each start of an instance is a separate replica with a random
+generation in its id, so that no dot is issued twice after a directory has been restored
+from an old copy.
 """
 
 import hashlib
@@ -32,11 +32,12 @@
 class Replica:
     """Registers, counters, sets and leases of one instance.
 
-    Times in milliseconds are of this process's monotonic clock and never leave it.
+    Times in milliseconds are readings of this process's monotonic clock and are never
+    sent to other processes.
 
     Attributes:
-        leases: takes and checks leases.
-        exchange: what is sent to and taken from other replicas.
+        leases: acquires and checks leases.
+        exchange: produces and applies deltas and replies.
         tombstones: garbage collection of tombstones.
     """
 
@@ -47,12 +48,12 @@
         persist: PersistCallback,
         limits: StoreLimits,
     ) -> None:
-        """Make an empty replica.
+        """Create an empty replica.
 
         Args:
             instance: name of the instance.
-            generation: text that no other start of the instance has.
-            persist: called with every change that is to be made durable.
+            generation: string that is unique to this start of the instance.
+            persist: called with every change that must be made durable.
             limits: limits on the live entries.
         """
         self._state = ReplicaState(instance, generation, persist)
@@ -69,7 +70,7 @@
 
     @property
     def instance(self) -> str:
-        """Name of the instance, the same after a restart."""
+        """Name of the instance, which is stable across restarts."""
         return self._state.instance
 
     @property
@@ -79,21 +80,21 @@
 
     @property
     def version_vector(self) -> VersionVector:
-        """Changes that are included here."""
+        """Changes that this replica includes."""
         return self._state.version_vector
 
     @property
     def table(self) -> EntryTable:
-        """All entries, tombstones included."""
+        """All entries, including tombstones."""
         return self._state.table
 
     @property
     def evicted_count(self) -> int:
-        """Number of entries that were deleted because of the limits."""
+        """Number of entries deleted because of the limits."""
         return self._evictor.evicted_count
 
-    def get_register(self, name: str) -> Any:  # noqa: ANN401 - whatever was written
-        """Return the value of a register, None where there is none."""
+    def get_register(self, name: str) -> Any:  # noqa: ANN401 - any encodable value
+        """Return the value of a register, or None if it is not set."""
         entry = self._state.table.get(EntryKey(EntryKind.REGISTER, name))
         return entry.value if isinstance(entry, RegisterEntry) else None
 
@@ -102,28 +103,29 @@
         self._writer.write_value(EntryKey(EntryKind.REGISTER, name), value)
 
     def delete_register(self, name: str) -> None:
-        """Delete a register, unless nothing is known of it."""
+        """Delete a register if the table contains it."""
         self._writer.delete(EntryKey(EntryKind.REGISTER, name))
 
     def counter_value(self, name: str) -> int:
-        """Return the sum of all instances' parts of a counter."""
-        parts = self._state.table.live_parts(EntryKind.COUNTER, name)
+        """Return the value of a counter: the sum of all instances' parts."""
+        parts = self._state.table.live_entries(EntryKind.COUNTER, name)
         return sum(entry.value for _, entry in parts if isinstance(entry, CounterEntry))
 
     def add_to_counter(self, name: str, amount: int) -> None:
-        """Add to a counter, to the part of this instance."""
+        """Add an amount to this instance's part of a counter."""
         self._writer.add_to_counter(name, amount)
 
     def delete_counter_parts(self, instance: str) -> None:
-        """Delete the parts of one instance in all counters.
+        """Delete the parts owned by one instance from all counters.
 
-        It is gone for good, or has restarted and counts from zero.
+        Used when the instance is gone permanently, or has restarted and counts from
+        zero.
         """
         self._writer.delete_counter_parts(instance)
 
     def set_elements(self, name: str) -> list[str]:
-        """Return the elements of a set, sorted."""
-        parts = self._state.table.live_parts(EntryKind.SET, name)
+        """Return the elements of a set in sorted order."""
+        parts = self._state.table.live_entries(EntryKind.SET, name)
         return sorted(element for element, _ in parts)
 
     def add_element(self, name: str, element: str) -> None:
@@ -131,16 +133,16 @@
         self._writer.add_element(name, element)
 
     def remove_element(self, name: str, element: str) -> None:
-        """Remove an element from a set, unless nothing is known of it."""
+        """Remove an element from a set if the table contains it."""
         self._writer.remove_element(name, element)
 
     def digest(self) -> str:
         """Return a hash of all live entries.
 
-        It is equal at two replicas exactly if they hold the same.
+        The digests of two replicas are equal exactly if their live entries are equal.
 
-        What a removal leaves behind in an element that is in the set again is not
-        covered: one replica may have let go of it, another not yet.
+        Traces of a removal in a set element that was added again are not covered,
+        because one replica may have discarded them already while another has not.
         """
         digest = hashlib.blake2b(digest_size=DIGEST_BYTES)
         table = self._state.table
@@ -149,7 +151,7 @@
         return digest.hexdigest()
 
     def snapshot(self) -> ReplicaSnapshot:
-        """Return all that is to be kept."""
+        """Return a snapshot of everything that must be stored."""
         return ReplicaSnapshot(
             self._state.lamport_time,
             VersionVector(self._state.version_vector),
@@ -159,10 +161,11 @@
         )
 
     def load_snapshot(self, snapshot: ReplicaSnapshot, now_ms: float) -> None:
-        """Start from a snapshot.
+        """Restore the replica from a snapshot.
 
-        Which changes were pushed is not known, so none is pushed again. The term of a
-        lease counts from now, as nobody knows for how long this instance was away.
+        The snapshot does not record which changes were pushed, so none is pushed again.
+        Lease terms start at `now_ms`, because it is unknown how long this instance was
+        absent.
         """
         self._state.lamport_time = snapshot.lamport_time
         self.load_vectors(
@@ -179,16 +182,16 @@
         collected_vector: VersionVector,
         collected_lamport_time: int,
     ) -> None:
-        """Replace the vectors and the time of collection by those of a log."""
+        """Restore the vectors and the Lamport time of collection from a log record."""
         self._state.version_vector = VersionVector(version_vector)
         self.tombstones.collected_vector = VersionVector(collected_vector)
         self.tombstones.collected_lamport_time = collected_lamport_time
 
     def load_entry(self, key: EntryKey, entry: Entry | None, now_ms: float) -> None:
-        """Replay one change of a log; None where the entry was removed."""
+        """Replay one change from a log; an `entry` of None removes the entry."""
         if entry is None:
             if key in self._state.table:
-                self._state.forget(key)
+                self._state.remove_from_memory(key)
             return
         self._state.table.put(key, entry)
         self._state.observe_time(entry.lamport_time)
@@ -196,13 +199,15 @@
             self._state.lease_first_seen_ms[key] = now_ms
 
     def include_previous_generation(self, last_replica_id: str | None) -> None:
-        """Cover what the last start on this directory changed.
+        """Include the changes of the last generation that used this directory.
 
-        It made its changes here and in order, so all up to the last are held. This is
-        not so of earlier
-        starts: the directory may be an old copy that was restored, and what they
-            changed after it came
-        from others, with gaps.
+        That generation made its changes here and in order, so all of them up to the
+        last one are present. This does not hold for earlier generations: the directory
+        may have been restored from an old copy, and their changes made after that copy
+        arrived from other members, possibly with gaps.
+
+        Args:
+            last_replica_id: id of the replica that last used the directory, or None.
         """
         for _, entry in self._state.table.items():
             for replica_id, sequence in entry.current_dots():
--- a/wheathill/store/replica_state.py
+++ b/wheathill/store/replica_state.py
@@ -1,4 +1,4 @@
-"""State that the parts of one replica share."""
+"""State shared by the components of one replica."""
 
 from collections.abc import Callable
 
@@ -8,21 +8,23 @@
 from wheathill.store.entry_table import EntryTable
 from wheathill.store.version_vector import Version, VersionVector
 
-# Called with each change that is to be made durable; None where an entry was removed.
+# Called with each change that must be made durable; None if the entry was removed.
 PersistCallback = Callable[[EntryKey, Entry | None], None]
 
 
 class ReplicaState:
-    """Entries, clock and version vector of a replica.
+    """Entries, Lamport clock and version vector of a replica.
 
     Attributes:
-        instance: name of the instance, the same after a restart.
+        instance: name of the instance, which is stable across restarts.
         replica_id: id of this start of the instance.
-        lamport_time: time of the last change that was made or seen.
-        version_vector: replica id -> up to which number its changes are included here.
-        lease_first_seen_ms: when each lease was first seen here, by this process's
-            monotonic clock.
-        delta: local changes that were not pushed yet.
+        table: all entries, including tombstones.
+        lamport_time: Lamport time of the latest change made or received.
+        version_vector: replica id -> sequence number up to which its changes are
+            included.
+        lease_first_seen_ms: time at which each lease was first seen here, by this
+            process's monotonic clock.
+        delta: local changes that have not been pushed yet.
     """
 
     def __init__(
@@ -39,36 +41,36 @@
 
     @property
     def last_sequence(self) -> int:
-        """Sequence number of the last local change, 0 before the first."""
+        """Sequence number of the last local change, or 0 if there was none."""
         return self.version_vector.get(self.replica_id, 0)
 
     def next_version(self) -> Version:
-        """Advance clock and sequence number for a local change."""
+        """Advance the Lamport clock and the sequence number for a local change."""
         self.lamport_time += 1
         sequence = self.version_vector[self.replica_id] = self.last_sequence + 1
         return Version(self.lamport_time, self.replica_id, sequence)
 
     def observe_time(self, lamport_time: int) -> None:
-        """Advance the clock to a time that was seen elsewhere."""
+        """Advance the Lamport clock to at least a time received from elsewhere."""
         self.lamport_time = max(self.lamport_time, lamport_time)
 
     def store(self, key: EntryKey, entry: Entry) -> None:
-        """Store an entry and make it durable."""
+        """Store and persist an entry."""
         self.table.put(key, entry)
         self._persist(key, entry)
 
     def store_local_change(self, key: EntryKey, entry: Entry) -> None:
-        """Store a change that was made here, which is to be pushed."""
+        """Store and persist a local change, and buffer it for the next push."""
         self.store(key, entry)
         self.delta.add(key)
 
     def remove(self, key: EntryKey) -> None:
-        """Remove an entry without a trace, and make that durable."""
-        self.forget(key)
+        """Remove an entry without leaving a tombstone, and persist the removal."""
+        self.remove_from_memory(key)
         self._persist(key, None)
 
-    def forget(self, key: EntryKey) -> None:
-        """Remove an entry without a trace, in memory only."""
+    def remove_from_memory(self, key: EntryKey) -> None:
+        """Remove an entry without leaving a tombstone, in memory only."""
         self.table.remove(key)
         self.lease_first_seen_ms.pop(key, None)
-        self.delta.entry_removed(key)
+        self.delta.record_removal(key)
--- a/wheathill/store/set_element.py
+++ b/wheathill/store/set_element.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from wheathill.store.entry_decoding import check, check_fields, decode_vector
+from wheathill.store.entry_decoding import decode_vector, require, require_field_count
 from wheathill.store.version_vector import Dot, Version, VersionVector
 
 SET_ELEMENT_FIELDS = 4
@@ -15,13 +15,13 @@
 class SetElementEntry:
     """One element of an observed-remove set.
 
-    It is in the set while some add was not observed by any removal, so that of a
-    concurrent add and removal the add wins.
+    The element is in the set while some add has not been observed by any removal, so an
+    add wins over a concurrent removal.
 
     Attributes:
-        lamport_time: time of the last change.
+        lamport_time: Lamport time of the last change.
         adds: replica id -> sequence number of its last add.
-        removals: replica id -> up to which sequence number its adds were observed by a
+        removals: replica id -> sequence number up to which its adds were observed by a
             removal.
         changes: replica id -> sequence number of its last change.
     """
@@ -40,15 +40,15 @@
         )
 
     def current_dots(self) -> tuple[tuple[str, int], ...]:
-        """Return the dots of the last change of each replica."""
+        """Return the dot of each replica's last change."""
         return tuple(self.changes.items())
 
     def all_dots(self) -> tuple[tuple[str, int], ...]:
-        """Return the same as `current_dots`: adds and removals win over nothing."""
+        """Return `current_dots`, as adds and removals do not supersede writes."""
         return self.current_dots()
 
     def digest_state(self) -> list[Any]:
-        """Return the adds by which the element is in the set."""
+        """Return the adds that no removal has observed, sorted."""
         return sorted(
             [replica_id, sequence]
             for replica_id, sequence in self.adds.items()
@@ -66,7 +66,7 @@
         )
 
     def with_removal(self, version: Version) -> SetElementEntry:
-        """Return the element after a removal that observed all adds of this one."""
+        """Return the element after a removal that observed all its current adds."""
         return SetElementEntry(
             version.lamport_time,
             self.adds,
@@ -75,7 +75,7 @@
         )
 
     def merge(self, other: SetElementEntry) -> SetElementEntry:
-        """Return the join of both."""
+        """Return the join of this entry and another one."""
         return SetElementEntry(
             max(self.lamport_time, other.lamport_time),
             self.adds.merged_with(other.adds),
@@ -84,7 +84,7 @@
         )
 
     def encode(self) -> list[Any]:
-        """Return the form that is stored and sent, with sorted replicas."""
+        """Return the form for disk and wire, with the replicas sorted."""
         return [
             self.lamport_time,
             *(
@@ -95,14 +95,14 @@
 
     @classmethod
     def decode(cls, encoded: list[Any]) -> SetElementEntry:
-        """Return the entry of its stored form.
+        """Decode the entry from its stored form.
 
         Raises:
-            MalformedEntryError: the data is no such entry.
+            MalformedEntryError: the data is not a valid set element.
         """
-        check_fields(encoded, SET_ELEMENT_FIELDS)
+        require_field_count(encoded, SET_ELEMENT_FIELDS)
         lamport_time, adds, removals, changes = encoded
-        check(isinstance(lamport_time, int) and bool(changes))
+        require(isinstance(lamport_time, int) and bool(changes))
         return cls(
             lamport_time,
             decode_vector(adds),
--- a/wheathill/store/snapshot.py
+++ b/wheathill/store/snapshot.py
@@ -1,4 +1,4 @@
-"""Snapshot of a whole replica."""
+"""Snapshot of a replica."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaSnapshot:
-    """All that a replica keeps.
+    """Complete durable state of a replica.
 
     Attributes:
-        lamport_time: time of the last change.
-        version_vector: changes that are included.
-        collected_vector: dots of the tombstones that were dropped.
-        collected_lamport_time: latest Lamport time of these.
+        lamport_time: Lamport time of the latest change made or received.
+        version_vector: changes that the replica includes.
+        collected_vector: dots of the collected tombstones.
+        collected_lamport_time: latest Lamport time of the collected tombstones.
         entries: keys and entries, in the order of their last change.
     """
 
@@ -29,7 +29,7 @@
     entries: list[tuple[EntryKey, Entry]]
 
     def encode(self) -> list[Any]:
-        """Return the stored form."""
+        """Return the stored form of the snapshot."""
         return [
             self.lamport_time,
             self.version_vector,
@@ -40,10 +40,10 @@
 
     @staticmethod
     def decode(encoded: list[Any]) -> ReplicaSnapshot:
-        """Return the snapshot of its stored form.
+        """Decode a snapshot from its stored form.
 
         Raises:
-            ValueError: the data is no snapshot.
+            ValueError: the data is not a valid snapshot.
         """
         lamport_time, version_vector, collected_vector, collected_lamport_time, rows = (
             encoded
--- a/wheathill/store/tombstones.py
+++ b/wheathill/store/tombstones.py
@@ -1,8 +1,8 @@
 """Garbage collection of tombstones.
 
-A tombstone is dropped once every member that counts has seen it. A member that has not
-(it was away) is behind: it has to be sent the full state, and nothing is taken from it
-before.
+A tombstone is collected once every member that counts has seen it. A member that was
+absent and has not seen a collected tombstone must be sent the full state, and none of
+its entries are merged before it has applied that state.
 """
 
 from collections.abc import Iterable, Mapping
@@ -13,11 +13,11 @@
 
 
 class TombstoneCollector:
-    """Drops tombstones that all members have seen, and knows which were dropped.
+    """Collects tombstones that all members have seen, and records their dots.
 
     Attributes:
-        collected_vector: dots of the dropped tombstones, as a version vector.
-        collected_lamport_time: latest Lamport time of these.
+        collected_vector: dots of the collected tombstones, as a version vector.
+        collected_lamport_time: latest Lamport time of the collected tombstones.
     """
 
     def __init__(self, state: ReplicaState) -> None:
@@ -27,16 +27,16 @@
         self.collected_lamport_time = 0
 
     def record_peer_vector(self, member: str, vector: Mapping[str, int]) -> None:
-        """Note what a member has seen."""
-        known = self._peer_vectors.get(member, VersionVector())
-        self._peer_vectors[member] = known.merged_with(vector)
+        """Record the changes that a member includes."""
+        previous = self._peer_vectors.get(member, VersionVector())
+        self._peer_vectors[member] = previous.merged_with(vector)
 
-    def is_behind(self, vector: VersionVector) -> bool:
-        """Return whether a replica with this vector lacks a dropped tombstone."""
+    def needs_full_state(self, vector: VersionVector) -> bool:
+        """Return whether a replica with this vector lacks a collected tombstone."""
         return not vector.covers(self.collected_vector.items())
 
     def collect(self, members: Iterable[str]) -> None:
-        """Drop the tombstones that every one of `members` has seen."""
+        """Collect the tombstones that every one of `members` has seen."""
         vectors = [
             self._peer_vectors.get(member, VersionVector())
             for member in members
@@ -49,10 +49,10 @@
             if all(vector.covers(dots) for vector in vectors):
                 self._drop(key)
 
-    def adopt(
+    def merge_collected(
         self, collected_vector: Mapping[str, int], collected_lamport_time: int
     ) -> None:
-        """Take over what another replica has dropped, before its state is merged."""
+        """Include another replica's collected tombstones, before merging its state."""
         self.collected_vector = self.collected_vector.merged_with(collected_vector)
         self.collected_lamport_time = max(
             self.collected_lamport_time, collected_lamport_time
--- a/wheathill/store/value_entries.py
+++ b/wheathill/store/value_entries.py
@@ -1,11 +1,11 @@
-"""Entries of which the later write wins: registers, parts of counters, and leases."""
+"""Last-writer-wins entries: registers, parts of counters, and leases."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 from typing import Any, Self
 
-from wheathill.store.entry_decoding import check, check_fields, decode_vector
+from wheathill.store.entry_decoding import decode_vector, require, require_field_count
 from wheathill.store.entry_key import EntryKind
 from wheathill.store.version_vector import Dot, Version, VersionVector
 
@@ -18,8 +18,8 @@
 
     Attributes:
         owner: id of the replica that holds it.
-        token: fencing token, which only grows.
-        term_ms: for how long it was taken.
+        token: fencing token, which never decreases.
+        term_ms: duration of the lease from each acquisition or renewal.
     """
 
     owner: str
@@ -27,30 +27,30 @@
     term_ms: float
 
     def encode(self) -> list[Any]:
-        """Return the stored form."""
+        """Return the stored form of the lease."""
         return [self.owner, self.token, self.term_ms]
 
     @staticmethod
     def decode(encoded: list[Any]) -> Lease:
-        """Return the lease of its stored form."""
+        """Decode a lease from its stored form."""
         owner, token, term_ms = encoded
         return Lease(owner, token, term_ms)
 
 
 @dataclass(frozen=True, slots=True)
 class LastWriterWinsEntry:
-    """Base of entries of which the later write wins.
+    """Base class of entries whose latest write wins.
 
     Writes are ordered by (Lamport time, replica id, sequence).
 
     Attributes:
-        lamport_time: counts writes, not milliseconds.
-        replica_id: replica of the write.
-        sequence: number of the write at that replica.
-        value: None is a tombstone.
-        superseded: replica id -> last sequence number of the writes that this one has
-            won over. Who collects the tombstone must have seen these too: one of them
-            might arrive late and be taken for new.
+        lamport_time: Lamport time of the write.
+        replica_id: replica that made the write.
+        sequence: sequence number of the write at that replica.
+        value: value that was written; None marks a tombstone.
+        superseded: replica id -> last sequence number of the writes that this one
+            superseded. A tombstone is collected only once these have been seen too,
+            because one that arrived late would otherwise be treated as new.
     """
 
     lamport_time: int
@@ -61,33 +61,33 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether this is no tombstone."""
+        """Whether the entry is not a tombstone."""
         return self.value is not None
 
     @property
     def version(self) -> Version:
-        """What orders the writes of one key."""
+        """Version of the write, which orders the writes to one key."""
         return Version(self.lamport_time, self.replica_id, self.sequence)
 
     @property
     def dot(self) -> Dot:
-        """The change that wrote this entry."""
+        """Dot of the change that wrote this entry."""
         return Dot(self.replica_id, self.sequence)
 
     def current_dots(self) -> tuple[tuple[str, int], ...]:
-        """Return the dots of the present state."""
+        """Return the dots of the current state."""
         return ((self.replica_id, self.sequence),)
 
     def all_dots(self) -> tuple[tuple[str, int], ...]:
-        """Return the dots of the present state and of all that it has won over."""
+        """Return the dots of the current state and of all superseded writes."""
         return (*self.superseded.items(), (self.replica_id, self.sequence))
 
     def digest_state(self) -> list[Any]:
-        """Return what a digest of live entries covers."""
+        """Return the fields that a digest of live entries covers."""
         return [*self.version, self.value]
 
     def merge(self, other: Self) -> Self:
-        """Return the later write, with all that either has won over."""
+        """Return the later write, with all writes that either entry superseded."""
         if self.version < other.version:
             return other.merge(self)
         superseded = self.superseded.merged_with(other.superseded)
@@ -98,7 +98,7 @@
         return type(self)(*self.version, self.value, superseded)
 
     def encode(self) -> list[Any]:
-        """Return the form that is stored and sent."""
+        """Return the form for disk and wire."""
         return [
             self.lamport_time,
             self.replica_id,
@@ -109,35 +109,35 @@
 
     @classmethod
     def decode(cls, encoded: list[Any]) -> Self:
-        """Return the entry of its stored form.
+        """Decode the entry from its stored form.
 
         Raises:
-            MalformedEntryError: the data is no such entry.
+            MalformedEntryError: the data is not a valid entry of this class.
         """
-        check_fields(encoded, VALUE_ENTRY_FIELDS)
+        require_field_count(encoded, VALUE_ENTRY_FIELDS)
         lamport_time, replica_id, sequence, value, superseded = encoded
-        check(isinstance(lamport_time, int) and isinstance(replica_id, str))
-        check(isinstance(sequence, int) and sequence > 0)
+        require(isinstance(lamport_time, int) and isinstance(replica_id, str))
+        require(isinstance(sequence, int) and sequence > 0)
         return cls(lamport_time, replica_id, sequence, value, decode_vector(superseded))
 
 
 @dataclass(frozen=True, slots=True)
 class RegisterEntry(LastWriterWinsEntry):
-    """A value that is written as a whole."""
+    """Register: a value that each write replaces as a whole."""
 
 
 @dataclass(frozen=True, slots=True)
 class CounterEntry(LastWriterWinsEntry):
-    """One instance's part of a counter; only that instance writes it."""
+    """One instance's part of a counter, to which only that instance adds."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseEntry(LastWriterWinsEntry):
-    """A lease; the value is the stored form of `Lease`."""
+    """Lease entry, whose value is the stored form of `Lease`."""
 
     @property
     def lease(self) -> Lease:
-        """The lease that a live entry holds."""
+        """The decoded lease; the entry must be live."""
         return Lease.decode(self.value)
 
 
@@ -154,9 +154,9 @@
     value: object,
     previous: LastWriterWinsEntry | None,
 ) -> LastWriterWinsEntry:
-    """Return the entry of a write that wins over `previous`.
+    """Return an entry for a write that supersedes `previous`.
 
-    A `value` of None makes a tombstone.
+    A `value` of None creates a tombstone.
     """
     superseded = VersionVector()
     if previous is not None:
--- a/wheathill/store/version_vector.py
+++ b/wheathill/store/version_vector.py
@@ -1,6 +1,6 @@
 """Version vectors and the dots that they cover.
 
-After Parker et al., "Detection of Mutual Inconsistency in Distributed Systems" (1983).
+See Parker et al., "Detection of Mutual Inconsistency in Distributed Systems" (1983).
 """
 
 from __future__ import annotations
@@ -10,14 +10,14 @@
 
 
 class Dot(NamedTuple):
-    """One change: the replica that made it and its sequence number there, from 1 up."""
+    """Identifies a change by its replica and its sequence number there, from 1."""
 
     replica_id: str
     sequence: int
 
 
 class Version(NamedTuple):
-    """Lamport time and dot of one change."""
+    """Lamport time and dot of a change; tuple order decides which write is later."""
 
     lamport_time: int
     replica_id: str
@@ -25,22 +25,22 @@
 
 
 class VersionVector(dict[str, int]):
-    """Maps a replica id to the last sequence number of its changes that are included.
+    """Maps each replica id to the last sequence number included of its changes.
 
-    It is a dict so that it is encoded as a plain map, in the order of its keys.
+    It subclasses dict so that it is encoded as a plain map, in insertion order.
     """
 
     __slots__ = ()
 
     def covers(self, dots: Iterable[tuple[str, int]]) -> bool:
-        """Return whether all of the dots are included."""
+        """Return whether the vector includes all of the dots."""
         return all(self.get(replica_id, 0) >= sequence for replica_id, sequence in dots)
 
     def merged_with(self, other: Mapping[str, int]) -> VersionVector:
-        """Return the larger number of each replica.
+        """Return the pointwise maximum of two vectors.
 
-        The replicas are sorted, so that all members encode equal vectors to equal
-        bytes.
+        The replica ids are sorted, so that all members encode equal merged vectors to
+        equal bytes.
         """
         return VersionVector(
             {
