--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -5,7 +5,7 @@
 import pytest
 
 from wheathill.peers.cluster_view import (
-    UNANSWERED_PROBES,
+    PARTITIONED_AFTER_UNANSWERED_PROBES,
     ClusterView,
     ClusterViewConfig,
     ViewState,
@@ -170,9 +170,9 @@
 
 
 def test_a_new_process_takes_no_quota_while_others_may_still_answer():
-    view = cluster_view(startup_silence_ms=3000.0)
-    assert view.quota(2999.0) == 0.0 and not view.may_stand_alone(2999.0)
-    assert view.quota(3000.0) == 1 / 5 and view.may_stand_alone(3000.0)
+    view = cluster_view(startup_wait_ms=3000.0)
+    assert view.quota(2999.0) == 0.0 and not view.is_startup_wait_over(2999.0)
+    assert view.quota(3000.0) == 1 / 5 and view.is_startup_wait_over(3000.0)
 
 
 def test_partitioned_where_most_are_out_of_reach():
@@ -185,7 +185,10 @@
     assert view.update_state(2.0, 0) == ViewState.PARTITIONED
     named = cluster_view(expected_members=("a", "b", "c"))
     assert named.max_active_proxies(0.0) == 3
-    assert view.update_state(3.0, UNANSWERED_PROBES) == ViewState.PARTITIONED
+    assert (
+        view.update_state(3.0, PARTITIONED_AFTER_UNANSWERED_PROBES)
+        == ViewState.PARTITIONED
+    )
 
 
 def test_no_split_with_newcomers_on_any_side_sums_past_the_whole():
