--- a/wheathill/store/anti_entropy.py
+++ b/wheathill/store/anti_entropy.py
@@ -114,7 +114,7 @@
         self._collection_members = collection_members
         self._last_request_id = 0
         self._pending: PendingRequest | None = None
-        self._is_push_due = False
+        self._is_push_scheduled = False
 
     def start(self, now_ms: float) -> None:
         """Schedule the first request."""
@@ -123,8 +123,8 @@
 
     def schedule_push(self, now_ms: float) -> None:
         """Schedule a push if there are local changes and none is scheduled."""
-        if not self._is_push_due and self._replica.exchange.has_delta:
-            self._is_push_due = True
+        if not self._is_push_scheduled and self._replica.exchange.has_delta:
+            self._is_push_scheduled = True
             self._effects.set_timer(
                 now_ms + self._config.push_delay_ms, AntiEntropyTimer.PUSH
             )
@@ -132,7 +132,7 @@
     def on_timer(self, now_ms: float, timer: AntiEntropyTimer) -> None:
         """Handle an expired timer."""
         if timer is AntiEntropyTimer.PUSH:
-            self._is_push_due = False
+            self._is_push_scheduled = False
             self._push()
             return
         interval_factor = self._rng.uniform(MIN_INTERVAL_FACTOR, MAX_INTERVAL_FACTOR)
@@ -194,11 +194,11 @@
 
     def _on_request(self, member: str, message: RequestMessage) -> None:
         reply = self._replica.exchange.reply_to(member, message.version_vector)
-        for part, rows in enumerate(reply.parts):
+        for part_index, rows in enumerate(reply.parts):
             self._effects.send(
                 member,
                 ReplyMessage(
-                    message.request_id, part, len(reply.parts), reply.header, rows
+                    message.request_id, part_index, len(reply.parts), reply.header, rows
                 ),
             )
 
@@ -219,7 +219,9 @@
         if len(pending.parts) == message.part_count:
             self._pending = None
             rows = [
-                row for part in range(message.part_count) for row in pending.parts[part]
+                row
+                for part_index in range(message.part_count)
+                for row in pending.parts[part_index]
             ]
             self._replica.exchange.apply_reply(message.header, rows, now_ms)
             self._replica.tombstones.record_peer_vector(
--- a/wheathill/store/replica.py
+++ b/wheathill/store/replica.py
@@ -108,8 +108,10 @@
 
     def counter_value(self, name: str) -> int:
         """Return the value of a counter: the sum of all instances' parts."""
-        parts = self._state.table.live_entries(EntryKind.COUNTER, name)
-        return sum(entry.value for _, entry in parts if isinstance(entry, CounterEntry))
+        entries = self._state.table.live_entries(EntryKind.COUNTER, name)
+        return sum(
+            entry.value for _, entry in entries if isinstance(entry, CounterEntry)
+        )
 
     def add_to_counter(self, name: str, amount: int) -> None:
         """Add an amount to this instance's part of a counter."""
@@ -125,8 +127,8 @@
 
     def set_elements(self, name: str) -> list[str]:
         """Return the elements of a set in sorted order."""
-        parts = self._state.table.live_entries(EntryKind.SET, name)
-        return sorted(element for element, _ in parts)
+        entries = self._state.table.live_entries(EntryKind.SET, name)
+        return sorted(element for element, _ in entries)
 
     def add_element(self, name: str, element: str) -> None:
         """Add an element to a set."""
--- a/wheathill/store/tombstones.py
+++ b/wheathill/store/tombstones.py
@@ -1,8 +1,8 @@
 """Garbage collection of tombstones.
 
-A tombstone is collected once every member that counts has seen it. A member that was
-absent and has not seen a collected tombstone must be sent the full state, and none of
-its entries are merged before it has applied that state.
+A tombstone is collected once all members passed to `collect` have seen it. A member
+that was absent and has not seen a collected tombstone must be sent the full state, and
+none of its entries are merged before it has applied that state.
 """
 
 from collections.abc import Iterable, Mapping
--- a/wheathill/store/version_vector.py
+++ b/wheathill/store/version_vector.py
@@ -25,7 +25,7 @@
 
 
 class VersionVector(dict[str, int]):
-    """Maps each replica id to the last sequence number included of its changes.
+    """Maps a replica id to the sequence number up to which its changes are included.
 
     It subclasses dict so that it is encoded as a plain map, in insertion order.
     """
