--- a/wheathill/peers/server_records.py
+++ b/wheathill/peers/server_records.py
@@ -4,7 +4,7 @@
 
 from wheathill.peers.replicated_table import (
     MAX_CLOCK_SKEW_MS,
-    MAX_SERVERS,
+    MAX_SERVER_RECORDS,
     START_RETENTION_MS,
     ReplicatedTable,
 )
@@ -127,7 +127,7 @@
         self, server: str, record: TableRecord[SummaryT]
     ) -> None:
         self._confirmed_versions[server] = record.version
-        while len(self._confirmed_versions) > MAX_SERVERS:
+        while len(self._confirmed_versions) > MAX_SERVER_RECORDS:
             del self._confirmed_versions[next(iter(self._confirmed_versions))]
 
     def is_draining(self, server: str, process_start_ms: float | None) -> bool:
