--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -323,9 +323,9 @@
 @pytest.mark.parametrize(
     "change, fault",
     [
-        (("event.0.with", "n9"), "event[0].with: 'n9' is no proxy"),
-        (("event.0.when", "n1 eats n2"), "event[0].when: 'n1 eats n2' is none of"),
-        (("proxies.peers", False), "event[0].do: link-flap needs proxies.peers"),
+        (("event.0.with", "n9"), "event[0].with: 'n9' is not a proxy"),
+        (("event.0.when", "n1 eats n2"), "event[0].when: 'n1 eats n2' is not one of"),
+        (("proxies.peers", False), "event[0].do: link-flap requires proxies.peers"),
     ],
 )
 def test_script_faults(change, fault):
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -372,19 +372,27 @@
 @pytest.mark.parametrize(
     "old, new, fault",
     [
-        ('on = "g1"', 'on = "g9"', "event[0].on: 'g9' is none of g1 to g3"),
-        ("at_s = 3", "at_s = 99", "event[0].at_s: 99 is past the script's end, 14"),
-        ("at_s = 3", "", "event[0]: needs one of at_s and when"),
+        ('on = "g1"', 'on = "g9"', "event[0].on: 'g9' is not one of g1 to g3"),
+        (
+            "at_s = 3",
+            "at_s = 99",
+            "event[0].at_s: 99 is past the end of the script, 14",
+        ),
+        ("at_s = 3", "", "event[0]: requires either at_s or when"),
         (
             "at_s = 3",
             'when = "it rains"',
-            "event[0].when: 'it rains' is none of 'NAME holds N sessions', 'between OPEN "
+            "event[0].when: 'it rains' is not one of 'NAME holds N sessions', 'between OPEN "
             "and UP of the next session [at NAME]', 'N sessions were asked for', 'NAME suspects|buries|meets NAME', "
             "'NAME has sent N messages of kind K'",
         ),
-        ("for_s = 2", "for_s = 20", "event[3].for_s: lasts past the script's end, 14"),
+        (
+            "for_s = 2",
+            "for_s = 20",
+            "event[3].for_s: lasts past the end of the script, 14",
+        ),
         ("factor = 1.5", "", "event[4].factor: is missing"),
-        ('do = "drain"', 'do = "back"', "event[0]: nothing has befallen g1 before"),
+        ('do = "drain"', 'do = "back"', "event[0]: no earlier event concerns g1"),
         (
             'do = "drain"',
             'do = "drian"',
@@ -396,13 +404,13 @@
         (
             'listener = "orders"',
             'listener = "odd"',
-            "clients[0].listener: 'odd' is none of orders, reads",
+            "clients[0].listener: 'odd' is not one of orders, reads",
         ),
-        ('name = "b"', 'name = "a"', "clients: 'a' stands twice"),
+        ('name = "b"', 'name = "a"', "clients: 'a' is listed twice"),
         (
             "[[gateways]]",
             "[[gateways]]\nweight_error = [1.6, 0.6]",
-            "gateways[0].weight_error: from 1.6 to less, 0.6",
+            "gateways[0].weight_error: lowest 1.6 is above highest 0.6",
         ),
         (
             "[[gateways]]",
@@ -417,7 +425,7 @@
         (
             "[[clients]]",
             "[front]\nshares = [3, 0.3]\n[[clients]]",
-            "front.shares: from 3 to less, 0.3",
+            "front.shares: lowest 3 is above highest 0.3",
         ),
         (
             'name = "b"',
@@ -450,7 +458,7 @@
         )
         assert (ended.returncode, ended.stderr) == (
             2,
-            "gateways[0].weight_error: from 2 to less, 1.6\n",
+            "gateways[0].weight_error: lowest 2 is above highest 1.6\n",
         )
     script.write_text(
         open("experiments/unreported.toml")
@@ -458,7 +466,7 @@
         .replace('weights = "registered"', 'weights = "off"')
     )
     with pytest.raises(
-        ConfigurationError, match='a weight_error needs proxies.weights = "registered"'
+        ConfigurationError, match='weight_error requires proxies.weights = "registered"'
     ):
         scripts.read(script)
 
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -1,7 +1,7 @@
 """What a script does to instances that know their peers, and to what passes between them; and the proof that each
 fault took effect, counted from outside."""
 
-from wheathill.lab.scripts.language import SENT, expand
+from wheathill.lab.scripts.language import MESSAGES_SENT, expand_names
 from wheathill.net.protocol_machine import ProtocolMachine
 from wheathill.peers.frames import FrameAuthenticator, FrameRejectedError
 
@@ -87,7 +87,9 @@
     def do_link(self, event, on):
         """Between each of `on` and each of `with`: cut, or what its fields say."""
         ways = self.world.ways.between(
-            expand(self.script, on), expand(self.script, event.with_), event.one_way
+            expand_names(self.script, on),
+            expand_names(self.script, event.with_),
+            event.one_way,
         )
         kinds = [
             kind
@@ -125,7 +127,9 @@
     def do_link_flap(self, event, on):
         """Cut and whole by turns of `within_s`, cut for `share` of each."""
         ways = self.world.ways.between(
-            expand(self.script, on), expand(self.script, event.with_), event.one_way
+            expand_names(self.script, on),
+            expand_names(self.script, event.with_),
+            event.one_way,
         )
         self.proofs[id(event)] = event, self.counted(ways, "cut")
         turn, state = event.within_s * 1000, {"cut": False, "over": False}
@@ -149,7 +153,7 @@
 
     def do_split(self, event, on):
         """Nothing passes between any two parts: of instances by their ways, of others by the stand-ins."""
-        parts = [expand(self.script, part) for part in event.parts]
+        parts = [expand_names(self.script, part) for part in event.parts]
         ways, pairs = [], []
         for place, part in enumerate(parts):
             for other in parts[place + 1 :]:
@@ -179,7 +183,7 @@
 
     def do_ring(self, event, on):
         """Each is heard by the next one alone."""
-        names = expand(self.script, on)
+        names = expand_names(self.script, on)
         follows = dict(zip(names, [*names[1:], names[0]]))
         ways = [
             self.world.ways.way(one, other)
@@ -195,8 +199,8 @@
         """Recorded from now on; all of it comes once more when `for_s` is over."""
         ways = [
             (one, other)
-            for one in expand(self.script, on)
-            for other in expand(self.script, event.with_)
+            for one in expand_names(self.script, on)
+            for other in expand_names(self.script, event.with_)
             if one != other
         ]
         for pair in ways:
@@ -236,7 +240,7 @@
 
     def watch_message(self, one, kind):
         for event in list(self.armed):
-            match = event.when and SENT.fullmatch(event.when)
+            match = event.when and MESSAGES_SENT.fullmatch(event.when)
             if (
                 match
                 and match["proxy"] == one
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -1,4 +1,7 @@
-"""An incident's script: TOML, checked whole like any configuration; every fault is named with its place."""
+"""The scripts of experiments: TOML files, checked completely when they are read.
+
+Each error is reported with its path in the file.
+"""
 
 import re
 from typing import Annotated, Literal
@@ -19,11 +22,13 @@
     Wait,
 )
 
-Times = Annotated[float, Meta(gt=0, le=1000)]
-Many = Annotated[int, Meta(ge=1, le=100_000)]
-Span = Annotated[list[Times], Meta(min_length=2, max_length=2)]  # from, to
+Factor = Annotated[float, Meta(gt=0, le=1000)]
+PositiveCount = Annotated[int, Meta(ge=1, le=100_000)]
+FactorRange = Annotated[
+    list[Factor], Meta(min_length=2, max_length=2)
+]  # [lowest, highest]
 
-ON_GATEWAY = (
+GATEWAY_EVENTS = (
     "silent",
     "pause",
     "kill",
@@ -36,7 +41,7 @@
     "untrue",
     "flap",
 )
-ON_PROXY = (
+PROXY_EVENTS = (
     "proxy-kill",
     "proxy-roll",
     "proxy-pause",
@@ -44,7 +49,7 @@
     "proxy-upgrade",
     "callers",
 )
-ON_ALL = (
+FLEET_EVENTS = (
     "store-slower",
     "herd",
     "list-unreachable",
@@ -56,11 +61,12 @@
     "way",
     "cut",
 )
-# Between instances that are processes and know their peers; ON_SETS name several with commas between, or a zone.
-ON_SETS = ("link", "link-flap", "ring", "replay")
-ON_PEERS = (*ON_SETS, "split", "proxy-starve", "stranger")
-PROVEN = (
-    *ON_PEERS,
+# Events of proxies that know their peers. Those of PROXY_SET_EVENTS take several names, separated by commas, or a zone.
+PROXY_SET_EVENTS = ("link", "link-flap", "ring", "replay")
+PEER_EVENTS = (*PROXY_SET_EVENTS, "split", "proxy-starve", "stranger")
+# Events whose effect is counted in the processes world; others are refused there.
+VERIFIED_EVENTS = (
+    *PEER_EVENTS,
     "proxy-kill",
     "proxy-roll",
     "proxy-pause",
@@ -75,12 +81,14 @@
     "herd",
     "partition",
 )
-NEEDS_FACTOR = ("slow", "store-slower", "costly", "untrue")
+FACTOR_EVENTS = ("slow", "store-slower", "costly", "untrue")
 
 
 class Rules(Table):
+    """Limits of the judges' rules, and the matching settings of the proxies."""
+
     drain_grace_ms: Wait = 500.0
-    cold_multiple: Times = 4.0
+    cold_multiple: Factor = 4.0
     cold_window_ms: Ms = 1000.0
     further_dials_s: Seconds = 0.0
     further_dials_free: Count = 0
@@ -88,53 +96,61 @@
     only_draining_binds: bool = False
 
 
-class Net(Table):
+class Network(Table):
+    """One-way delays between zones and to the clients."""
+
     same_ms: Wait = 0.25
     cross_ms: Wait = 4.0
     client_ms: Wait = 0.7
     jitter: Price = 0.2
-    hop_ms: Wait = 0.2  # virtual only: what a delivery costs beside the way, as measured on loopback
+    hop_ms: Wait = 0.2  # virtual only: cost of a delivery besides the delay, as measured on loopback
 
 
-class Gateways(Table):
-    """A kind of gateway, `count` of them, named after `name` and dealt over the zones."""
+class GatewayGroup(Table):
+    """A group of `count` equal gateways, numbered after `name` and spread over the zones."""
 
     name: Name = "g"
-    count: Many = 6
+    count: PositiveCount = 6
     zone: Name | None = None
-    cells: Many = 3
-    cores: Many = 2
-    speed: Times = 1.0
+    cells: PositiveCount = 3
+    cores: PositiveCount = 2
+    speed: Factor = 1.0
     queue: Count = 64
     setup_ms: Ms = 8.0
     line_ms: Ms = 4.0
     probe_ms: Ms = 0.25
-    holds: Many = 200
+    holds: PositiveCount = 200
     warm_from: Annotated[float, Meta(gt=0, le=1)] = 0.2
     warm_s: Seconds = 15.0
-    falls_over: Times = 4.0
+    falls_over: Factor = 4.0
     fall_window_ms: Ms = 1000.0
-    falls_at: Times = 2.5
+    falls_at: Factor = 2.5
     report_ms: Ms = 200.0
-    tells_load: bool = False  # each connection's load, on a line after UP
-    weight: Times = 1.0
-    weight_error: Span | None = (
-        None  # each registers its weight times a factor drawn between; None: as it is
+    tells_load: bool = False  # reports the load of each connection on a line after UP
+    weight: Factor = 1.0
+    weight_error: FactorRange | None = (
+        None  # range of the random factor on each registered weight; None: no error
     )
 
 
 class StoreTable(Table):
-    at_once: Many = 8
+    """The store that gateways call when they set up a session."""
+
+    at_once: PositiveCount = 8
     call_ms: Ms = 10.0
     queue: Count = 400
 
 
-class Registry(Table):
+class DiscoveryTable(Table):
+    """Delays with which discovery learns of changes and of dead servers."""
+
     late_ms: Wait = 1500.0
     finds_dead_ms: Wait = 4000.0
 
 
 class Proxies(Table):
+    """Number, limits and cluster settings of the proxies."""
+
     count: Annotated[int, Meta(ge=1, le=200)] = 2
     sockets: Annotated[int, Meta(ge=64, le=65_536)] = 4096
     memory_mb: Annotated[float, Meta(ge=16)] = 192.0
@@ -145,65 +161,69 @@
     weights: Literal["registered", "off"] = "registered"
     packets_pass: bool = False
     restart_s: Seconds | None = 1.0
-    peers: bool = False  # processes only: they know one another
+    peers: bool = False  # they form a cluster
     roster: bool = False
     zoned: bool = (
-        False  # whole views within a zone only; each zone is a region of its own
+        False  # full views within a zone only; each zone is a region of its own
     )
-    seeds: Many = 3
+    seeds: PositiveCount = 3
     meant: Annotated[int, Meta(ge=1, le=100_000)] | None = (
-        None  # as the file says; the count where left out
+        None  # the configured number of proxies; default: count
     )
     period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 200.0
     patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 80.0
 
 
 class Odd(Table):
-    """One instance whose file differs from the others'; it is meant to stay apart."""
+    """An instance whose configuration differs, so that the others must not accept it."""
 
     on: Name
     cluster: Name | None = None
-    key: bool = False  # another one
-    version: bool = False  # of what instances say to one another
+    key: bool = False  # a different cluster key
+    version: bool = False  # a different version of the peer protocol
     claims: Name | None = (
-        None  # the name of another, under which it speaks to its peers
+        None  # the name of another instance, which it uses towards its peers
     )
 
 
-class Instance(Table):
-    """What one proxy is allowed, where it is not what all are."""
+class InstanceLimits(Table):
+    """Limits of one proxy that differ from those of all proxies."""
 
     on: Name
     sockets: Annotated[int, Meta(ge=64, le=65_536)] | None = None
     memory_mb: Annotated[float, Meta(ge=16)] | None = None
 
 
-class Fleet(Table):
-    """What is judged of instances that know their peers, in ms."""
+class FleetLimits(Table):
+    """Limits of the judges of instances that know their peers, in ms."""
 
-    agree_ms: Ms = 5000.0  # after the last fault's end all views are equal
+    agree_ms: Ms = 5000.0  # from the end of the last fault until all views are equal
     false_ms: Ms = (
-        2000.0  # no longer is one held dead that answered before, or only stands still
+        2000.0  # longest time for which a live or paused instance is considered dead
     )
-    told_ms: Ms = 1000.0  # until all that can be reached know of a drain
-    known_ms: Ms = 8000.0  # until a death is known to all that can know it
-    apart_ms: Ms = 8000.0  # until a zone says that it is cut off from all others
+    told_ms: Ms = 1000.0  # until all reachable proxies know of a drain
+    known_ms: Ms = 8000.0  # until all reachable proxies know of a death
+    apart_ms: Ms = 8000.0  # until an isolated zone reports that it is cut off
 
 
 class FrontTable(Table):
+    """The front that spreads connections over the proxies."""
+
     notice_ms: Wait = 1500.0
     ask_ms: Ms = 100.0
-    shares: Span | None = (
-        None  # what a proxy gets beside the others of its zone, drawn between; None: alike
+    shares: FactorRange | None = (
+        None  # range of each proxy's random weight among those of its zone; None: equal weights
     )
 
 
-class Clients(Table):
-    """A crowd: `count` clients that come within `within_s`; means are of exponential lives, rests and
-    pauses."""
+class ClientGroup(Table):
+    """A group of `count` clients that arrive within `within_s`.
+
+    `life_s`, `rest_s` and `think_ms` are means of exponential distributions.
+    """
 
     name: Name
-    count: Many
+    count: PositiveCount
     listener: Name
     desk: Name | None = None
     zone: Name | None = None
@@ -216,22 +236,24 @@
     retry: Literal["at once", "wait", "never"] = "wait"
     wait_ms: Ms = 500.0
     honours: Share = 1.0
-    tries: Many = 5
+    tries: PositiveCount = 5
     returns: bool = True
     leaves: Share = 0.0
     load_sigma: Annotated[float, Meta(ge=0, le=3)] = (
-        0.0  # of the logarithm of a session's load, by mean 1
+        0.0  # standard deviation of the logarithm of a session's load, whose mean is 1
     )
 
 
-class Event(Table):
-    do: Literal[(*ON_GATEWAY, *ON_PROXY, *ON_ALL, *ON_PEERS)]
+class ScriptEvent(Table):
+    """A fault or another event, and the time or condition that starts it."""
+
+    do: Literal[(*GATEWAY_EVENTS, *PROXY_EVENTS, *FLEET_EVENTS, *PEER_EVENTS)]
     at_s: Seconds | None = None
     when: str | None = None
     on: Name | None = None
     with_: Name | None = field(default=None, name="with")
     for_s: Annotated[float, Meta(gt=0)] | None = None
-    factor: Times | None = None
+    factor: Factor | None = None
     share: Share = 0.5
     within_s: Seconds = 2.0
     one_way: bool = False
@@ -239,111 +261,129 @@
     bytes: Count = 1
     wait_ms: Wait = 0.0
     then: Literal["on", "reset", "half-open"] = "on"
-    times: Many = 1
+    times: PositiveCount = 1
     leaves_s: Seconds = 3.0
-    parts: list[Name] = []  # of a split: each with commas between its names
+    parts: list[Name] = []  # of a split: comma-separated names of each part
     cut: bool = False
     loss: Share = 0.0
     doubled: Share = 0.0
     overtaken: Share = 0.0
     spoilt: Share = 0.0
-    crawl: Count = 0  # of streams, bytes a second
-    key: bool = False  # a stranger that has the cluster's key
+    crawl: Count = 0  # bytes per second of a throttled stream; 0: unlimited
+    key: bool = False  # the stranger has the cluster's key
 
 
 class Script(Table):
+    """A whole script: the system, its clients and the events of the run."""
+
     name: Name
     about: str
     seconds: Annotated[float, Meta(gt=0, le=3600)]
     listener: Annotated[list[ListenerTable], Meta(min_length=1)]
-    clients: Annotated[list[Clients], Meta(min_length=1)]
+    clients: Annotated[list[ClientGroup], Meta(min_length=1)]
     seed: int = 1
     zones: list[Name] = field(default_factory=lambda: ["east"])
     desk: list[Name] = []
     rules: Rules = field(default_factory=Rules)
-    network: Net = field(default_factory=Net)
-    gateways: list[Gateways] = field(default_factory=lambda: [Gateways()])
+    network: Network = field(default_factory=Network)
+    gateways: list[GatewayGroup] = field(default_factory=lambda: [GatewayGroup()])
     store: StoreTable = field(default_factory=StoreTable)
-    discovery: Registry = field(default_factory=Registry)
+    discovery: DiscoveryTable = field(default_factory=DiscoveryTable)
     proxies: Proxies = field(default_factory=Proxies)
     front: FrontTable = field(default_factory=FrontTable)
-    fleet: Fleet = field(default_factory=Fleet)
+    fleet: FleetLimits = field(default_factory=FleetLimits)
     odd: list[Odd] = []
-    instance: list[Instance] = []
-    event: list[Event] = []
+    instance: list[InstanceLimits] = []
+    event: list[ScriptEvent] = []
 
 
-HOLDS = re.compile(r"(?P<on>[!-~]+) holds (?P<count>[0-9]+) sessions")
-BETWEEN = re.compile(r"between OPEN and UP of the next session(?: at (?P<on>[!-~]+))?")
-ASKED = re.compile(r"(?P<count>[0-9]+) sessions were asked for")
-SAYS = re.compile(
+SERVER_HOLDS = re.compile(r"(?P<on>[!-~]+) holds (?P<count>[0-9]+) sessions")
+BETWEEN_OPEN_AND_UP = re.compile(
+    r"between OPEN and UP of the next session(?: at (?P<on>[!-~]+))?"
+)
+SESSIONS_REQUESTED = re.compile(r"(?P<count>[0-9]+) sessions were asked for")
+MEMBER_STATE_SEEN = re.compile(
     r"(?P<proxy>[!-~]+) (?P<what>suspects|buries|meets) (?P<other>[!-~]+)"
 )
-SENT = re.compile(
+MESSAGES_SENT = re.compile(
     r"(?P<proxy>[!-~]+) has sent (?P<count>[0-9]+) messages of kind (?P<kind>[!-~]+)"
 )
-CONDITIONS = (HOLDS, BETWEEN, ASKED, SAYS, SENT)
-SAID = {"suspects": "suspect", "buries": "dead", "meets": "alive"}
-
-
-def gateway_names(script):
-    """(name, its kind, zone, cell), in order; cells are numbered within the whole fleet."""
-    found = []
-    for kind in script.gateways:
-        for number in range(1, kind.count + 1):
-            zone = kind.zone or script.zones[(number - 1) % len(script.zones)]
-            found.append(
-                (f"{kind.name}{number}", kind, zone, (number - 1) % kind.cells)
+CONDITIONS = (
+    SERVER_HOLDS,
+    BETWEEN_OPEN_AND_UP,
+    SESSIONS_REQUESTED,
+    MEMBER_STATE_SEEN,
+    MESSAGES_SENT,
+)
+MEMBER_STATES = {"suspects": "suspect", "buries": "dead", "meets": "alive"}
+
+
+def list_gateways(script):
+    """Return (name, group, zone, cell) of each gateway, in order.
+
+    Cells are numbered across all zones.
+    """
+    gateways = []
+    for group in script.gateways:
+        for number in range(1, group.count + 1):
+            zone = group.zone or script.zones[(number - 1) % len(script.zones)]
+            gateways.append(
+                (f"{group.name}{number}", group, zone, (number - 1) % group.cells)
             )
-    return found
+    return gateways
 
 
 def proxy_names(script):
+    """Return the names of the proxies, in order."""
     return [f"n{number}" for number in range(1, script.proxies.count + 1)]
 
 
-def expand(script, text):
-    """The names that `text` means: with commas between, zones for all that is there, `all` for every proxy."""
-    found = {}
-    for word in (text or "").split(","):
-        if word == "all":
-            found.update(dict.fromkeys(proxy_names(script)))
-        elif word in script.zones:
-            found.update(
+def expand_names(script, text):
+    """Return the names that a comma-separated text stands for.
+
+    A zone stands for all proxies and gateways in it, `all` for every proxy.
+    """
+    names = {}
+    for part in (text or "").split(","):
+        if part == "all":
+            names.update(dict.fromkeys(proxy_names(script)))
+        elif part in script.zones:
+            names.update(
                 {
                     name: None
-                    for place, name in enumerate(proxy_names(script))
-                    if script.zones[place % len(script.zones)] == word
+                    for index, name in enumerate(proxy_names(script))
+                    if script.zones[index % len(script.zones)] == part
                 }
             )
-            found.update(
+            names.update(
                 {
                     name: None
-                    for name, _, zone, _ in gateway_names(script)
-                    if zone == word
+                    for name, _, zone, _ in list_gateways(script)
+                    if zone == part
                 }
             )
         else:
-            found[word] = None
-    return list(found)
+            names[part] = None
+    return list(names)
 
 
-def peer_faults(event, at, script, gateways, proxies):
+def peer_event_errors(event, path, script, gateways, proxies):
+    """Yield the errors of an event that concerns proxies and their peers."""
     if not script.proxies.peers:
-        yield f"{at}.do: {event.do} needs proxies.peers"
-    named = {
+        yield f"{path}.do: {event.do} requires proxies.peers"
+    targets = {
         "on": event.on,
         "with": event.with_,
-        **{f"parts[{place}]": part for place, part in enumerate(event.parts)},
+        **{f"parts[{index}]": part for index, part in enumerate(event.parts)},
     }
-    for key, text in named.items():
-        for name in expand(script, text) if text else ():
+    for key, text in targets.items():
+        for name in expand_names(script, text) if text else ():
             if name not in proxies and not (event.do == "split" and name in gateways):
-                yield f"{at}.{key}: {name!r} is no proxy" + (
+                yield f"{path}.{key}: {name!r} is not a proxy" + (
                     " or gateway" if event.do == "split" else ""
                 )
     if event.do == "split" and len(event.parts) < 2:
-        yield f"{at}.parts: needs two at least"
+        yield f"{path}.parts: at least two are required"
     if event.do == "link" and not (
         event.cut
         or event.loss
@@ -354,15 +394,16 @@
         or event.crawl
         or event.then != "on"
     ):
-        yield f"{at}: a link that nothing befalls"
+        yield f"{path}: a link event without any fault"
     if event.do in ("link", "link-flap", "replay") and not event.with_:
-        yield f"{at}.with: is missing"
+        yield f"{path}.with: is missing"
 
 
-def contradictions(script):
-    gateways = [name for name, *_ in gateway_names(script)]
+def script_errors(script):
+    """Yield the errors of a script that its types alone do not show."""
+    gateways = [name for name, *_ in list_gateways(script)]
     proxies = proxy_names(script)
-    for what, names in (
+    for section, names in (
         ("gateways", gateways),
         ("listener", [item.name for item in script.listener]),
         ("clients", [item.name for item in script.clients]),
@@ -370,129 +411,150 @@
         ("desk", script.desk),
     ):
         for name in dict.fromkeys(
-            name for place, name in enumerate(names) if name in names[:place]
+            name for index, name in enumerate(names) if name in names[:index]
         ):
-            yield f"{what}: {name!r} stands twice"
+            yield f"{section}: {name!r} is listed twice"
     if script.proxies.zoned and (not script.proxies.peers or script.proxies.roster):
-        yield "proxies.zoned: needs proxies.peers, without a roster"
+        yield "proxies.zoned: requires proxies.peers, without a roster"
     if script.proxies.zoned and script.proxies.count < len(script.zones):
-        yield "proxies.zoned: a zone is without proxies"
+        yield "proxies.zoned: a zone has no proxy"
     if not script.zones:
-        yield "zones: names none"
+        yield "zones: is empty"
     listeners = {item.name for item in script.listener}
-    for place, kind in enumerate(script.gateways):
-        if kind.zone is not None and kind.zone not in script.zones:
-            yield f"gateways[{place}].zone: {kind.zone!r} is not one of zones"
-        if kind.weight_error and kind.weight_error[0] > kind.weight_error[1]:
-            yield f"gateways[{place}].weight_error: from {kind.weight_error[0]:g} to less, {kind.weight_error[1]:g}"
+    for index, gateway_group in enumerate(script.gateways):
+        if gateway_group.zone is not None and gateway_group.zone not in script.zones:
+            yield f"gateways[{index}].zone: {gateway_group.zone!r} is not one of zones"
+        if (
+            gateway_group.weight_error
+            and gateway_group.weight_error[0] > gateway_group.weight_error[1]
+        ):
+            yield f"gateways[{index}].weight_error: lowest {gateway_group.weight_error[0]:g} is above highest {gateway_group.weight_error[1]:g}"
     if script.proxies.weights == "off" and any(
-        kind.weight_error for kind in script.gateways
+        gateway_group.weight_error for gateway_group in script.gateways
     ):
-        yield 'gateways: a weight_error needs proxies.weights = "registered"'
+        yield 'gateways: weight_error requires proxies.weights = "registered"'
     if script.front.shares and script.front.shares[0] > script.front.shares[1]:
-        yield f"front.shares: from {script.front.shares[0]:g} to less, {script.front.shares[1]:g}"
-    for place, crowd in enumerate(script.clients):
-        at = f"clients[{place}]"
-        if crowd.listener not in listeners:
-            yield f"{at}.listener: {crowd.listener!r} is none of " + ", ".join(
-                sorted(listeners)
+        yield f"front.shares: lowest {script.front.shares[0]:g} is above highest {script.front.shares[1]:g}"
+    for index, client_group in enumerate(script.clients):
+        path = f"clients[{index}]"
+        if client_group.listener not in listeners:
+            yield (
+                f"{path}.listener: {client_group.listener!r} is not one of "
+                + ", ".join(sorted(listeners))
             )
-        if crowd.desk is not None and script.desk and crowd.desk not in script.desk:
-            yield f"{at}.desk: {crowd.desk!r} is none of " + ", ".join(script.desk)
-        if crowd.zone is not None and crowd.zone not in script.zones:
-            yield f"{at}.zone: {crowd.zone!r} is not one of zones"
-        if crowd.within_s > script.seconds:
-            yield f"{at}.within_s: past the script's end"
-    for place, item in enumerate(script.instance):
+        if (
+            client_group.desk is not None
+            and script.desk
+            and client_group.desk not in script.desk
+        ):
+            yield f"{path}.desk: {client_group.desk!r} is not one of " + ", ".join(
+                script.desk
+            )
+        if client_group.zone is not None and client_group.zone not in script.zones:
+            yield f"{path}.zone: {client_group.zone!r} is not one of zones"
+        if client_group.within_s > script.seconds:
+            yield f"{path}.within_s: is past the end of the script"
+    for index, item in enumerate(script.instance):
         if item.on not in proxies:
-            yield f"instance[{place}].on: {item.on!r} is no proxy"
-    for place, odd in enumerate(script.odd):
+            yield f"instance[{index}].on: {item.on!r} is not a proxy"
+    for index, odd in enumerate(script.odd):
         for key, name in (("on", odd.on), ("claims", odd.claims)):
             if name is not None and name not in proxies:
-                yield f"odd[{place}].{key}: {name!r} is no proxy"
+                yield f"odd[{index}].{key}: {name!r} is not a proxy"
         if not (odd.cluster or odd.key or odd.version or odd.claims):
-            yield f"odd[{place}]: nothing in which it differs"
+            yield f"odd[{index}]: nothing differs"
     down = {}
-    for place, event in sorted(
+    for index, event in sorted(
         enumerate(script.event), key=lambda item: (item[1].at_s or 0.0, item[0])
     ):
-        yield from event_faults(
-            event, f"event[{place}]", script, gateways, proxies, down
+        yield from event_errors(
+            event, f"event[{index}]", script, gateways, proxies, down
         )
 
 
-def event_faults(event, at, script, gateways, proxies, down):
+def event_errors(event, path, script, gateways, proxies, down):
+    """Yield the errors of one event.
+
+    Args:
+        event: the event.
+        path: where it is in the script.
+        script: the whole script.
+        gateways: the names of all gateways.
+        proxies: the names of all proxies.
+        down: gateway name -> path of the event that stopped it for good. Updated here,
+            so events are checked in order of time.
+    """
     if (event.at_s is None) == (event.when is None):
-        yield f"{at}: needs one of at_s and when"
+        yield f"{path}: requires either at_s or when"
     if event.at_s is not None and event.at_s >= script.seconds:
-        yield f"{at}.at_s: {event.at_s:g} is past the script's end, {script.seconds:g}"
+        yield f"{path}.at_s: {event.at_s:g} is past the end of the script, {script.seconds:g}"
     if (
         event.at_s is not None
         and event.for_s
         and event.at_s + event.for_s > script.seconds
     ):
-        yield f"{at}.for_s: lasts past the script's end, {script.seconds:g}"
+        yield f"{path}.for_s: lasts past the end of the script, {script.seconds:g}"
     match = event.when and next(
-        filter(None, (form.fullmatch(event.when) for form in CONDITIONS)), None
+        filter(None, (pattern.fullmatch(event.when) for pattern in CONDITIONS)), None
     )
     if event.when and not match:
         yield (
-            f"{at}.when: {event.when!r} is none of 'NAME holds N sessions', 'between OPEN and UP of the "
+            f"{path}.when: {event.when!r} is not one of 'NAME holds N sessions', 'between OPEN and UP of the "
             f"next session [at NAME]', 'N sessions were asked for', 'NAME suspects|buries|meets NAME', "
             f"'NAME has sent N messages of kind K'"
         )
-    if match and match.re in (SAYS, SENT):
+    if match and match.re in (MEMBER_STATE_SEEN, MESSAGES_SENT):
         if not script.proxies.peers:
-            yield f"{at}.when: needs proxies.peers"
+            yield f"{path}.when: requires proxies.peers"
         for name in (match["proxy"], match.groupdict().get("other", match["proxy"])):
             if name not in proxies:
-                yield f"{at}.when: {name!r} is no proxy"
-    if event.do in ON_PEERS:
-        yield from peer_faults(event, at, script, gateways, proxies)
+                yield f"{path}.when: {name!r} is not a proxy"
+    if event.do in PEER_EVENTS:
+        yield from peer_event_errors(event, path, script, gateways, proxies)
         if event.on is None and event.do != "split":
-            yield f"{at}.on: {event.do} needs to know on what"
+            yield f"{path}.on: {event.do} requires a target"
         return
-    named = match.groupdict().get("on") if match else None
-    if named not in (None, *gateways):
-        yield f"{at}.when: {named!r} is no gateway"
-    if match and match.re is BETWEEN:
-        named = named or "the session's own"
-    known = (
+    condition_target = match.groupdict().get("on") if match else None
+    if condition_target not in (None, *gateways):
+        yield f"{path}.when: {condition_target!r} is not a gateway"
+    if match and match.re is BETWEEN_OPEN_AND_UP:
+        condition_target = condition_target or "the server of the session"
+    allowed_targets = (
         gateways
-        if event.do in ON_GATEWAY
+        if event.do in GATEWAY_EVENTS
         else proxies
-        if event.do in ON_PROXY
+        if event.do in PROXY_EVENTS
         else gateways + proxies
     )
     if event.do == "way":
-        known = known + script.zones
+        allowed_targets = allowed_targets + script.zones
     if (
         event.on is None
-        and event.do in (*ON_GATEWAY, *ON_PROXY, "cut", "partition", "way")
-        and not named
+        and event.do in (*GATEWAY_EVENTS, *PROXY_EVENTS, "cut", "partition", "way")
+        and not condition_target
     ):
-        yield f"{at}.on: {event.do} needs to know on what"
+        yield f"{path}.on: {event.do} requires a target"
     if event.on is not None and event.do in ("store-slower", "herd", "costly"):
-        yield f"{at}.on: {event.do} concerns all"
+        yield f"{path}.on: {event.do} takes no target"
     elif (
         event.on is not None
-        and event.on not in known
+        and event.on not in allowed_targets
         and not (event.do == "cut" and event.on == "clients")
     ):
-        yield f"{at}.on: {event.on!r} is none of {known[0]} to {known[-1]}"
+        yield f"{path}.on: {event.on!r} is not one of {allowed_targets[0]} to {allowed_targets[-1]}"
     if event.do == "partition" and event.with_ not in gateways + proxies:
-        yield f"{at}.with: {event.with_!r} is neither a gateway nor a proxy"
-    if event.do == "way" and event.with_ not in known:
-        yield f"{at}.with: {event.with_!r} is no gateway, proxy or zone"
-    if event.do in NEEDS_FACTOR and event.factor is None:
-        yield f"{at}.factor: is missing"
+        yield f"{path}.with: {event.with_!r} is neither a gateway nor a proxy"
+    if event.do == "way" and event.with_ not in allowed_targets:
+        yield f"{path}.with: {event.with_!r} is not a gateway, proxy or zone"
+    if event.do in FACTOR_EVENTS and event.factor is None:
+        yield f"{path}.factor: is missing"
     if event.at_s is None:
         return
     if event.do in ("silent", "kill"):
         if event.on in down:
-            yield f"{at}: {event.on} is gone already since {down[event.on]}"
+            yield f"{path}: {event.on} was already stopped by {down[event.on]}"
         elif not event.for_s:
-            down[event.on] = at
+            down[event.on] = path
     elif event.do == "back":
         down.pop(event.on, None)
         if not any(
@@ -501,29 +563,42 @@
             and (other.at_s or 0.0) <= event.at_s
             for other in script.event
         ):
-            yield f"{at}: nothing has befallen {event.on} before"
+            yield f"{path}: no earlier event concerns {event.on}"
 
 
 def script_of(values):
+    """Return the script with these values.
+
+    Raises:
+        ConfigurationError: One line an error.
+    """
     script = checked.convert(values, Script)
-    wrong = list(contradictions(script))
-    if wrong:
-        raise ConfigurationError("\n".join(wrong))
+    errors = list(script_errors(script))
+    if errors:
+        raise ConfigurationError("\n".join(errors))
     return script
 
 
 def read(path, changes=()):
-    """The script at `path`, with (key path, TOML value) pairs set on top, as `proxies.count`,
-    `gateways.0.cores`."""
+    """Return the script at `path`.
+
+    Args:
+        path: a TOML file.
+        changes: (key path, TOML value) pairs that replace values of the file. Key paths
+            are such as `proxies.count` and `gateways.0.cores`.
+
+    Raises:
+        ConfigurationError: One line an error.
+    """
     values = checked.load_toml(path)
     for key, value in changes:
-        *way, last = key.split(".")
-        place = values
-        for step in way:
-            place = (
-                place[int(step)]
-                if isinstance(place, list)
-                else place.setdefault(step, {})
+        *parents, last = key.split(".")
+        container = values
+        for parent in parents:
+            container = (
+                container[int(parent)]
+                if isinstance(container, list)
+                else container.setdefault(parent, {})
             )
-        place[int(last) if isinstance(place, list) else last] = value
+        container[int(last) if isinstance(container, list) else last] = value
     return script_of(values)
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -22,14 +22,14 @@
 from wheathill.lab.judging.judges import judge
 from wheathill.lab.scripts.faults import PeerFaults
 from wheathill.lab.scripts.language import (
-    ASKED,
-    BETWEEN,
-    HOLDS,
-    PROVEN,
-    SAID,
-    SAYS,
-    SENT,
-    gateway_names,
+    BETWEEN_OPEN_AND_UP,
+    MEMBER_STATE_SEEN,
+    MEMBER_STATES,
+    MESSAGES_SENT,
+    SERVER_HOLDS,
+    SESSIONS_REQUESTED,
+    VERIFIED_EVENTS,
+    list_gateways,
     proxy_names,
 )
 from wheathill.lab.scripts.record import Record
@@ -101,7 +101,7 @@
             (name, script.zones[place % len(script.zones)])
             for place, name in enumerate(proxy_names(script))
         ]
-        for name, kind, zone, cell in gateway_names(script):
+        for name, kind, zone, cell in list_gateways(script):
             host = world.host(name, zone, self.limits, peers)
             dedup = {}
             for item in script.listener:
@@ -163,10 +163,13 @@
                 raise ConfigurationError(
                     "proxies.peers: is played in the virtual world and among processes"
                 )
-            if any(event.when and SENT.fullmatch(event.when) for event in script.event):
+            if any(
+                event.when and MESSAGES_SENT.fullmatch(event.when)
+                for event in script.event
+            ):
                 world.ways.watchers.append(self.watch_message)
         for event in script.event if world.name == "processes" else ():
-            if event.do not in PROVEN:
+            if event.do not in VERIFIED_EVENTS:
                 raise ConfigurationError(
                     f"event: whether {event.do} took effect is not proven in this world"
                 )
@@ -479,25 +482,25 @@
 
     def met(self, event, kind, fields):
         """(gateway, proxy) that the condition was met by, or None."""
-        if match := BETWEEN.fullmatch(event.when):
+        if match := BETWEEN_OPEN_AND_UP.fullmatch(event.when):
             if kind == "dial" and match["on"] in (None, fields["server"]):
                 return fields["server"], self.sessions[fields["sess"]]
-        elif match := HOLDS.fullmatch(event.when):
+        elif match := SERVER_HOLDS.fullmatch(event.when):
             if (
                 kind == "up"
                 and fields["server"] == match["on"]
                 and len(self.gateways[match["on"]].links) >= int(match["count"])
             ):
                 return match["on"], self.sessions[fields["sess"]]
-        elif match := ASKED.fullmatch(event.when):
+        elif match := SESSIONS_REQUESTED.fullmatch(event.when):
             if kind == "open" and self.asked >= int(match["count"]):
                 return None, fields["proxy"]
-        elif match := SAYS.fullmatch(event.when):
+        elif match := MEMBER_STATE_SEEN.fullmatch(event.when):
             if (
                 kind == "log"
                 and fields["node"] == match["proxy"]
                 and fields["peer"] == match["other"]
-                and fields["state"] == SAID[match["what"]]
+                and fields["state"] == MEMBER_STATES[match["what"]]
             ):
                 return None, match["proxy"]
         return None
