--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -270,7 +270,7 @@
         f'[[event]]\nat_s = {at}\ndo = "{do}"\non = "n1"\n{more}'
         for at, do, more in ((2, "proxy-kill", ""), (2.5, "proxy-pause", "for_s = 9\n"))
     )
-    result = virtual(language.script_of(tomllib.loads(text)), 1)
+    result = virtual(language.parse_script(tomllib.loads(text)), 1)
     truths = [
         fields for _, kind, fields in result.scene.record.events if kind == "truth"
     ]
@@ -287,7 +287,7 @@
         f'[[event]]\nat_s = {at}\ndo = "{do}"\non = "{on}"\n' for at, do, on in events
     )
     return processes(
-        language.script_of(tomllib.loads(text)),
+        language.parse_script(tomllib.loads(text)),
         1,
         world="processes",
         program=("-c", program),
--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -9,7 +9,7 @@
 from wheathill.lab.judging import mutated
 from wheathill.lab.judging.fleet import Apart, Shares, Timing, ToldToAll, Views, Zones
 from wheathill.lab.judging.judges import BudgetOfDials, Drains
-from wheathill.lab.scripts.language import Odd
+from wheathill.lab.scripts.language import DivergentInstance
 from wheathill.log_events import LogEvent
 
 ZONE_OF = {"a": "e", "b": "e", "c": "w", "d": "w"}
@@ -415,7 +415,7 @@
 
 @pytest.fixture
 def names():
-    told = Told(Apart, odd=[Odd(on="d", claims="a")], within=5000.0)
+    told = Told(Apart, odd=[DivergentInstance(on="d", claims="a")], within=5000.0)
 
     def says(name, held, alone=False):
         told.see("believes", proxy=name, name=held, alone=alone, dropped={}, members={})
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -66,7 +66,7 @@
         + more
         + "".join(f"[[event]]\n{event}\n" for event in events)
     )
-    result = play(scripts.script_of(tomllib.loads(text)))
+    result = play(scripts.parse_script(tomllib.loads(text)))
     shown = []
     for now, kind, fields in result.scene.record.events:
         if (
@@ -239,7 +239,7 @@
 def test_a_cold_gateway_falls_over_and_stays_down():
     text = open(MUTANTS_SCRIPT).read().replace("falls_over = 20", "falls_over = 1.5")
     result = play(
-        scripts.script_of(tomllib.loads(text)), proxy=MUTANTS["floods a cold one"][0]
+        scripts.parse_script(tomllib.loads(text)), proxy=MUTANTS["floods a cold one"][0]
     )
     fell = [
         (now, fields["server"])
@@ -436,7 +436,7 @@
 )
 def test_script_faults(old, new, fault):
     with pytest.raises(ConfigurationError) as wrong:
-        scripts.script_of(
+        scripts.parse_script(
             tomllib.loads(open(MUTANTS_SCRIPT).read().replace(old, new, 1))
         )
     assert fault in str(wrong.value).splitlines()
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -358,7 +358,7 @@
     text = text.replace(
         'at_s = 3\ndo = "drain"\non = "g1"', 'at_s = 4\ndo = "drain"\non = "g2"'
     )
-    result = play(scripts.script_of(tomllib.loads(text)), world="sockets")
+    result = play(scripts.parse_script(tomllib.loads(text)), world="sockets")
     counts = result.figures["counts"]
     assert [str(breach) for breach in result.breaches] == []
     assert counts["answer UP"] > 30  # how many depends on how fast the proxies start
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -174,7 +174,7 @@
     patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 80.0
 
 
-class Odd(Table):
+class DivergentInstance(Table):
     """An instance whose configuration differs, so that the others must not accept it."""
 
     on: Name
@@ -292,7 +292,7 @@
     proxies: Proxies = field(default_factory=Proxies)
     front: FrontTable = field(default_factory=FrontTable)
     fleet: FleetLimits = field(default_factory=FleetLimits)
-    odd: list[Odd] = []
+    odd: list[DivergentInstance] = []
     instance: list[InstanceLimits] = []
     event: list[ScriptEvent] = []
 
@@ -566,7 +566,7 @@
             yield f"{path}: no earlier event concerns {event.on}"
 
 
-def script_of(values):
+def parse_script(values):
     """Return the script with these values.
 
     Raises:
@@ -601,4 +601,4 @@
                 else container.setdefault(parent, {})
             )
         container[int(last) if isinstance(container, list) else last] = value
-    return script_of(values)
+    return parse_script(values)
