--- a/wheathill/lab/cores/__init__.py
+++ b/wheathill/lab/cores/__init__.py
@@ -1,1 +1,1 @@
-"""Cores that live without sockets, each among many of its kind."""
+"""Simulations of single components, such as membership and the store, in clusters without sockets."""
--- a/wheathill/lab/judging/__init__.py
+++ b/wheathill/lab/judging/__init__.py
@@ -1,1 +1,1 @@
-"""What judges a run, and what the judges are tried on: broken proxies, other policies."""
+"""Checks of a run's events against the rules, and the mutants and baseline policies to compare with."""
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -1,7 +1,7 @@
-"""Policies to compare with, in the lab only: they stand in for the decision module behind the same interface.
+"""Baseline policies for comparison in the lab, which replace the decision module behind the same interface.
 
 Random choice, random choice by registered weight, least connections, the power of two choices (Mitzenmacher 2001), and
-`true sight`, which reads the gateways' true load at the moment of the choice and which no proxy can have.
+`true sight`, an oracle that reads the servers' true load at the moment of the choice, which no proxy can.
 """
 
 from functools import partial
@@ -12,47 +12,52 @@
 from wheathill.policy.stage import Stage, connect_stages
 
 
-class Plain(Stage):
-    """Picks, dials, and picks again after a dial that may be repeated; refuses when that has no use."""
+class BaselineSelector(Stage):
+    """Selects a server for each attempt, retries where a retry is allowed, and otherwise rejects or fails."""
 
-    def __init__(self, balancer, pick, most_dials):
+    def __init__(self, balancer, select, max_attempts):
         self.balancer = balancer
-        self.pick = pick
-        self.most_dials = most_dials
+        self.select = select
+        self.max_attempts = max_attempts
 
     def enter(self, now, sess):
+        """Start the first attempt."""
         sess.slot = self.balancer.slot_table.slot_of(sess)
-        self.go(now, sess)
+        self.start_attempt(now, sess)
 
-    def go(self, now, sess):
-        tried = [dial.server for dial in sess.attempts]
-        able = [
+    def start_attempt(self, now, sess):
+        """Start an attempt at an eligible server, or give the session up if there is none."""
+        tried = [attempt.server for attempt in sess.attempts]
+        eligible = [
             server
             for server in self.balancer.endpoint_list.servers
             if server not in tried
             and self.balancer.endpoint_list.may_attempt(now, server, False)
             and may_retry(now, sess, server)
         ]
-        if able:
-            sess.server = self.pick(able)
+        if eligible:
+            sess.server = self.select(eligible)
             self.next_stage.enter(now, sess)
         else:
             self.give_up(sess)
 
     def on_accepted(self, now, sess):
+        """Do nothing: a baseline keeps no state of accepted sessions."""
         pass
 
     def on_failed(self, now, sess, outcome):
+        """Retry within the session's deadline and limit of attempts."""
         if (
-            len(sess.attempts) < self.most_dials
+            len(sess.attempts) < self.max_attempts
             and sess.deadline_ms > now
             and outcome is not AttemptOutcome.CANCELLED
         ):
-            self.go(now, sess)
+            self.start_attempt(now, sess)
         else:
             self.give_up(sess)
 
     def give_up(self, sess):
+        """Reject the session where that is allowed, otherwise fail it."""
         sess.has_ended = True
         if may_reject(sess):
             self.balancer.effects.reject(sess, sess.listener.handshake_target_ms)
@@ -61,53 +66,65 @@
 
 
 class Baseline(Balancer):
-    """The module's list, its dials and its rules; none of its table, levels or limits."""
+    """Uses the module's endpoint list, attempts and retry rules, but not its slot exceptions, load levels or limits."""
 
-    def __init__(self, pick, effects, rng, settings):
+    def __init__(self, select, effects, rng, settings):
         super().__init__(effects, rng, settings)
-        plain = Plain(self, partial(pick, rng), settings.max_attempts)
-        connect_stages(plain, self.attempt_runner)
-        self.admission = plain
-        # What asks for figures of set-ups under way finds none.
-        plain.in_progress = {}
-        plain.on_setup_failure = lambda now: None
+        selector = BaselineSelector(self, partial(select, rng), settings.max_attempts)
+        connect_stages(selector, self.attempt_runner)
+        self.admission = selector
+        # The figures of the admission stage are empty, for code that reads them.
+        selector.in_progress = {}
+        selector.on_setup_failure = lambda now: None
 
     def tick(self, now):
+        """Migrate sessions off draining servers."""
         servers = dict.fromkeys(
-            sess.server for held in self.slot_table.sessions for sess in held
+            sess.server for sessions in self.slot_table.sessions for sess in sessions
         )
         self.session_migrator.migrate_off_draining(now, servers)
 
 
-def at_random(rng, able):
-    return rng.choice(able)
+def at_random(rng, eligible):
+    """Select a server uniformly at random."""
+    return rng.choice(eligible)
 
 
-def by_weight(rng, able):
-    return rng.choices(able, [server.weight for server in able])[0]
+def by_weight(rng, eligible):
+    """Select a server at random in proportion to its registered weight."""
+    return rng.choices(eligible, [server.weight for server in eligible])[0]
 
 
-def least_connections(rng, able):
-    return min(able, key=lambda server: (len(server.sessions), rng.random()))
+def least_connections(rng, eligible):
+    """Select the server with the fewest sessions of this proxy, at random among equals."""
+    return min(eligible, key=lambda server: (len(server.sessions), rng.random()))
 
 
-def two_choices(rng, able):
+def two_choices(rng, eligible):
+    """Select of two random servers the one with fewer sessions of this proxy."""
     return min(
-        rng.sample(able, min(2, len(able))), key=lambda server: len(server.sessions)
+        rng.sample(eligible, min(2, len(eligible))),
+        key=lambda server: len(server.sessions),
     )
 
 
-def true_sight(gateways, rng, able):
-    """Lowest true load, of those that run; a gateway's set-ups under way count as if they were up."""
+def true_sight(gateways, rng, eligible):
+    """Select the healthy server with the lowest true load; its handshakes in progress count as established sessions."""
 
     def load(server):
         gateway = gateways[server.name]
         host = gateway.host
-        well = host.alive and not host.silent and not host.paused and not gateway.erring
-        coming = (gateway.busy + len(gateway.waiting)) / gateway.holds
-        return not well, gateway.load + coming / gateway.readiness(), rng.random()
+        is_healthy = (
+            host.alive and not host.silent and not host.paused and not gateway.erring
+        )
+        pending_load = (gateway.busy + len(gateway.waiting)) / gateway.holds
+        return (
+            not is_healthy,
+            gateway.load + pending_load / gateway.readiness(),
+            rng.random(),
+        )
 
-    return min(able, key=load)
+    return min(eligible, key=load)
 
 
 POLICIES = (
@@ -121,14 +138,14 @@
 
 
 def decisions(policy, gateways):
-    """What a proxy is given in the place of Balancer."""
+    """Return what creates a proxy's decision module for `policy`, with the parameters of `Balancer`."""
     if policy == "module":
         return Balancer
-    pick = {
+    select = {
         "random": at_random,
         "weighted-random": by_weight,
         "least-connections": least_connections,
         "two-choices": two_choices,
         "true-sight": partial(true_sight, gateways),
     }[policy]
-    return partial(Baseline, pick)
+    return partial(Baseline, select)
--- a/wheathill/lab/mutant.py
+++ b/wheathill/lab/mutant.py
@@ -1,8 +1,9 @@
-"""Starts the program with one of its parts broken on purpose (`judging/mutated`):
+"""Starts the program with one deliberately broken part (`judging/mutated`).
 
     python -m wheathill.lab.mutant NAME daemon FILE
 
-As `wheathill daemon FILE` does, below the command line, which offers the lab's commands and so stands above it.
+Runs as `wheathill daemon FILE` does, but without the command line module: that one offers the lab's commands, and so
+depends on the lab.
 """
 
 import sys
@@ -13,8 +14,9 @@
 
 
 def main(name, command, path):
+    """Apply the mutant or variant `name`, then run the daemon with the configuration at `path`."""
     if command != "daemon":
-        raise SystemExit(f"{command}: a mutant is started as a daemon only")
+        raise SystemExit(f"{command}: mutants can only be started as a daemon")
     VARIANTS[name]()
     return run(lambda: operator.read_operator_config(path))
 
