--- a/wheathill/handover/restore.py
+++ b/wheathill/handover/restore.py
@@ -1,7 +1,7 @@
-"""A proxy that has just been made, filled from another process's records.
+"""Fills a new proxy from the records of another process.
 
-All that is to be set is built and checked beside what stands, then set: a state that
-cannot be used changes nothing.
+Everything is built and checked before the proxy is changed, so that an invalid state
+has no effect.
 """
 
 from collections.abc import Mapping, Sequence
@@ -9,9 +9,9 @@
 
 from wheathill.handover.errors import HandoverError
 from wheathill.handover.records import (
-    DecisionsRecord,
     HandoverSnapshot,
     KeyRouteRecord,
+    PolicyRecord,
     ServerRecord,
     SessionRecord,
     SlotTableRecord,
@@ -28,7 +28,9 @@
 
 @dataclass(slots=True)
 class _SlotTables:
-    preferred: list[Server | None]
+    """A slot table record with its server indexes resolved."""
+
+    preferred_servers: list[Server | None]
     current: list[Server | None]
     new: list[Server | None]
     transition_started_ms: dict[int, float]
@@ -36,7 +38,7 @@
 
 @dataclass(slots=True)
 class RestoredState:
-    """What a proxy is filled with: records with their servers in place of indexes."""
+    """The state that a proxy is filled with: its records, with resolved indexes."""
 
     servers: dict[str, Server]
     addresses: dict[Server, tuple[str, int]]
@@ -47,20 +49,20 @@
     attempts: list[RecordedAttempt]
     session_ids: list[str]
     server_names: list[str]
-    decisions: DecisionsRecord
+    policy: PolicyRecord
 
     @classmethod
     def build(cls, snapshot: HandoverSnapshot) -> "RestoredState":
         """Build the servers and resolve all references to them.
 
         Raises:
-            HandoverError: if parts of the state contradict each other.
-            IndexError: if a reference leads to no server.
+            HandoverError: if the state is inconsistent.
+            IndexError: if an index refers to no server.
         """
         servers = [build_server(record) for record in snapshot.servers]
-        by_name = {server.name: server for server in servers}
-        if len(by_name) < len(servers):
-            raise HandoverError("a server stands there twice")
+        servers_by_name = {server.name: server for server in servers}
+        if len(servers_by_name) < len(servers):
+            raise HandoverError("state contains two servers of the same name")
         addresses = {
             server: record.address
             for server, record in zip(servers, snapshot.servers, strict=True)
@@ -76,20 +78,20 @@
         }
         _check_ready_servers(ready_servers, slots, addresses)
         return cls(
-            servers=by_name,
+            servers=servers_by_name,
             addresses=addresses,
             ready_servers=ready_servers,
             slots=slots,
             moved_keys=moved_keys,
             exception_keys=exception_keys,
-            attempts=_resolve_attempts(snapshot.decisions, servers),
+            attempts=_resolve_attempts(snapshot.policy, servers),
             session_ids=snapshot.session_ids,
             server_names=snapshot.server_names,
-            decisions=snapshot.decisions,
+            policy=snapshot.policy,
         )
 
     def apply(self, proxy: Proxy) -> None:
-        """Fill a proxy that has just been made; nothing here fails."""
+        """Fill a new proxy; this raises no exception."""
         proxy.servers.update(self.servers)
         proxy.addresses.update(self.addresses)
         proxy.session_ids.update(dict.fromkeys(self.session_ids))
@@ -97,17 +99,17 @@
         self._apply_endpoint_list(proxy)
         self._apply_slots(proxy)
         self._apply_estimates(proxy)
-        # Versions count at one address.
-        if self.decisions.discovery_address == list(proxy.node.discovery_address or ()):
-            proxy.list_version = self.decisions.list_version
+        # Each discovery address counts its own versions.
+        if self.policy.discovery_address == list(proxy.node.discovery_address or ()):
+            proxy.list_version = self.policy.list_version
 
     def _apply_endpoint_list(self, proxy: Proxy) -> None:
         endpoint_list = proxy.balancer.endpoint_list
         endpoint_list.servers.update(self.ready_servers)
-        endpoint_list.maintenance_since_ms.update(self.decisions.maintenance_since_ms)
+        endpoint_list.maintenance_since_ms.update(self.policy.maintenance_since_ms)
         endpoint_list.maintenance_ended_ms.update(
             (name, MaintenancePeriod(*period))
-            for name, period in self.decisions.maintenance_ended_ms.items()
+            for name, period in self.policy.maintenance_ended_ms.items()
         )
 
     def _apply_slots(self, proxy: Proxy) -> None:
@@ -116,74 +118,76 @@
         if len(slots.current) == table.size:
             table.restore(ready, slots.current, slots.new, slots.transition_started_ms)
         else:
-            # Of a build with fewer or more slots: filled anew, as by a list.
+            # A build with another number of slots sent it: the table is filled by
+            # claims, as for an endpoint list.
             table.restore(ready, None, None, {})
         table.moved_keys = self.moved_keys
         table.exception_keys = self.exception_keys
 
     def _apply_estimates(self, proxy: Proxy) -> None:
-        balancer, decisions = proxy.balancer, self.decisions
-        balancer.load_estimator.capacity_estimate = decisions.capacity_estimate
-        # What comes over comes fast, and was reported long ago.
-        balancer.load_estimator.previous_mean_sessions = decisions.capacity_estimate
-        balancer.probe_scheduler.credit = decisions.probe_credit
+        balancer, policy = proxy.balancer, self.policy
+        balancer.load_estimator.capacity_estimate = policy.capacity_estimate
+        # Sessions arrive fast during a handover, but load reports already include them,
+        # so the estimator must not treat this as a growth that reports lag behind.
+        balancer.load_estimator.previous_mean_sessions = policy.capacity_estimate
+        balancer.probe_scheduler.credit = policy.probe_credit
         admission = balancer.admission
-        admission.concurrency_limit = decisions.set_up_window
-        admission.limit_reduced_ms = decisions.window_cut_at_ms
-        admission.next_admission_ms = decisions.next_set_up_at_ms
+        admission.concurrency_limit = policy.concurrency_limit
+        admission.limit_reduced_ms = policy.limit_reduced_ms
+        admission.next_admission_ms = policy.next_admission_ms
         balancer.outlier_detector.recent_attempts.extend(self.attempts)
         balancer.retry_budget.retries.extend(
-            Retry(retry.at_ms, retry.utility) for retry in decisions.retries
+            Retry(retry.at_ms, retry.priority_weight) for retry in policy.retries
         )
 
 
 def build_server(record: ServerRecord) -> Server:
-    """Return the server of a record."""
+    """Return a server with the state of a record."""
     server = Server(
         record.name,
         zone=record.zone,
         cell=record.cell,
         weight=record.weight,
-        started_ms=record.started_at_ms,
+        started_ms=record.started_ms,
         phase=record.phase,
         listed_phase=record.listed_phase,
     )
     server.unanswered_probes = record.unanswered_probes
-    server.is_removal_unconfirmed = record.is_leaving_unconfirmed
+    server.is_removal_unconfirmed = record.is_removal_unconfirmed
     server.load_samples.extend(record.load_samples)
-    server.recent_results.extend(record.results)
+    server.recent_results.extend(record.recent_results)
     server.attempt_times_ms.extend(record.attempt_times_ms)
-    server.leaving_since_ms = record.left_at_ms
-    server.last_late_message_ms = record.missed_target_at_ms
-    server.last_received_ms = record.last_received_at_ms
-    server.next_shift_ms = record.next_shift_at_ms
-    server.next_migration_ms = record.next_migration_at_ms
-    server.last_probe_ms = record.last_probe_at_ms
+    server.leaving_since_ms = record.leaving_since_ms
+    server.last_late_message_ms = record.last_late_message_ms
+    server.last_received_ms = record.last_received_ms
+    server.next_shift_ms = record.next_shift_ms
+    server.next_migration_ms = record.next_migration_ms
+    server.last_probe_ms = record.last_probe_ms
     return server
 
 
 def build_session(record: SessionRecord, listeners: Mapping[str, Listener]) -> Session:
-    """Return the session of a record.
+    """Return a session with the state of a record.
 
-    A listener that the settings no longer name keeps its name until its sessions end.
+    If the settings no longer contain its listener, the session gets one of that name.
     """
     session = Session(
         listener=listeners.get(record.listener_name) or Listener(record.listener_name),
         key=record.key,
-        deadline_ms=record.accepted_at_ms,
+        deadline_ms=record.accepted_ms,
         tenant=record.tenant,
         group=record.group,
         load=record.load,
         mid_flow=record.is_mid_flow,
         returning=record.is_returning,
-        is_client_retry=record.is_repeat,
+        is_client_retry=record.is_client_retry,
     )
-    session.accepted_ms = record.accepted_at_ms
+    session.accepted_ms = record.accepted_ms
     return session
 
 
 def _resolve_attempts(
-    record: DecisionsRecord, servers: Sequence[Server]
+    record: PolicyRecord, servers: Sequence[Server]
 ) -> list[RecordedAttempt]:
     return [
         RecordedAttempt(attempt.at_ms, servers[attempt.server_index], attempt.succeeded)
@@ -193,19 +197,19 @@
 
 def _resolve_slots(record: SlotTableRecord, servers: Sequence[Server]) -> _SlotTables:
     tables = _SlotTables(
-        preferred=_resolve_indexes(record.preferred, servers),
+        preferred_servers=_resolve_indexes(record.preferred_servers, servers),
         current=_resolve_indexes(record.current, servers),
         new=_resolve_indexes(record.new, servers),
         transition_started_ms=record.transition_started_ms,
     )
-    size = len(tables.preferred)
+    size = len(tables.preferred_servers)
     if len(tables.current) != size or len(tables.new) != size:
-        raise HandoverError("tables of unlike sizes")
+        raise HandoverError("slot tables differ in size")
     if any(
         slot >= size or tables.new[slot] is None
         for slot in record.transition_started_ms
     ):
-        raise HandoverError("a slot is said to move nowhere")
+        raise HandoverError("slot in transition has no new server")
     return tables
 
 
@@ -229,10 +233,13 @@
     slots: _SlotTables,
     addresses: Mapping[Server, tuple[str, int]],
 ) -> None:
-    """A slot that leads to a server that leaves would break the rule on drains."""
-    led_to = {*slots.preferred, *slots.current, *slots.new} - {None}
-    if led_to <= ready_servers.keys() <= addresses.keys():
+    """Check that slots refer to ready servers, and that those have addresses.
+
+    A slot of a leaving server would send new sessions to it, which a drain forbids.
+    """
+    referenced_servers = {*slots.preferred_servers, *slots.current, *slots.new} - {None}
+    if referenced_servers <= ready_servers.keys() <= addresses.keys():
         return
     raise HandoverError(
-        "a slot leads to a server that is not ready, or one that is has no address"
+        "slot refers to a server that is not ready, or a ready server has no address"
     )
--- a/wheathill/handover/session_codec.py
+++ b/wheathill/handover/session_codec.py
@@ -1,6 +1,7 @@
-"""The form of a session between two processes.
+"""Encodes and decodes the record of a session.
 
-Tens of thousands may go over: one record, one dictionary and no more for each.
+Tens of thousands of sessions may be handed over, so only one record and one dictionary
+are created for each.
 """
 
 from wheathill.handover.errors import HandoverError
@@ -14,7 +15,7 @@
 
 
 def encode_session(record: SessionRecord) -> dict:
-    """Return the record as the wire has it."""
+    """Return the encoded record."""
     return {
         "line": record.open_line.decode(),
         "listener": record.listener_name,
@@ -24,9 +25,9 @@
         "load": record.load,
         "mid_flow": record.is_mid_flow,
         "returning": record.is_returning,
-        "repeat": record.is_repeat,
-        "accepted": record.accepted_at_ms,
-        "came": record.requested_at_ms,
+        "repeat": record.is_client_retry,
+        "accepted": record.accepted_ms,
+        "came": record.connected_ms,
         "asked": record.unanswered_since_ms,
         "server": record.server_name,
         "rest": record.partial_line.decode("latin-1"),
@@ -34,28 +35,28 @@
 
 
 def decode_session(fields: dict) -> SessionRecord:
-    """Return the record of what `encode_session` made.
+    """Return the record of an encoded session.
 
     Raises:
-        HandoverError: if it is no session, or a value cannot be used.
+        HandoverError: if it is not a session, or a value is invalid.
     """
     try:
         group = fields["group"]
         return SessionRecord(
             listener_name=require_type(fields["listener"], str),
             key=require_type(fields["key"], str),
-            accepted_at_ms=require_number(fields["accepted"]),
+            accepted_ms=require_number(fields["accepted"]),
             tenant=require_count(fields["tenant"]),
             group=None if group is None else require_type(group, str),
             load=require_optional_number(fields["load"]),
             is_mid_flow=require_type(fields["mid_flow"], bool),
             is_returning=require_type(fields["returning"], bool),
-            is_repeat=require_type(fields["repeat"], bool),
+            is_client_retry=require_type(fields["repeat"], bool),
             open_line=require_type(fields["line"], str).encode(),
-            requested_at_ms=require_number(fields["came"]),
+            connected_ms=require_number(fields["came"]),
             unanswered_since_ms=require_optional_number(fields["asked"]),
             server_name=require_type(fields["server"], str),
             partial_line=require_type(fields["rest"], str).encode("latin-1"),
         )
     except (KeyError, TypeError, UnicodeError) as error:
-        raise HandoverError(f"not a session: {error!r}") from None
+        raise HandoverError(f"malformed session: {error!r}") from None
