--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -486,7 +486,7 @@
             (gateway.cores, gateway.holds) for gateway in scene.gateways.values()
         } == {(2, 40), (3, 72), (4, 120)}
         return {
-            name: entry["share"] / scene.kinds[name][0].weight
+            name: entry["share"] / scene.gateway_placements[name][0].weight
             for name, entry in scene.registry.entries.items()
         }
 
--- a/wheathill/lab/scripts/run.py
+++ b/wheathill/lab/scripts/run.py
@@ -6,7 +6,7 @@
 
 from wheathill.lab.judging.judges import ColdServerJudge
 from wheathill.lab.judging.service import full_service
-from wheathill.lab.scripts.scene import Scene, counts, stand_in_limits
+from wheathill.lab.scripts.scene import Scene, count_events, unconstrained_limits
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.net.proxy import Proxy
 
@@ -27,7 +27,7 @@
             "policy": scene.policy,
             "seconds": scene.script.seconds,
             "took_s": round(took, 3),
-            "counts": counts(record),
+            "counts": count_events(record),
             "handshake_ms": record.handshakes.figures(),
             "message_ms": record.messages.figures(),
             "full_service": full_service(record.events, scene.clock.now()),
@@ -81,7 +81,7 @@
     elif world == "processes":
         from wheathill.lab.worlds.processes import ProcessWorld
 
-        place = ProcessWorld(seed, network, stand_in_limits(script), program)
+        place = ProcessWorld(seed, network, unconstrained_limits(script), program)
     else:
         place = VirtualWorld(seed, {**network, "hop": net.hop_ms}, proxy=proxy)
     began = time.perf_counter()
