--- a/wheathill/handover/records.py
+++ b/wheathill/handover/records.py
@@ -16,8 +16,8 @@
 class ServerRecord:
     """The state that one process keeps for a server.
 
-    A time of minus infinity means never; a `started_ms` of None means long ago. The
-    fields are those of `model.Server`, where they are described.
+    A time of minus infinity means never; a `started_ms` of None means long ago. All
+    fields but `address` are those of `model.Server`, where they are described.
     """
 
     name: str
