--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -178,7 +178,7 @@
             record.open_line,
             sess,
             handles,
-            connected_ms=record.requested_at_ms,
+            connected_ms=record.connected_ms,
             unanswered_since_ms=record.unanswered_since_ms,
             server_name=record.server_name,
             partial_line=record.partial_line,
