--- a/wheathill/peers/zones/record_batches.py
+++ b/wheathill/peers/zones/record_batches.py
@@ -9,8 +9,8 @@
 
 from wheathill.peers.zones.messages import EncodedRecord
 
-# Maximum size of the records in a datagram. It leaves room for the start of the peer
-# frame and the view header within one Ethernet frame.
+# Maximum size of the records in a datagram. It leaves room for the frame's header and
+# the view header within one Ethernet frame.
 MAX_BATCH_BYTES = 1150
 
 
--- a/wheathill/peers/zones/service.py
+++ b/wheathill/peers/zones/service.py
@@ -63,7 +63,7 @@
     OSError if a socket can't be opened.
 
     Attributes:
-        table_gossip: passes on new records of the replicated table.
+        table_gossip: forwards new records of the replicated table.
         table_anti_entropy: recovers records that gossip has lost.
         zone_table: the replica of the table, with its encoding.
         replicated_table: the replica itself.
