--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -128,7 +128,7 @@
     synchronize(b, a)
     restored = make_replica("a", "2")
     restored.load_snapshot(snapshot, 0.0)
-    restored.cover_own_changes(a.replica_id)
+    restored.include_previous_generation(a.replica_id)
     restored.set_register("other", 1)
     sequence = restored.version_vector[restored.replica_id]
     yield f"its next change is no dot of before: {restored.replica_id} {sequence}"
@@ -237,8 +237,8 @@
     header = ReplyHeader(
         is_full_state=True,
         version_vector=VersionVector(x=1, z=2),
-        collected=VersionVector(z=2),
-        collected_time=4,
+        collected_vector=VersionVector(z=2),
+        collected_lamport_time=4,
     )
     theirs = [4, {}, {}, {"z": 2}]
     assert a.exchange.apply_reply(header, [["set", "s", "e", theirs]], 0.0)
