--- a/wheathill/lab/scripts/__init__.py
+++ b/wheathill/lab/scripts/__init__.py
@@ -1,1 +1,1 @@
-"""The script language, and one play of a script."""
+"""The script language, and the code that runs a script."""
--- a/wheathill/lab/scripts/run.py
+++ b/wheathill/lab/scripts/run.py
@@ -1,4 +1,4 @@
-"""One run of a script, and what is kept of it."""
+"""Runs a script once and collects the result."""
 
 import time
 
@@ -12,35 +12,40 @@
 
 
 class Result:
-    """`figures` is plain data (counts, percentiles in ms, breaches, fingerprint); `scene` what it came
-    from."""
+    """The result of a run.
 
-    def __init__(self, scene, took):
+    Attributes:
+        figures: plain data: counts, percentiles in ms, breaches and fingerprint.
+        scene: the scene of the run.
+        breaches: what the judges found.
+    """
+
+    def __init__(self, scene, took_s):
         record = scene.record
-        found = scene.breaches()
+        breaches = scene.breaches()
         self.scene = scene
-        self.breaches = found
+        self.breaches = breaches
         self.figures = {
             "script": scene.script.name,
             "seed": scene.seed,
             "world": scene.world.name,
             "policy": scene.policy,
             "seconds": scene.script.seconds,
-            "took_s": round(took, 3),
+            "took_s": round(took_s, 3),
             "counts": count_events(record),
             "handshake_ms": record.handshakes.figures(),
             "message_ms": record.messages.figures(),
             "full_service": full_service(record.events, scene.clock.now()),
-            "breaches": [breach.as_dict() for breach in found],
+            "breaches": [breach.as_dict() for breach in breaches],
             "fingerprint": record.fingerprint(),
         }
-        cold = ColdServerJudge([], {}, 0.0, **scene.cold_rule())
+        cold_server_judge = ColdServerJudge([], {}, 0.0, **scene.cold_rule())
         for event in record.events:
-            cold.observe(*event)
-        if cold.over is not None:
+            cold_server_judge.observe(*event)
+        if cold_server_judge.over is not None:
             self.figures["fleet"] = {
-                "largest_multiple": round(cold.largest, 2),
-                "over_cold_bound": round(cold.over, 2),
+                "largest_multiple": round(cold_server_judge.largest, 2),
+                "over_cold_bound": round(cold_server_judge.over, 2),
             }
         if scene.script.proxies.peers:
             from wheathill.lab.judging.fleet import convergence_times
@@ -53,8 +58,9 @@
             self.figures["spent"] = scene.world.spent
 
     def save(self, path):
-        with open(path, "wb") as out:
-            out.write(
+        """Write the figures to a JSON file."""
+        with open(path, "wb") as output:
+            output.write(
                 orjson.dumps(
                     self.figures, option=orjson.OPT_INDENT_2 | orjson.OPT_APPEND_NEWLINE
                 )
@@ -64,7 +70,16 @@
 def play(
     script, seed=None, world="virtual", policy="module", proxy=Proxy, program=None
 ):
-    """`proxy`, `program`: what stands in for the proxy's class, or for the words that start its process."""
+    """Run a script once and return its result.
+
+    Args:
+        script: the script.
+        seed: replaces the seed of the script.
+        world: virtual, sockets or processes.
+        policy: the module, or a baseline in its place.
+        proxy: the class of the proxies in the virtual world.
+        program: the command that starts a proxy in the processes world.
+    """
     seed = script.seed if seed is None else seed
     net = script.network
     network = {
@@ -74,20 +89,22 @@
         "jitter": net.jitter,
     }
     if world == "sockets":
-        # There each delivery costs what it costs.
+        # Real deliveries have a cost of their own, so hop_ms is not used.
         from wheathill.lab.worlds.sockets import SocketWorld
 
-        place = SocketWorld(seed, network)
+        world_instance = SocketWorld(seed, network)
     elif world == "processes":
         from wheathill.lab.worlds.processes import ProcessWorld
 
-        place = ProcessWorld(seed, network, unconstrained_limits(script), program)
+        world_instance = ProcessWorld(
+            seed, network, unconstrained_limits(script), program
+        )
     else:
-        place = VirtualWorld(seed, {**network, "hop": net.hop_ms}, proxy=proxy)
-    began = time.perf_counter()
+        world_instance = VirtualWorld(seed, {**network, "hop": net.hop_ms}, proxy=proxy)
+    start = time.perf_counter()
     try:
-        scene = Scene(script, seed, place, policy)
+        scene = Scene(script, seed, world_instance, policy)
         scene.play()
     finally:
-        place.close()
-    return Result(scene, time.perf_counter() - began)
+        world_instance.close()
+    return Result(scene, time.perf_counter() - start)
