--- a/wheathill/lab/tools/__init__.py
+++ b/wheathill/lab/tools/__init__.py
@@ -1,1 +1,1 @@
-"""The experiment tool and its report."""
+"""The experiment tool, its report, and the generator of random sites."""
--- a/wheathill/lab/tools/report.py
+++ b/wheathill/lab/tools/report.py
@@ -1,4 +1,4 @@
-"""A run as one page: plots as SVG inside the HTML, so that it can be kept and opened anywhere."""
+"""The report of a run: one HTML file with embedded SVG plots, which needs no other file."""
 
 import html
 import io
@@ -7,9 +7,9 @@
 import matplotlib
 
 matplotlib.use("svg")
-from matplotlib import pyplot  # noqa: E402  the backend has to be chosen first
+from matplotlib import pyplot  # noqa: E402  the backend must be selected before pyplot is imported
 
-COLOURS = {
+COLORS = {
     "UP": "#2a7f62",
     "BUSY": "#d99a2b",
     "ERR": "#b3382c",
@@ -23,27 +23,30 @@
 .good { color: #2a7f62 } .bad { color: #b3382c } pre { background: #f4f4f2; padding: .6em; overflow-x: auto }"""
 
 
-def write(result, folder):
-    """The page's path."""
+def write_report(result, folder):
+    """Write the report to a directory and return its path."""
     os.makedirs(folder, exist_ok=True)
     figures = result.figures
     name = "-".join(
         str(figures[what]) for what in ("script", "world", "policy", "seed")
     )
     path = os.path.join(folder, f"{name}.html")
-    with open(path, "w") as out:
-        out.write(page(result))
+    with open(path, "w") as output:
+        output.write(report_html(result))
     return path
 
 
-def page(result):
+def report_html(result):
+    """Return the report of a run as HTML."""
     figures, script, record = result.figures, result.scene.script, result.scene.record
     marks = [
         (now / 1000, fields["do"], fields["on"])
         for now, kind, fields in record.events
         if kind == "event"
     ]
-    broken = [(breach.now / 1000, f"rule {breach.rule}") for breach in result.breaches]
+    breach_marks = [
+        (breach.now / 1000, f"rule {breach.rule}") for breach in result.breaches
+    ]
     seconds = script.seconds
     parts = [
         f"<h1>{html.escape(script.name)}</h1><p>{html.escape(script.about)}</p>",
@@ -56,30 +59,30 @@
         parts.append("<p class=good>No rule was broken.</p>")
     parts.append(latency_table(figures))
     parts.append(
-        plot(
+        plot_svg(
             "Handshake, ms by percentile",
             seconds,
             marks,
-            broken,
-            lambda axes: percentiles(axes, record.handshakes, script.listener),
+            breach_marks,
+            lambda axes: plot_percentiles(axes, record.handshakes, script.listener),
         )
     )
     parts.append(
-        plot(
+        plot_svg(
             "Message, ms by percentile",
             seconds,
             marks,
-            broken,
-            lambda axes: percentiles(axes, record.messages, None),
+            breach_marks,
+            lambda axes: plot_percentiles(axes, record.messages, None),
         )
     )
     parts.append(
-        plot(
+        plot_svg(
             "Answers and ends a second",
             seconds,
             marks,
-            broken,
-            lambda axes: answers(axes, record, seconds),
+            breach_marks,
+            lambda axes: plot_answers(axes, record, seconds),
         )
     )
     for what, title in (
@@ -87,15 +90,21 @@
         ("sessions ", "Sessions at each gateway"),
     ):
         parts.append(
-            plot(title, seconds, marks, broken, lambda axes: series(axes, record, what))
+            plot_svg(
+                title,
+                seconds,
+                marks,
+                breach_marks,
+                lambda axes: series(axes, record, what),
+            )
         )
     if any(name.startswith("memory ") for name in record.series):
         parts.append(
-            plot(
+            plot_svg(
                 "Memory of each proxy, MB",
                 seconds,
                 marks,
-                broken,
+                breach_marks,
                 lambda axes: series(axes, record, "memory "),
             )
         )
@@ -131,6 +140,7 @@
 
 
 def latency_table(figures):
+    """Return the HTML table of latency percentiles."""
     rows = []
     for what in ("handshake", "message"):
         found = figures[f"{what}_ms"]
@@ -146,7 +156,16 @@
     )
 
 
-def plot(title, seconds, marks, broken, draw):
+def plot_svg(title, seconds, marks, breach_marks, draw):
+    """Return a plot as SVG.
+
+    Args:
+        title: its title.
+        seconds: the length of the run.
+        marks: (s, event, target) of the events of the script.
+        breach_marks: (s, rule) of the breaches.
+        draw: called with the axes to draw the data.
+    """
     figure, axes = pyplot.subplots(figsize=(10, 3.2))
     draw(axes)
     top = axes.get_ylim()[1]
@@ -161,8 +180,8 @@
             ha="right",
             color="#555555",
         )
-    for at, what in broken:
-        axes.axvline(at, color=COLOURS["ERR"], linewidth=1.2)
+    for at, what in breach_marks:
+        axes.axvline(at, color=COLORS["ERR"], linewidth=1.2)
     axes.set_xlim(0, seconds)
     axes.set_xlabel("s")
     axes.set_title(title, loc="left", fontsize=11)
@@ -172,37 +191,39 @@
         axes.legend(
             fontsize=7, loc="center left", bbox_to_anchor=(1.0, 0.5), frameon=False
         )
-    out = io.StringIO()
-    figure.savefig(out, format="svg", bbox_inches="tight")
+    output = io.StringIO()
+    figure.savefig(output, format="svg", bbox_inches="tight")
     pyplot.close(figure)
-    text = out.getvalue()
+    text = output.getvalue()
     return text[text.index("<svg") :]
 
 
-def percentiles(axes, latencies, listeners):
-    places = sorted(latencies.by_second)
-    for share, width in ((50, 1.6), (90, 1.1), (99, 0.8)):
+def plot_percentiles(axes, latencies, listeners):
+    """Plot the latency percentiles of each second."""
+    seconds = sorted(latencies.by_second)
+    for percent, width in ((50, 1.6), (90, 1.1), (99, 0.8)):
         axes.plot(
-            [place + 0.5 for place in places],
-            [exact(latencies.by_second[place], share) for place in places],
+            [second + 0.5 for second in seconds],
+            [nearest_rank(latencies.by_second[second], percent) for second in seconds],
             linewidth=width,
-            label=f"p{share}",
+            label=f"p{percent}",
         )
-    if listeners and places:
+    if listeners and seconds:
         target = min(item.handshake_target_ms for item in listeners)
-        axes.axhline(target, color=COLOURS["ERR"], linewidth=0.6, label="target")
+        axes.axhline(target, color=COLORS["ERR"], linewidth=0.6, label="target")
     axes.set_yscale("log")
     for formatter in (axes.yaxis.set_major_formatter, axes.yaxis.set_minor_formatter):
         formatter("{x:.3g}")
     axes.tick_params(axis="y", which="minor", labelsize=6)
 
 
-def exact(samples, share):
-    """Of the few samples of a second: the nearest rank."""
-    return sorted(samples)[min(len(samples) - 1, int(len(samples) * share / 100))]
+def nearest_rank(samples, percent):
+    """Return a percentile by nearest rank, as a second has few samples."""
+    return sorted(samples)[min(len(samples) - 1, int(len(samples) * percent / 100))]
 
 
-def answers(axes, record, seconds):
+def plot_answers(axes, record, seconds):
+    """Plot answers, moves and cuts per second as stacked bars."""
     by_kind = {}
     for now, kind, fields in record.events:
         name = (
@@ -213,23 +234,24 @@
             else None
         )
         if name is not None:
-            name = name if name in COLOURS else "other"
+            name = name if name in COLORS else "other"
             by_kind.setdefault(name, [0] * (int(seconds) + 2))[int(now // 1000)] += 1
     bottom = [0] * (int(seconds) + 2)
-    for name in COLOURS:
+    for name in COLORS:
         if name in by_kind:
             axes.bar(
-                [place + 0.5 for place in range(len(bottom))],
+                [second + 0.5 for second in range(len(bottom))],
                 by_kind[name],
                 0.9,
                 bottom,
                 label=name,
-                color=COLOURS[name],
+                color=COLORS[name],
             )
             bottom = [low + count for low, count in zip(bottom, by_kind[name])]
 
 
 def series(axes, record, what):
+    """Plot all time series whose name has a prefix."""
     for name, points in record.series.items():
         if name.startswith(what):
             axes.plot(
