--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -13,7 +13,6 @@
     # State machines, told of what happens: no sockets, no loop.
     (
         "wheathill.net.admin",
-        "wheathill.net.carried",
         "wheathill.net.client",
         "wheathill.net.discovery",
         "wheathill.net.errors",
@@ -27,6 +26,7 @@
         "wheathill.net.open_request",
         "wheathill.net.proxy",
         "wheathill.net.server",
+        "wheathill.net.session_handling",
         "wheathill.net.told",
         "wheathill.peers.replicated_table",
         "wheathill.peers.server_records",
--- a/tests/test_terms.py
+++ b/tests/test_terms.py
@@ -21,7 +21,7 @@
 from turns import Turns
 from wheathill.log_events import LogEvent
 from wheathill.model import UpdateKind
-from wheathill.net.carried import ACCEPT_EIGHTHS
+from wheathill.net.session_handling import ACCEPT_EIGHTHS
 
 pytestmark = pytest.mark.processes
 
