--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -16,7 +16,7 @@
     ZoneStateJudge,
 )
 from wheathill.lab.judging.judges import DrainJudge, RetryBudgetJudge
-from wheathill.lab.scripts.language import Odd
+from wheathill.lab.scripts.language import DivergentInstance
 from wheathill.log_events import LogEvent
 
 ZONE_OF = {"a": "e", "b": "e", "c": "w", "d": "w"}
@@ -424,7 +424,9 @@
 
 @pytest.fixture
 def names():
-    told = Told(IsolationJudge, odd=[Odd(on="d", claims="a")], within=5000.0)
+    told = Told(
+        IsolationJudge, odd=[DivergentInstance(on="d", claims="a")], within=5000.0
+    )
 
     def says(name, held, alone=False):
         told.see("believes", proxy=name, name=held, alone=alone, dropped={}, members={})
