--- a/tests/test_imports.py
+++ b/tests/test_imports.py
@@ -27,7 +27,7 @@
         "wheathill.net.proxy",
         "wheathill.net.server",
         "wheathill.net.session_handling",
-        "wheathill.net.told",
+        "wheathill.net.update_handling",
         "wheathill.peers.replicated_table",
         "wheathill.peers.server_records",
         "wheathill.peers.table_records",
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -1,8 +1,9 @@
 """One proxy: how it starts, serves, reports its state and stops.
 
-Sessions are handled in `session_handling`, configuration and endpoint list in `told`.
-These modules turn names of the protocol into objects and leave decisions to the
-balancer; they decide only where a descriptor is missing or input cannot be read.
+Sessions are handled in `session_handling`, configuration and endpoint list in
+`update_handling`. These modules turn names of the protocol into objects and leave
+decisions to the balancer; they decide only where a descriptor is missing or input
+cannot be read.
 """
 
 import random
@@ -13,7 +14,7 @@
 from wheathill.model import Phase, UpdateKind
 from wheathill.net.metrics import ProxyMetrics
 from wheathill.net.session_handling import SessionHandlingMixin
-from wheathill.net.told import UpdateHandlingMixin
+from wheathill.net.update_handling import UpdateHandlingMixin
 from wheathill.policy.balancer import Balancer
 
 
