--- a/wheathill/policy/balancer.py
+++ b/wheathill/policy/balancer.py
@@ -26,7 +26,7 @@
     TimerKind,
     UpdateKind,
 )
-from wheathill.policy.parts import PolicyComponents
+from wheathill.policy.components import PolicyComponents
 from wheathill.policy.settings import (
     CONNECTION_LIFETIME_MS,
     EARLY_RESET_MS,
