--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -17,7 +17,7 @@
 from wheathill.lab.scripts import language as scripts
 from wheathill.lab.scripts.run import play
 from wheathill.lab.scripts.scene import Scene
-from wheathill.lab.tools.experiments import in_time
+from wheathill.lab.tools.experiments import share_in_time
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.net.admin.request import AdminRequest
 from wheathill.net.admin.server import AdminServer
@@ -554,11 +554,11 @@
             ("listener.1.message_target_ms", 1),
         ]
     ).figures
-    assert in_time(counts) > 0.9 and strict["counts"][
+    assert share_in_time(counts) > 0.9 and strict["counts"][
         "messages in time"
-    ] == 0 == in_time(strict)
+    ] == 0 == share_in_time(strict)
     assert (
-        in_time(
+        share_in_time(
             {
                 "counts": {"messages in time": 6, "unanswered": 2},
                 "message_ms": {"count": 8},
@@ -566,4 +566,4 @@
         )
         == 0.6
     )
-    assert in_time({"counts": {}, "message_ms": {"count": 0}}) is None
+    assert share_in_time({"counts": {}, "message_ms": {"count": 0}}) is None
--- a/tests/test_sites.py
+++ b/tests/test_sites.py
@@ -23,14 +23,14 @@
 
 @pytest.mark.processes
 def test_same_seed_same_bytes():
-    assert drawn(1, 5) == drawn(2, 5) == sites.text(5).encode() != drawn(1, 6)
+    assert drawn(1, 5) == drawn(2, 5) == sites.site_text(5).encode() != drawn(1, 6)
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_those_kept_are_as_drawn(seed):
     """Their figures in the results are of this text."""
     with open(f"deploy/sites/drawn-{seed}.toml") as kept:
-        assert kept.read() == sites.text(seed)
+        assert kept.read() == sites.site_text(seed)
 
 
 def spans(value, at=""):
@@ -50,7 +50,7 @@
 
 @pytest.mark.parametrize("seed", MANY)
 def test_a_drawn_site_keeps_to_the_page(seed):
-    site = tomllib.loads(sites.text(seed))
+    site = tomllib.loads(sites.site_text(seed))
     (tier,) = site["tier"]
     assert 1 <= len(site["net"]["zones"]) <= 4 and site["scale"]["balancers"][0] >= len(
         site["net"]["zones"]
@@ -76,7 +76,7 @@
 
 
 def test_many_seeds_draw_every_setting():
-    found = [tomllib.loads(sites.text(seed)) for seed in MANY]
+    found = [tomllib.loads(sites.site_text(seed)) for seed in MANY]
 
     def seen(pick):
         return {pick(site) for site in found}
--- a/wheathill/cli.py
+++ b/wheathill/cli.py
@@ -232,7 +232,7 @@
     """Print a randomly generated site for the operators' bench (docs/lab.md)."""
     from wheathill.lab.tools import sites
 
-    click.echo(sites.text(seed), nl=False)
+    click.echo(sites.site_text(seed), nl=False)
 
 
 @lab.group(cls=ScaleGroup)
--- a/wheathill/lab/tools/experiments.py
+++ b/wheathill/lab/tools/experiments.py
@@ -39,7 +39,7 @@
         "handshake p99": figures["handshake_ms"]["p99"],
         "message p50": figures["message_ms"]["p50"],
         "message p99": figures["message_ms"]["p99"],
-        "in time": in_time(figures),
+        "in time": share_in_time(figures),
         "served": counts.get("answer UP", 0) / sessions,
         "refused": counts.get("answer BUSY", 0) / sessions,
         "failed": (counts.get("answer ERR", 0) + counts.get("broken", 0)) / sessions,
@@ -50,7 +50,7 @@
     }
 
 
-def in_time(figures):
+def share_in_time(figures):
     """Return the share of messages that met the target of their listener.
 
     Unanswered messages did not. None if there was no message, or if the saved figures do
--- a/wheathill/lab/tools/sites.py
+++ b/wheathill/lab/tools/sites.py
@@ -356,7 +356,7 @@
     return repr(value)
 
 
-def text(seed):
+def site_text(seed):
     """Return the file of the site with this seed."""
     lines = [
         f"# Drawn by `wheathill lab draw-site --seed {seed}`; no figure in it was measured anywhere."
