--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -256,7 +256,7 @@
         )
         if word == b"UP":
             self.up = True
-            self.record.handshake(now - self.opened)
+            self.record.add_handshake(now - self.opened)
             self.lives = self.clock.after(
                 self.crowd.expovariate(1.0) * self.crowd.life, self.live_out
             )
@@ -273,7 +273,7 @@
         elif word == b"BYE":
             self.end("lived")
         elif self.asked is not None and word != b"LOAD":
-            self.record.message(
+            self.record.add_message(
                 self.clock.now() - self.asked, self.crowd.listener.message_target_ms
             )
             self.asked = None
--- a/wheathill/lab/scripts/record.py
+++ b/wheathill/lab/scripts/record.py
@@ -75,11 +75,11 @@
 
         return log_event
 
-    def handshake(self, ms):
+    def add_handshake(self, ms):
         """Add the latency of a handshake."""
         self.handshakes.add(self.clock.now(), ms)
 
-    def message(self, ms, target):
+    def add_message(self, ms, target):
         """Add the latency of a message, and count whether it met its target."""
         now = self.clock.now()
         self.messages.add(now, ms)
@@ -87,7 +87,7 @@
         # Too many to keep as events, but two runs must agree on them as well.
         self.digest.update(b"%r %r;" % (now, ms))
 
-    def figure(self, name, value):
+    def add_sample(self, name, value):
         """Add a value to a time series."""
         self.series.setdefault(name, []).append((self.clock.now(), value))
 
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -360,8 +360,10 @@
         self.world.sample()
         for name, gateway in self.gateways.items():
             alive = gateway.host.alive and not gateway.host.silent
-            self.record.figure(f"load {name}", gateway.load if alive else 0.0)
-            self.record.figure(f"sessions {name}", len(gateway.links) if alive else 0)
+            self.record.add_sample(f"load {name}", gateway.load if alive else 0.0)
+            self.record.add_sample(
+                f"sessions {name}", len(gateway.links) if alive else 0
+            )
 
     def breaches(self):
         """Return what the judges found."""
--- a/wheathill/lab/worlds/sockets.py
+++ b/wheathill/lab/worlds/sockets.py
@@ -503,7 +503,7 @@
         for name, seat in self.seats.items():
             memory = seat.memory_mb() if seat.running else None
             if memory is not None:
-                self.record.figure(f"memory {name}", memory)
+                self.record.add_sample(f"memory {name}", memory)
                 if memory > seat.values["limits"]["memory_mb"]:
                     self.record.note("over memory", proxy=name, mb=round(memory, 1))
 
