--- a/tests/test_garbage.py
+++ b/tests/test_garbage.py
@@ -422,7 +422,7 @@
 def test_no_watch_is_left_to_the_collector(ends):
     """They come again and again for as long as discovery is out of reach."""
     patience = (
-        {"watch_silence_timeout_ms": 60.0, "watch_hedge_delay_ms": 40.0}
+        {"watch_idle_timeout_ms": 60.0, "watch_hedge_delay_ms": 40.0}
         if ends == "silent"
         else {}
     )
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -457,7 +457,7 @@
     monkeypatch.setattr(sender_module, "encode_session", lambda record: {})
     sender.send_sessions()
     (held, batch) = sent
-    assert held == ((), {"held": proxy.limits.own_sockets})
+    assert held == ((), {"held": proxy.limits.non_connection_sockets})
     handles, told = batch
     assert (
         len(told["sessions"]) == proxy.limits.handover_batch_size
--- a/tests/test_rare_lists.py
+++ b/tests/test_rare_lists.py
@@ -211,7 +211,7 @@
 
 def trickle():
     """Bytes without a whole line are a silence."""
-    with Turns(limits={"watch_silence_timeout_ms": 400.0}) as turns:
+    with Turns(limits={"watch_idle_timeout_ms": 400.0}) as turns:
         watch = turns.watched("a", "b")
         watch.say("40\r\n{", end="")
         began = time.monotonic()
--- a/wheathill/config/limits.py
+++ b/wheathill/config/limits.py
@@ -39,12 +39,12 @@
     # Kept for files, probes, discovery and rejections.
     reserved_sockets: int = 48
     # What a process holds beside its connections, counted at an upgrade.
-    own_sockets: int = 12
+    non_connection_sockets: int = 12
     # Connections to servers that are kept open for probes.
     max_probe_connections: int = 64
     # Where descriptors run out, a connection that has been silent for longer may be
     # closed to make room.
-    min_silence_to_evict_ms: float = 20.0
+    min_idle_to_evict_ms: float = 20.0
 
     # Bytes
 
@@ -62,7 +62,7 @@
     # Connections that the system holds for the proxy.
     listen_backlog: int = 1024
     # Connections taken at a time.
-    accepts_per_turn: int = 8
+    accept_batch_size: int = 8
     # Until the next look where no descriptor is left for more.
     accept_pause_ms: float = 10.0
 
@@ -114,7 +114,7 @@
     first_list_timeout_ms: float = 1000.0
     # A silent watch is opened again: two in a row within the 6 s after which a change
     # counts as known.
-    watch_silence_timeout_ms: float = 2700.0
+    watch_idle_timeout_ms: float = 2700.0
     # Between the starts of two watches, at the least.
     min_watch_interval_ms: float = 250.0
     # Until another watch is opened beside one that has not answered.
--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -144,7 +144,7 @@
         self.set_timer(self.limits.handover_batch_interval_ms, self.send_sessions)
 
     def _send_descriptors_held(self) -> None:
-        held = self.connection.transport.sockets + self.limits.own_sockets
+        held = self.connection.transport.sockets + self.limits.non_connection_sockets
         if held != self._last_descriptors_held:
             self._last_descriptors_held = held
             self.send_message(DescriptorsHeld(held))
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -49,7 +49,7 @@
         max_dial_timeout_ms=longest,
         probe_idle_timeout_ms=60_000.0,
         listen_backlog=4096,
-        accepts_per_turn=64,
+        accept_batch_size=64,
         keepalive_idle_ms=600_000.0,
     )
 
--- a/wheathill/lab/worlds/beside.py
+++ b/wheathill/lab/worlds/beside.py
@@ -21,7 +21,7 @@
 
     def accept(self):
         self.due = False
-        for _ in range(self.carrier.limits.accepts_per_turn):
+        for _ in range(self.carrier.limits.accept_batch_size):
             view = next((view for view in self.views if view.accepts), None)
             if not self.backlog or view is None:
                 return
--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -102,7 +102,7 @@
 
     def accept(self):
         self.due = False
-        for _ in range(self.carrier.limits.accepts_per_turn):
+        for _ in range(self.carrier.limits.accept_batch_size):
             if not self.backlog:
                 return
             if not self.room():
--- a/wheathill/net/admin/server.py
+++ b/wheathill/net/admin/server.py
@@ -55,7 +55,7 @@
             del self._requests[request]
         if len(self._requests) < self._proxy.limits.max_admin_requests:
             return True
-        silent_since = self._proxy.now() - self._proxy.limits.min_silence_to_evict_ms
+        silent_since = self._proxy.now() - self._proxy.limits.min_idle_to_evict_ms
         for request, since in self._requests.items():
             if (
                 request.done
--- a/wheathill/net/carried.py
+++ b/wheathill/net/carried.py
@@ -51,7 +51,7 @@
         """
         if self.is_below_limits():
             return True
-        for client in self.evictable_clients(self.limits.accepts_per_turn):
+        for client in self.evictable_clients(self.limits.accept_batch_size):
             self.evict(client)
         return self.is_below_limits()
 
@@ -70,7 +70,7 @@
 
     def evictable_clients(self, count):
         """Return those of the `count` oldest silent clients that may be evicted."""
-        connected_before = self.now() - self.limits.min_silence_to_evict_ms
+        connected_before = self.now() - self.limits.min_idle_to_evict_ms
         return [
             client
             for client, connected_ms in islice(self.silent_clients.items(), count)
--- a/wheathill/net/discovery.py
+++ b/wheathill/net/discovery.py
@@ -129,7 +129,7 @@
     def restart_silence_timer(self):
         """Note progress; without more of it the watch ends."""
         self.bytes_since_progress = 0
-        self.set_timer(self.limits.watch_silence_timeout_ms, self.end, "silent")
+        self.set_timer(self.limits.watch_idle_timeout_ms, self.end, "silent")
 
     def connected(self):
         """Send the request."""
--- a/wheathill/net/server_socket.py
+++ b/wheathill/net/server_socket.py
@@ -75,7 +75,7 @@
         return self.sock.fileno() >= 0 and is_accepting and is_readable(self.sock)
 
     def _accept(self) -> None:
-        for _ in range(self._transport.limits.accepts_per_turn):
+        for _ in range(self._transport.limits.accept_batch_size):
             if not self._has_room():
                 self._back_off()
                 return
