--- a/wheathill/config/node.py
+++ b/wheathill/config/node.py
@@ -44,7 +44,7 @@
         migrates_at_shutdown: whether sessions are sent to other proxies at the end.
         report_fields: the names of what servers report.
         policy: the balancer's settings.
-        source: the configuration as it was read, without `known`.
+        raw_config: the configuration as it was read, without `known`.
         peers: the cluster of proxies; None where it knows no other instance.
     """
 
@@ -64,7 +64,7 @@
     migrates_at_shutdown: bool
     report_fields: Sequence[str]
     policy: PolicySettings
-    source: dict[str, Any]
+    raw_config: dict[str, Any]
     peers: "PeerSettings | None" = None
 
     @property
--- a/wheathill/config/platform.py
+++ b/wheathill/config/platform.py
@@ -88,7 +88,7 @@
         migrates_at_shutdown=not policy.is_passthrough,
         report_fields=settings.child("report").texts("names"),
         policy=policy,
-        source={key: value for key, value in top.values.items() if key != "known"},
+        raw_config={key: value for key, value in top.values.items() if key != "known"},
     )
 
 
--- a/wheathill/net/proxy.py
+++ b/wheathill/net/proxy.py
@@ -75,7 +75,7 @@
         self.next_sweep_ms = self.max_sweep_delay_ms = 0.0
         self.stale_input_until_ms = 0.0
         self.apply_config(node)
-        self.initial_settings = node.source
+        self.initial_settings = node.raw_config
         self.clock = clock
         self.log_event = log
         self.zone_indexes = {name: index for index, name in enumerate(node.zones)}
--- a/wheathill/net/told.py
+++ b/wheathill/net/told.py
@@ -38,7 +38,7 @@
         """
         old = self.node
         self.apply_config(node)
-        changed = keys_needing_restart(self.initial_settings, node.source)
+        changed = keys_needing_restart(self.initial_settings, node.raw_config)
         self.log_event(
             LogEvent.CONFIGURATION_RELOADED,
             needs_restart=changed,
