--- a/wheathill/config/__init__.py
+++ b/wheathill/config/__init__.py
@@ -1,9 +1,9 @@
-"""The one place where configuration is read, checked and given defaults.
+"""Reading, validation and defaults of all configuration.
 
-- `platform`: what the platform states in JSON, made into a `node.NodeConfig`.
-- `operator`: an operator's own TOML file, made into the same.
-- `policy_settings`, `listener_settings`: the parts that the simulator's adapter reads
-  too.
-- `errors`: whatever is wrong is raised as a `ConfigurationError`, whose text names the
-  key by its path.
+- `platform`: builds a `node.NodeConfig` from the platform's JSON configuration.
+- `operator`: builds a `node.NodeConfig` from an operator's TOML file.
+- `policy_settings`, `listener_settings`: the sections that the simulator's adapter
+  reads too.
+- `errors`: the `ConfigurationError` that reports invalid configuration, with the path
+  of each invalid key.
 """
--- a/wheathill/config/addresses.py
+++ b/wheathill/config/addresses.py
@@ -1,4 +1,4 @@
-"""Addresses as settings state them."""
+"""Parsing of addresses in the configuration."""
 
 from wheathill.config.errors import ConfigurationError
 
@@ -6,10 +6,14 @@
 
 
 def parse_address(text: str, path: str) -> tuple[str, int]:
-    """Return the host and the port of "HOST:PORT", an IPv6 host without its brackets.
+    """Return the host, without any IPv6 brackets, and the port of "HOST:PORT".
+
+    Args:
+        text: the address.
+        path: the path of the key, for the error message.
 
     Raises:
-        ConfigurationError: It is no address; `path` is the key that is named.
+        ConfigurationError: the text is not a valid address.
     """
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 <= int(port) <= MAX_PORT:
--- a/wheathill/config/checked.py
+++ b/wheathill/config/checked.py
@@ -1,6 +1,6 @@
-"""Checks of TOML files against msgspec structures.
+"""Validation of TOML files against msgspec structures.
 
-Every fault is named, with its path and what was expected.
+All errors are reported, each with the path of the key and what was expected.
 """
 
 import difflib
@@ -13,22 +13,27 @@
 
 from wheathill.config.errors import ConfigurationError
 
-TableType = TypeVar("TableType", bound=msgspec.Struct)
+StructType = TypeVar("StructType", bound=msgspec.Struct)
 
 
 @dataclass(frozen=True)
-class TableKind:
-    """The structure that a field's type has, alone or in an array."""
+class NestedTable:
+    """The structure that a field contains, either directly or as elements of an array.
+
+    Attributes:
+        struct: the structure.
+        is_array: whether the field is an array of them.
+    """
 
     struct: type[msgspec.Struct]
     is_array: bool
 
 
 def load_toml(path: str) -> dict[str, Any]:
-    """Return the file's values.
+    """Return the parsed values of a TOML file.
 
     Raises:
-        ConfigurationError: The file can't be read, or is no TOML.
+        ConfigurationError: the file cannot be read, or is not valid TOML.
     """
     try:
         with open(path, "rb") as source:
@@ -37,25 +42,31 @@
         raise ConfigurationError(f"{path}: {error}") from None
 
 
-def convert(values: object, struct: type[TableType]) -> TableType:
-    """Return `values` as that structure.
+def convert(values: object, struct: type[StructType]) -> StructType:
+    """Return `values` converted to a structure.
 
     Raises:
-        ConfigurationError: One line a fault, in the file's order.
+        ConfigurationError: the values are invalid; the message has one line per error,
+            in the order of the file.
     """
-    faults = list(table_faults(values, struct, ""))
-    if faults:
-        raise ConfigurationError("\n".join(faults))
+    errors = list(table_errors(values, struct, ""))
+    if errors:
+        raise ConfigurationError("\n".join(errors))
     return msgspec.convert(values, struct)
 
 
-def table_faults(
+def table_errors(
     values: object, struct: type[msgspec.Struct], path: str
 ) -> Iterator[str]:
-    """Yield all that is wrong with a table.
+    """Yield a message for each error in a table.
+
+    msgspec stops at the first error. To report all of them at once, each field is
+    converted separately.
 
-    msgspec stops at the first fault; an operator wants them all, so each field is
-    converted alone.
+    Args:
+        values: the table's values.
+        struct: the structure that the table is validated against.
+        path: the path of the table in the file, empty for the root.
     """
     if not isinstance(values, dict):
         yield f"{path or 'the file'}: must be a table"
@@ -64,63 +75,63 @@
     prefix = f"{path}." if path else ""
     for name, value in values.items():
         if name in fields:
-            yield from value_faults(value, fields[name].type, f"{prefix}{name}")
+            yield from value_errors(value, fields[name].type, f"{prefix}{name}")
         else:
-            yield f"{prefix}{name}: no such key; {_known_keys(name, list(fields))}"
+            yield f"{prefix}{name}: no such key; {_key_suggestion(name, list(fields))}"
     for name, field in fields.items():
         if field.required and name not in values:
             yield f"{prefix}{name}: is missing"
 
 
-def _known_keys(name: str, known: list[str]) -> str:
+def _key_suggestion(name: str, known: list[str]) -> str:
     similar = difflib.get_close_matches(name, known, 1)
     if similar:
         return f"did you mean {similar[0]}?"
     return "known here: " + ", ".join(known)
 
 
-def value_faults(value: object, field_type: object, path: str) -> Iterator[str]:
-    """Yield all that is wrong with the value of a field of that type."""
-    table = table_kind(field_type)
+def value_errors(value: object, field_type: object, path: str) -> Iterator[str]:
+    """Yield a message for each error in the value of a field."""
+    table = nested_table(field_type)
     if table is not None and table.is_array and isinstance(value, list):
         for index, item in enumerate(value):
-            yield from table_faults(item, table.struct, f"{path}[{index}]")
+            yield from table_errors(item, table.struct, f"{path}[{index}]")
     elif table is not None and not table.is_array and isinstance(value, dict):
-        yield from table_faults(value, table.struct, path)
+        yield from table_errors(value, table.struct, path)
     else:
-        yield from _plain_faults(value, field_type, path)
+        yield from _conversion_errors(value, field_type, path)
 
 
-def _plain_faults(value: object, field_type: object, path: str) -> Iterator[str]:
+def _conversion_errors(value: object, field_type: object, path: str) -> Iterator[str]:
     try:
         msgspec.convert(value, field_type)
     except msgspec.ValidationError as error:
-        # Such as: Expected `int`, got `str` - at `$[0]`
-        text, _, inner_path = str(error).partition(" - at `$")
-        choices = literal_choices(field_type) if "enum" in text else ()
-        fault = f"{path}{inner_path.rstrip('`')}: {text[:1].lower() + text[1:]}"
+        # For example: Expected `int`, got `str` - at `$[0]`
+        message, _, inner_path = str(error).partition(" - at `$")
+        choices = literal_choices(field_type) if "enum" in message else ()
+        line = f"{path}{inner_path.rstrip('`')}: {message[:1].lower() + message[1:]}"
         if choices:
-            fault += f", expected one of {', '.join(map(str, choices))}"
-        yield fault
+            line += f", expected one of {', '.join(map(str, choices))}"
+        yield line
 
 
 def literal_choices(field_type: object) -> tuple[Any, ...]:
-    """Return the values of a Literal, in a list or an optional however deep."""
+    """Return the values of the first Literal in a type, which may be nested."""
     arguments = getattr(field_type, "__args__", ())
     if getattr(field_type, "__origin__", None) is Literal:
         return arguments
     return next(filter(None, map(literal_choices, arguments)), ())
 
 
-def table_kind(field_type: object) -> TableKind | None:
-    """Return what structure a field's type has, or None for plain values."""
+def nested_table(field_type: object) -> NestedTable | None:
+    """Return the structure that a field's type contains, or None if there is none."""
     arguments = getattr(field_type, "__args__", ())
     is_list = getattr(field_type, "__origin__", None) is list
     if is_list and arguments and _is_struct(arguments[0]):
-        return TableKind(arguments[0], is_array=True)
+        return NestedTable(arguments[0], is_array=True)
     if _is_struct(field_type):
-        return TableKind(field_type, is_array=False)
-    return next(filter(None, map(table_kind, arguments)), None)
+        return NestedTable(field_type, is_array=False)
+    return next(filter(None, map(nested_table, arguments)), None)
 
 
 def _is_struct(field_type: object) -> TypeGuard[type[msgspec.Struct]]:
--- a/wheathill/config/environment.py
+++ b/wheathill/config/environment.py
@@ -1,4 +1,4 @@
-"""What the process environment states beside a configuration."""
+"""Configuration from environment variables."""
 
 import socket
 from collections.abc import Mapping
@@ -9,15 +9,16 @@
 
 @dataclass(frozen=True)
 class EnvironmentDefaults:
-    """Values that stand in where the configuration states none, as text.
+    """Values from the environment, as strings, that the configuration may omit.
 
     Attributes:
         name: the proxy's name.
-        listen: where clients connect, "HOST:PORT".
-        discovery: where discovery answers, "HOST:PORT".
-        admin_address: where operators call, "HOST:PORT".
-        listen_fd: the number of an inherited descriptor that listens for clients.
-        state_directory: a directory that outlives the process.
+        listen: the address that clients connect to, "HOST:PORT".
+        discovery: the address of the discovery service, "HOST:PORT".
+        admin_address: the address of the admin endpoint, "HOST:PORT".
+        listen_fd: the number of an inherited file descriptor of a socket that listens
+            for clients.
+        state_directory: a directory that persists across restarts.
     """
 
     name: str | None = None
@@ -29,7 +30,7 @@
 
 
 def read_environment(environ: Mapping[str, str]) -> EnvironmentDefaults:
-    """Return what the environment variables state."""
+    """Return the values of the environment variables."""
     return EnvironmentDefaults(
         name=environ.get("NODE_NAME"),
         listen=environ.get("NODE_LISTEN"),
@@ -40,29 +41,33 @@
     )
 
 
-def inherited_listener(text: str | None, path: str) -> int | None:
-    """Return the descriptor that `text` names, or None where it names none.
+def parse_listen_fd(text: str | None, variable: str) -> int | None:
+    """Return the inherited file descriptor of a listening socket, or None if unset.
 
-    The descriptor is looked at and stays as it is.
+    The descriptor is only inspected, and stays open.
+
+    Args:
+        text: the value of the environment variable.
+        variable: the name of the environment variable, for the error message.
 
     Raises:
-        ConfigurationError: It is no stream socket that listens; `path` is the variable
-            that is named.
+        ConfigurationError: the value is not the descriptor of a listening stream
+            socket.
     """
     if text is None:
         return None
     if not text.isdecimal():
-        raise ConfigurationError(f"{path}: {text!r} is no descriptor")
+        raise ConfigurationError(f"{variable}: {text!r} is no descriptor")
     try:
         listener = socket.socket(fileno=int(text))
     except OSError as error:
-        raise ConfigurationError(f"{path}: descriptor {text}: {error}") from None
+        raise ConfigurationError(f"{variable}: descriptor {text}: {error}") from None
     try:
         if listener.type != socket.SOCK_STREAM or not listener.getsockopt(
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         ):
             raise ConfigurationError(
-                f"{path}: descriptor {text} is no stream socket that listens"
+                f"{variable}: descriptor {text} is no stream socket that listens"
             )
     finally:
         listener.detach()
--- a/wheathill/config/errors.py
+++ b/wheathill/config/errors.py
@@ -1,5 +1,8 @@
-"""The error of all configuration."""
+"""The exception for invalid configuration."""
 
 
 class ConfigurationError(ValueError):
-    """A setting can't be used; the text names its key by its path, one line a fault."""
+    """The configuration is invalid.
+
+    The message has one line per error, which starts with the path of the invalid key.
+    """
--- a/wheathill/config/limits.py
+++ b/wheathill/config/limits.py
@@ -1,153 +1,158 @@
-"""Limits of one proxy: sizes, counts and times that the policy does not change."""
+"""Resource limits and timeouts of one proxy, independent of the balancing policy."""
 
 from dataclasses import dataclass
 
 from wheathill.model import MAX_LIST_POLL_INTERVAL_MS
 
-# Memory of the program itself, in MB, before any connection or list.
-PROGRAM_MEMORY_MB = 22.0
-# What buffers and the list get at the least, in MB, however little is allowed.
+# Memory use of the program, in MB, without connections and endpoint list.
+BASE_MEMORY_MB = 22.0
+# Minimum memory for buffers and the endpoint list, in MB, whatever the memory limit.
 MIN_BUFFER_MEMORY_MB = 4.0
-# Bounds of the one receive buffer, in bytes.
+# Bounds of the shared receive buffer, in bytes.
 MIN_RECEIVE_BUFFER_BYTES, MAX_RECEIVE_BUFFER_BYTES = 4096, 65_536
-# The longest line of a watch that is taken, in bytes, where memory allows it.
+# Maximum length of a line received on a watch, in bytes, if the memory limit allows it.
 MAX_LIST_LINE_BYTES = 4 * 2**20
-# The part of the memory for buffers that one line of a watch may take: it is parsed
-# whole, to objects of several times its size.
-LIST_LINE_MEMORY_PART = 1 / 8
+# Fraction of the buffer memory that one line of a watch may take. A line is parsed as a
+# whole, into objects that take several times its size.
+LIST_LINE_MEMORY_FRACTION = 1 / 8
 
 
 @dataclass(frozen=True)
 class ProxyLimits:
-    """Sizes in bytes, counts, and times in milliseconds, of one proxy.
+    """Limits of one proxy: sizes in bytes, counts, and times in milliseconds.
 
-    The first four come from the configuration, some others depend on it; all others
-    have their values here.
+    The first four are configured, and `platform` derives some others from the
+    configuration. All others have fixed values.
     """
 
-    # File descriptors, of all kinds together.
+    # Maximum number of file descriptors of all kinds.
     max_sockets: int
-    # Until a connection has to be up.
+    # Timeout for establishing a connection.
     connect_timeout_ms: float
-    # The longest dial timeout of any listener.
+    # Maximum dial timeout over all listeners.
     max_dial_timeout_ms: float
-    # A connection for probes that is not used for so long is closed.
+    # A probe connection that is idle for this long is closed.
     probe_idle_timeout_ms: float
 
     # Descriptors
 
-    # Kept for files, probes, discovery and rejections.
+    # Reserved for files, probes, discovery and rejecting clients.
     reserved_sockets: int = 48
-    # What a process holds beside its connections, counted at an upgrade.
+    # Descriptors that a process holds besides its connections. During an upgrade they
+    # are added to the number of descriptors in use.
     non_connection_sockets: int = 12
-    # Connections to servers that are kept open for probes.
+    # Maximum number of server connections kept open for probes.
     max_probe_connections: int = 64
-    # Where descriptors run out, a connection that has been silent for longer may be
-    # closed to make room.
+    # When descriptors run out, a connection that has been idle for longer than this may
+    # be closed to free one.
     min_idle_to_evict_ms: float = 20.0
 
-    # Bytes
+    # Buffers
 
-    # A line of a client or a server.
+    # Maximum length of a line from a client or a server.
     max_line_bytes: int = 4096
-    # The one receive buffer, see `buffer_sizes`.
+    # Size of the shared receive buffer, see `buffer_sizes`.
     receive_buffer_bytes: int = MAX_RECEIVE_BUFFER_BYTES
-    # Held for a peer that does not read, each way.
+    # Maximum data buffered, per direction, for a peer that does not read.
     max_buffered_bytes: int = 65_536
-    # One line of a watch, see `buffer_sizes`.
+    # Maximum length of a line received on a watch, see `buffer_sizes`.
     max_list_line_bytes: int = MAX_LIST_LINE_BYTES
 
     # Accepting clients
 
-    # Connections that the system holds for the proxy.
+    # Connections that the kernel queues until the proxy accepts them.
     listen_backlog: int = 1024
-    # Connections taken at a time.
+    # Maximum number of connections accepted per readiness event.
     accept_batch_size: int = 8
-    # Until the next look where no descriptor is left for more.
+    # Pause before accepting again after descriptors have run out.
     accept_pause_ms: float = 10.0
 
-    # Lines of clients
+    # Client input
 
-    # For a client's first line.
+    # Timeout for a client's first line.
     first_line_timeout_ms: float = 2000.0
-    # For the next one of a client that has sent PING.
+    # Timeout for the next line of a client that has sent PING.
     next_line_timeout_ms: float = 10_000.0
-    # No more PING than one in such a time, but for the first few.
+    # Rate limit for PING: one per interval, after an initial burst.
     ping_interval_ms: float = 50.0
     max_ping_burst: int = 20
-    # Clients that break the protocol are logged, so many at most in such a time.
+    # Rate limit for logging protocol errors of clients, per time window.
     protocol_error_window_ms: float = 1000.0
     max_protocol_errors_logged: int = 5
-    # A line without an answer is reported from then on.
+    # A line that has not been answered for this long is reported.
     unanswered_after_ms: float = 500.0
-    # An unfinished line is waited for no longer.
+    # Timeout for the rest of an incomplete line.
     partial_line_timeout_ms: float = 5000.0
 
-    # What is remembered
+    # Retained identifiers
 
-    # Names of servers that are not listed any more: they are known to an operator, and
-    # to an older list.
+    # Names of servers that are no longer listed. Operators and older endpoint lists may
+    # still refer to them.
     max_unlisted_names: int = 8192
-    # Ids of sessions, by which one that comes again is known.
+    # Session ids, kept to recognize a session that is opened again.
     max_session_ids: int = 8192
 
-    # Connections and answers
+    # Connections and responses
 
-    # For the peer's end after ours.
+    # How long a closing connection waits for the peer to close its side.
     linger_ms: float = 1000.0
-    # TCP checks a peer that is silent for so long.
+    # Idle time before TCP sends keepalive probes.
     keepalive_idle_ms: float = 30_000.0
-    # Before a session's deadline, for its answer to get out.
+    # Time reserved before a session's deadline for sending the answer.
     answer_margin_ms: float = 15.0
-    # So long after a dial timeout nothing is sent any more.
+    # No answer is sent later than this after the dial timeout.
     max_answer_delay_ms: float = 500.0
-    # Whether more follows on BUSY, where another attempt depends on it.
+    # How long to wait after BUSY for a second line that would contradict it, where
+    # another attempt relies on it.
     second_answer_timeout_ms: float = 30.0
     probe_timeout_ms: float = 500.0
-    # For connections from before the start to come up again.
+    # Time allowed for connections from before the start to be re-established.
     restore_timeout_ms: float = 40_000.0
     sweep_interval_ms: float = 125.0
 
-    # The watch of the endpoint list
+    # The watch on the endpoint list
 
-    # For discovery's first answer, before the known list has to do.
+    # Timeout for the first response of discovery, after which the configured list is
+    # used.
     first_list_timeout_ms: float = 1000.0
-    # A silent watch is opened again: two in a row within the 6 s after which a change
-    # counts as known.
+    # A watch that is idle for this long is reopened. Two consecutive timeouts fit into
+    # the 6 s within which every change must be known.
     watch_idle_timeout_ms: float = 2700.0
-    # Between the starts of two watches, at the least.
+    # Minimum time between opening two watches.
     min_watch_interval_ms: float = 250.0
-    # Until another watch is opened beside one that has not answered.
+    # Delay before a second watch is opened in parallel to one without a response.
     watch_hedge_delay_ms: float = 250.0
-    # Where one service answers all proxies: the first wait after a failure, doubled by
-    # each further one up to the longest; half of it is drawn by chance. 0 elsewhere.
+    # Exponential backoff after a failed watch where all proxies share one discovery
+    # service: initial and maximum delay, of which half is random jitter. An initial
+    # delay of 0 disables it.
     watch_backoff_ms: float = 0.0
     max_watch_backoff_ms: float = MAX_LIST_POLL_INTERVAL_MS
 
     # Shutdown
 
-    # After the order to stop, clients still come for so long.
+    # How long new clients are accepted after shutdown was requested.
     shutdown_accept_ms: float = 800.0
-    # Beyond the longest dial timeout, for a proxy that stops.
+    # Time allowed for shutdown in addition to the maximum dial timeout.
     shutdown_margin_ms: float = 400.0
-    # The longest time that a proxy through which packets pass goes on.
+    # Maximum shutdown time of a proxy in passthrough mode.
     passthrough_shutdown_ms: float = 30_000.0
-    # For the peers' ends once all is sent, and how often that is looked at.
+    # How long to wait for peers to close once all data is sent, and how often to check.
     shutdown_linger_ms: float = 150.0
     shutdown_poll_interval_ms: float = 10.0
 
     # Log
 
-    # Lines held for a reader that does not read.
+    # Maximum number of log lines queued while the reader of the log is blocked.
     max_queued_log_lines: int = 4000
-    # How often counts are logged.
+    # Interval between logging metrics.
     metrics_interval_ms: float = 10_000.0
 
     # The admin endpoint
 
-    # Requests at a time, beside the reserved descriptors.
+    # Maximum number of concurrent requests. Their descriptors are reserved in addition
+    # to `reserved_sockets`.
     max_admin_requests: int = 8
-    # For a whole request to come.
+    # Timeout for receiving a complete request.
     admin_request_timeout_ms: float = 2000.0
     max_admin_head_bytes: int = 8192
     max_admin_headers: int = 64
@@ -155,34 +160,35 @@
 
     # Upgrades
 
-    # Each wait between an old and a new process.
+    # Timeout of each step between the old and the new process.
     handover_timeout_ms: float = 1500.0
-    # Another upgrade is under way: tried again, for as long as the timeout.
+    # Retry interval while another upgrade is in progress, up to `handover_timeout_ms`.
     handover_retry_interval_ms: float = 50.0
-    # Sessions that go over at a time.
+    # Maximum number of sessions transferred per message.
     handover_batch_size: int = 16
-    # How often those that come up meanwhile go over.
+    # Interval between transfers of sessions that were set up in the meantime.
     handover_batch_interval_ms: float = 20.0
 
 
 @dataclass(frozen=True)
 class BufferSizes:
-    """Sizes in bytes that depend on the memory that is allowed."""
+    """Buffer sizes in bytes, derived from the memory limit."""
 
     receive_buffer_bytes: int
     max_list_line_bytes: int
 
 
 def buffer_sizes(memory_mb: float, max_sockets: int) -> BufferSizes:
-    """Return sizes with which a proxy keeps within its memory.
+    """Return buffer sizes with which a proxy stays within its memory limit.
 
-    Each descriptor may hold one read that its peer does not take yet, and a list is
-    parsed whole: both must fit beside the program itself.
+    Each descriptor may hold the data of one read that its peer has not accepted yet,
+    and an endpoint list is parsed as a whole. Both must fit into the memory that the
+    program itself does not use.
     """
-    room_bytes = max(MIN_BUFFER_MEMORY_MB, memory_mb - PROGRAM_MEMORY_MB) * 2**20
-    bytes_per_socket = room_bytes / 2 / max_sockets
+    available_bytes = max(MIN_BUFFER_MEMORY_MB, memory_mb - BASE_MEMORY_MB) * 2**20
+    bytes_per_socket = available_bytes / 2 / max_sockets
     receive_buffer = min(
         MAX_RECEIVE_BUFFER_BYTES, max(MIN_RECEIVE_BUFFER_BYTES, bytes_per_socket)
     )
-    list_line = min(MAX_LIST_LINE_BYTES, room_bytes * LIST_LINE_MEMORY_PART)
+    list_line = min(MAX_LIST_LINE_BYTES, available_bytes * LIST_LINE_MEMORY_FRACTION)
     return BufferSizes(int(receive_buffer), int(list_line))
--- a/wheathill/config/listener_settings.py
+++ b/wheathill/config/listener_settings.py
@@ -1,4 +1,4 @@
-"""Reading of the listeners: the classes of sessions that a proxy takes."""
+"""Reading of the listeners, the classes of sessions that a proxy accepts."""
 
 from wheathill.config.settings_reader import SettingsReader
 from wheathill.model import Idempotency, Listener
@@ -12,14 +12,14 @@
 
 
 def read_listeners(settings: SettingsReader) -> list[Listener]:
-    """Return the listeners, in the order of the settings.
+    """Return the listeners in the order of the settings.
 
     Raises:
-        ConfigurationError: A value can't be used.
+        ConfigurationError: a value is invalid.
     """
     listeners = [_read_listener(item) for item in settings.children("listeners")]
     targets = settings.child("familyInfo").numbers("messageAimS")
-    # There may be fewer targets than listeners, which then keep the default.
+    # Listeners beyond the last target keep the default.
     for listener, target_s in zip(listeners, targets, strict=False):
         listener.message_target_ms = target_s * 1000
     return listeners
--- a/wheathill/config/node.py
+++ b/wheathill/config/node.py
@@ -1,4 +1,4 @@
-"""The configuration of one proxy, with all defaults filled in."""
+"""The complete configuration of one proxy, with all defaults applied."""
 
 import hashlib
 from collections.abc import Sequence
@@ -9,43 +9,43 @@
 from wheathill.model import Listener
 from wheathill.policy.settings import PolicySettings
 
-# A proxy that has no peers imports nothing for them.
+# Not imported at run time, so that a proxy without peers does not load it.
 if TYPE_CHECKING:
     from wheathill.config.peers import PeerSettings
 
-# Bytes of the digest in the names of a proxy's files.
+# Length of the digest that distinguishes the files of different proxies, in bytes.
 FILE_TAG_BYTES = 4
 
 
 @dataclass(frozen=True)
 class NodeConfig:
-    """What one proxy is configured with at its start.
+    """The configuration of one proxy.
 
     Addresses are (host, port).
 
     Attributes:
-        name: the proxy's name, in its log and its files.
-        listen_address: where clients connect.
-        listen_fd: the inherited descriptor of the clients' socket; None where the proxy
-            binds it.
-        admin_address: where operators call; None where there is no such endpoint.
-        state_directory: a directory that outlives the process; None where servers in
-            maintenance are not kept.
-        discovery_address: where the endpoint list is watched; None where
-            `initial_endpoints` is the whole list.
-        seed: of all chance.
-        limits: sizes, counts and times.
-        initial_endpoints: the endpoint list that is known at the start, in the form in
-            which discovery gives it.
+        name: the proxy's name, used in its log and file names.
+        listen_address: the address that clients connect to.
+        listen_fd: the inherited file descriptor of the socket that listens for clients,
+            or None if the proxy binds its own.
+        admin_address: the address of the admin endpoint, or None if there is none.
+        state_directory: a directory that persists across restarts, or None if the
+            servers in maintenance are not stored.
+        discovery_address: the address of the discovery service, whose endpoint list is
+            watched, or None if `initial_endpoints` is the complete list.
+        seed: the seed of all random numbers.
+        limits: resource limits and timeouts.
+        initial_endpoints: the endpoint list that is known at startup, in the format of
+            the discovery service.
         listeners: the classes of sessions.
         tenants: the names of the tenants, by index.
         zones: the names of the zones, by index.
-        uses_groups: whether sessions of one group go to one server.
-        migrates_at_shutdown: whether sessions are sent to other proxies at the end.
-        report_fields: the names of what servers report.
+        uses_groups: whether sessions of one group are sent to the same server.
+        migrates_at_shutdown: whether a shutdown migrates sessions to other proxies.
+        report_fields: the names of the values in load reports, in order.
         policy: the balancer's settings.
         raw_config: the configuration as it was read, without `known`.
-        peers: the cluster of proxies; None where it knows no other instance.
+        peers: the settings of the proxy's cluster, or None if it is not in a cluster.
     """
 
     name: str
@@ -69,7 +69,7 @@
 
     @property
     def file_tag(self) -> str:
-        """The mark of its files in `state_directory`, which proxies may share."""
+        """The proxy's id in file names, as proxies may share a `state_directory`."""
         identity = f"{self.name} {self.listen_address}"
         return hashlib.blake2b(
             identity.encode(), digest_size=FILE_TAG_BYTES
--- a/wheathill/config/operator.py
+++ b/wheathill/config/operator.py
@@ -1,7 +1,7 @@
-"""Reading of an operator's own TOML file.
+"""Reading of an operator's TOML configuration file.
 
-A file is checked whole, then turned into the platform's form, so that
-`platform.build_node_config` gives both the same checks and defaults.
+A file is validated as a whole and converted to the platform's format, so that
+`platform.build_node_config` applies the same validation and defaults to both.
 """
 
 import os
@@ -12,37 +12,40 @@
 from wheathill.config.environment import read_environment
 from wheathill.config.errors import ConfigurationError
 from wheathill.config.node import NodeConfig
-from wheathill.config.operator_checks import contradictions
+from wheathill.config.operator_checks import consistency_errors
 from wheathill.config.operator_platform import platform_values
 from wheathill.config.operator_tables import File
 from wheathill.config.platform import build_node_config
 
 
 def check_file(values: object) -> File:
-    """Return the tables of a file's values.
+    """Return the validated tables of a file.
+
+    Args:
+        values: the parsed TOML.
 
     Raises:
-        ConfigurationError: One line a fault.
+        ConfigurationError: the values are invalid; the message has one line per error.
     """
     file = convert(values, File)
-    faults = list(contradictions(file))
-    if faults:
-        raise ConfigurationError("\n".join(faults))
+    errors = list(consistency_errors(file))
+    if errors:
+        raise ConfigurationError("\n".join(errors))
     return file
 
 
 def read_operator_config(path: str) -> NodeConfig:
-    """Return the configuration that the operator's file at `path` states.
+    """Return the configuration in the operator's file at `path`.
 
-    The file states all but what is handed to the process: $NODE_FD, $TMPDIR, and
-    $NODE_ADMIN_ADDR where the file names no admin address.
+    The environment adds $NODE_FD, $TMPDIR and, if the file states no admin address,
+    $NODE_ADMIN_ADDR.
 
     Raises:
-        ConfigurationError: One line a fault.
+        ConfigurationError: the file is invalid; the message has one line per error.
     """
     values = load_toml(path)
     file = check_file(values)
-    # The table of peers as it was read: a reload compares it.
+    # The unconverted `[peers]` table is added so that a reload detects changes to it.
     platform_config = {**platform_values(file), "peers": values.get("peers")}
     node = build_node_config(platform_config, read_environment(os.environ))
     if file.peers is None:
--- a/wheathill/config/operator_checks.py
+++ b/wheathill/config/operator_checks.py
@@ -1,4 +1,4 @@
-"""What an operator's file may not state together, though each key allows it."""
+"""Consistency checks between the keys of an operator's file."""
 
 from collections.abc import Iterator
 
@@ -8,22 +8,22 @@
 from wheathill.config.operator_tables import File
 
 
-def contradictions(file: File) -> Iterator[str]:
-    """Yield a message for each value that is valid alone but not beside the others."""
-    yield from _names_that_repeat(file)
-    yield from _retry_budget_faults(file)
-    yield from _zone_faults(file)
+def consistency_errors(file: File) -> Iterator[str]:
+    """Yield a message for each value that is valid but inconsistent with others."""
+    yield from _duplicate_name_errors(file)
+    yield from _retry_budget_errors(file)
+    yield from _zone_errors(file)
     if file.discovery is None and not file.server:
         yield "discovery: is missing, and no server is listed"
-    yield from _listener_faults(file)
-    yield from _address_faults(file)
+    yield from _listener_errors(file)
+    yield from _address_errors(file)
     if file.peers is not None:
-        yield from peers.contradictions(
+        yield from peers.consistency_errors(
             file.peers, proxy_name=file.name, fleet_size=file.fleet.proxies
         )
 
 
-def _names_that_repeat(file: File) -> Iterator[str]:
+def _duplicate_name_errors(file: File) -> Iterator[str]:
     names_by_key = {
         "listener": [item.name for item in file.listener],
         "desk": file.desk,
@@ -37,17 +37,17 @@
                 yield f"{key}[{index}]: {name!r} stands at {key}[{first_index}] already"
 
 
-def _retry_budget_faults(file: File) -> Iterator[str]:
+def _retry_budget_errors(file: File) -> Iterator[str]:
     fleet = file.fleet
-    is_budget_stated = fleet.further_dials_free or fleet.further_dials_share
-    if is_budget_stated and not fleet.further_dials_s:
+    has_retry_budget = fleet.further_dials_free or fleet.further_dials_share
+    if has_retry_budget and not fleet.further_dials_s:
         yield (
             "fleet.further_dials_s: is missing beside"
             " further_dials_free or further_dials_share"
         )
 
 
-def _zone_faults(file: File) -> Iterator[str]:
+def _zone_errors(file: File) -> Iterator[str]:
     if file.own_zone is not None and file.own_zone not in file.zone:
         yield f"own_zone: {file.own_zone!r} is not one of zone"
     for index, server in enumerate(file.server):
@@ -55,7 +55,7 @@
             yield f"server[{index}].zone: {server.zone!r} is not one of zone"
 
 
-def _listener_faults(file: File) -> Iterator[str]:
+def _listener_errors(file: File) -> Iterator[str]:
     for index, listener in enumerate(file.listener):
         key = f"listener[{index}]"
         if listener.handshake_target_ms > listener.dial_timeout_ms:
@@ -66,7 +66,7 @@
             )
 
 
-def _address_faults(file: File) -> Iterator[str]:
+def _address_errors(file: File) -> Iterator[str]:
     addresses = [
         ("listen", file.listen),
         ("discovery", file.discovery),
--- a/wheathill/config/operator_platform.py
+++ b/wheathill/config/operator_platform.py
@@ -1,28 +1,28 @@
-"""An operator's file in the form of the platform's configuration."""
+"""Conversion of an operator's file to the platform's configuration format."""
 
 import hashlib
 from typing import Any
 
 from wheathill.config.operator_tables import File, Fleet, Limits, ListenerTable
 
-# The operators' word for the effect of a repeated request -> the platform's.
-REPEAT_SETTINGS = {
+# Maps the value of `repeat` in the operator's file to the platform's value.
+PLATFORM_REPEAT_VALUES = {
     "repeatable": "retryable",
     "referenced": "dedup",
     "once-only": "fragile",
 }
-# Bytes of a seed that is made from the proxy's name and address.
+# Length of the default seed, which is a hash of the proxy's name and address, in bytes.
 SEED_BYTES = 8
 
 
 def platform_values(file: File) -> dict[str, Any]:
-    """Return the file's values in the form that `platform.build_node_config` takes."""
+    """Return the configuration in the format that `build_node_config` takes."""
     limits = file.limits
     return {
         "name": file.name,
         "listen": file.listen,
         "discovery": file.discovery or False,
-        "seed": file.seed or _seed_of(file),
+        "seed": file.seed or _default_seed(file),
         "admin_addr": file.admin_addr,
         "limits": {"sockets": limits.sockets, "memory_mb": limits.memory_mb},
         "known": {"seq": 0, "whole": True, "hosts": _endpoints(file)},
@@ -30,8 +30,8 @@
     }
 
 
-def _seed_of(file: File) -> str:
-    """Return a seed that is another one than those of the proxy's neighbours."""
+def _default_seed(file: File) -> str:
+    """Return a seed that differs between proxies."""
     identity = f"{file.name} {file.listen}"
     return hashlib.blake2b(identity.encode(), digest_size=SEED_BYTES).hexdigest()
 
@@ -82,7 +82,7 @@
 def _listener(listener: ListenerTable) -> dict[str, Any]:
     return {
         "name": listener.name,
-        "repeat": REPEAT_SETTINGS[listener.repeat],
+        "repeat": PLATFORM_REPEAT_VALUES[listener.repeat],
         "dedupScope": listener.scope,
         "windowS": listener.window_s,
         "handshakeTargetS": listener.handshake_target_ms / 1000,
--- a/wheathill/config/operator_tables.py
+++ b/wheathill/config/operator_tables.py
@@ -1,8 +1,8 @@
-"""The tables of an operator's own TOML file: its keys, their limits and defaults.
+"""The tables of an operator's TOML file: keys, bounds and defaults.
 
-Names and units are the operators': milliseconds and seconds by the ending of the key.
-Names, docstrings and defaults of the classes are what `wheathill schema` prints, so
-that a class has no docstring where the schema has no description.
+The suffix of a key is its unit, such as milliseconds or seconds. `wheathill schema`
+prints the names, docstrings and defaults of the classes. A class has no docstring if
+the schema has no description.
 """
 
 from typing import Annotated, Literal
--- a/wheathill/config/peer_tables.py
+++ b/wheathill/config/peer_tables.py
@@ -1,7 +1,7 @@
-"""The tables of an operator's file that describe the cluster.
+"""The tables of an operator's file that configure the cluster.
 
-Names of fields are the keys of the file. Names and descriptions of the classes are part
-of what `wheathill schema` prints.
+Field names are the keys of the file. Class names and docstrings are part of the output
+of `wheathill schema`.
 """
 
 from typing import Annotated
@@ -18,8 +18,10 @@
     proxies: Count
     seeds: list[Address]
     region: Name | None = None
-    part: Share | None = None  # of every limit over all; by `proxies` where left out
-    was: Share | None = None  # its part by the layout before this one
+    # Fraction of every fleet-wide limit, by default the zone's fraction of all proxies.
+    part: Share | None = None
+    # The value of `part` in the previous layout.
+    was: Share | None = None
 
 
 class Peers(Table, frozen=True):
@@ -35,6 +37,6 @@
     control: Annotated[str, Meta(min_length=1)] | None = None
     period_ms: Annotated[float, Meta(ge=50, le=60_000)] = 1000.0
     patience_ms: Annotated[float, Meta(ge=10, le=60_000)] = 300.0
-    zone: Name | None = None  # its own, of `zones`
-    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1  # the version of `zones`
+    zone: Name | None = None  # this proxy's zone, one of `zones`
+    layout: Annotated[int, Meta(ge=1, le=1_000_000)] = 1  # version of `zones`
     zones: Annotated[list[ZoneTable], Meta(max_length=64)] = []
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -1,4 +1,4 @@
-"""The `[peers]` table of an operator's file: the cluster, its zones, the shared key."""
+"""Settings of the cluster, its zones and its shared key: the `[peers]` table."""
 
 import os
 import stat
@@ -9,23 +9,31 @@
 from wheathill.config.addresses import parse_address
 from wheathill.config.errors import ConfigurationError
 
-# The tables need msgspec, which a reader of settings alone does without.
+# Not imported at run time: `peer_tables` requires msgspec, which users of the settings
+# alone do not need.
 if TYPE_CHECKING:
     from wheathill.config.peer_tables import Peers as PeersTable
     from wheathill.config.peer_tables import ZoneTable
 
-# Bytes of a shared key. Frames carry 16 bytes of HMAC-SHA256, which a shorter key would
-# weaken; past the longest the path is more likely that of the wrong file.
-SHORTEST_KEY, LONGEST_KEY = 16, 4096
-QUOTA_ROUNDING = 1e-9  # how far a sum of quotas may pass 1 by the rounding of floats
+# Bounds of the shared key's length. Frames carry 16 bytes of an HMAC-SHA256, which a
+# shorter key would weaken. If the file is longer than the maximum, the path probably
+# names the wrong file.
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 4096
+# Tolerance for rounding errors in a sum of quotas, which must not exceed 1.
+QUOTA_SUM_TOLERANCE = 1e-9
 
 
 @dataclass(frozen=True)
 class ZoneSettings:
-    """One zone of the fleet, stated alike to all its proxies.
-
-    `quota` is the zone's fraction of every limit that holds for the whole fleet;
-    `previous_quota` is its fraction by the layout before this one.
+    """One zone of the fleet, configured identically at all proxies.
+
+    Attributes:
+        name: the zone's name.
+        region: the name of the zone's region.
+        proxies: the expected number of proxies in the zone.
+        seeds: the addresses through which proxies of the zone can be found.
+        quota: the zone's fraction of every fleet-wide limit.
+        previous_quota: the zone's quota in the previous layout.
     """
 
     name: str
@@ -38,24 +46,41 @@
 
 @dataclass(frozen=True)
 class ZoneLayout:
-    """All zones of the fleet, in the order of the operator's file."""
+    """All zones of the fleet.
+
+    Attributes:
+        version: the version of the layout.
+        zones: the zones, in the order of the operator's file.
+    """
 
     version: int
     zones: tuple[ZoneSettings, ...]
 
     def zone(self, name: str) -> ZoneSettings:
-        """Return the zone of that name, which must be one of the layout's."""
+        """Return the zone with that name, which must be in the layout."""
         return next(zone for zone in self.zones if zone.name == name)
 
 
 @dataclass(frozen=True)
 class PeerSettings:
-    """What a proxy needs to take part in its cluster.
-
-    Addresses are "HOST:PORT", but for `listen`, which is (host, port). Other members
-    reach this one at `advertise_address`. Where `expected_members` is empty,
-    `fleet.proxies` or the zone's `proxies` says how many there should be. `zone` and
-    `layout` are None in a fleet without zones.
+    """The settings of a proxy as a member of its cluster.
+
+    Addresses are "HOST:PORT", except for `listen`.
+
+    Attributes:
+        name: the proxy's name in the cluster.
+        cluster: the cluster's name.
+        listen: the (host, port) on which the proxy listens for other members.
+        advertise_address: the address at which other members reach this one.
+        seeds: the addresses through which members can be found.
+        shared_key: the key that authenticates members of the cluster.
+        expected_members: the names of all expected members. If it is empty,
+            `fleet.proxies` or the zone's `proxies` is their expected number.
+        control_socket_path: the path of the control socket, or None for no socket.
+        probe_interval_ms: the interval between probes of other members.
+        probe_timeout_ms: the timeout of a direct probe.
+        zone: the name of this proxy's zone, or None in a fleet without zones.
+        layout: all zones, or None in a fleet without zones.
     """
 
     name: str
@@ -73,10 +98,10 @@
 
 
 def read_zone_layout(table: "PeersTable") -> ZoneLayout | None:
-    """Return the layout of the zones, or None where the file names no zone.
+    """Return the zone layout, or None if the fleet has no zones.
 
-    A quota that is left out is the fraction of all proxies that are in the zone; a
-    previous one that is left out is the same as the present one.
+    A quota defaults to the zone's fraction of all proxies, and a previous quota to the
+    current one.
     """
     if table.zone is None:
         return None
@@ -97,12 +122,15 @@
     return ZoneLayout(table.layout, tuple(zones))
 
 
-def contradictions(
+def consistency_errors(
     table: "PeersTable", *, proxy_name: str, fleet_size: int
 ) -> Iterator[str]:
-    """Yield a message for each value that is valid by itself but not beside the others.
+    """Yield a message for each value that is valid but inconsistent with others.
 
-    `proxy_name` and `fleet_size` are the file's `name` and `fleet.proxies`.
+    Args:
+        table: the `[peers]` table.
+        proxy_name: the file's `name`.
+        fleet_size: the file's `fleet.proxies`.
     """
     addresses = [
         ("peers.listen", table.listen),
@@ -111,7 +139,7 @@
     ]
     for key, text in addresses:
         if text is not None:
-            yield from _address_faults(key, text)
+            yield from _address_errors(key, text)
     if table.patience_ms >= table.period_ms:
         yield "peers.patience_ms: is not under peers.period_ms"
     name = table.name or proxy_name
@@ -119,10 +147,10 @@
         yield f"peers.roster: {name!r}, this instance, is not one of them"
     if len(dict.fromkeys(table.roster)) != len(table.roster):
         yield "peers.roster: a name stands twice"
-    yield from _zone_contradictions(table, fleet_size)
+    yield from _zone_layout_errors(table, fleet_size)
 
 
-def _zone_contradictions(table: "PeersTable", fleet_size: int) -> Iterator[str]:
+def _zone_layout_errors(table: "PeersTable", fleet_size: int) -> Iterator[str]:
     if table.zone is None:
         if table.zones:
             yield "peers.zone: is missing, as peers.zones names some"
@@ -136,9 +164,9 @@
             " peers.zones says how many are meant to be there"
         )
     for index in range(len(table.zones)):
-        yield from _faults_of_zone(table.zones, index)
-    yield from _quota_faults("part", [zone.part for zone in table.zones])
-    yield from _quota_faults("was", [zone.was for zone in table.zones])
+        yield from _zone_errors(table.zones, index)
+    yield from _quota_errors("part", [zone.part for zone in table.zones])
+    yield from _quota_errors("was", [zone.was for zone in table.zones])
     expected = sum(zone.proxies for zone in table.zones)
     if not expected:
         yield "peers.zones: proxies is 0 in all of them"
@@ -149,8 +177,8 @@
         )
 
 
-def _faults_of_zone(zones: "list[ZoneTable]", index: int) -> Iterator[str]:
-    """Yield what is wrong with one entry of `peers.zones`, given those before it."""
+def _zone_errors(zones: "list[ZoneTable]", index: int) -> Iterator[str]:
+    """Yield the errors of one zone, including duplication of an earlier one."""
     key, zone = f"peers.zones[{index}]", zones[index]
     first_index = [other.name for other in zones].index(zone.name)
     if first_index < index:
@@ -158,20 +186,20 @@
     if not zone.seeds:
         yield f"{key}.seeds: is empty, so that the zone can't be found"
     for seed_index, seed in enumerate(zone.seeds):
-        yield from _address_faults(f"{key}.seeds[{seed_index}]", seed)
+        yield from _address_errors(f"{key}.seeds[{seed_index}]", seed)
 
 
-def _quota_faults(key: str, quotas: list[float | None]) -> Iterator[str]:
-    """Yield what is wrong with quotas: all or none are stated, and sum to 1 at most."""
-    stated = [quota for quota in quotas if quota is not None]
-    if len(stated) < len(quotas):
-        if stated:
+def _quota_errors(key: str, quotas: list[float | None]) -> Iterator[str]:
+    """Yield an error unless all or none are configured, with a sum of at most 1."""
+    configured = [quota for quota in quotas if quota is not None]
+    if len(configured) < len(quotas):
+        if configured:
             yield f"peers.zones: {key} is told of some zones and not of others"
-    elif sum(stated) > 1.0 + QUOTA_ROUNDING:
-        yield f"peers.zones: {key} sums to {sum(stated):g}, which is over 1"
+    elif sum(configured) > 1.0 + QUOTA_SUM_TOLERANCE:
+        yield f"peers.zones: {key} sums to {sum(configured):g}, which is over 1"
 
 
-def _address_faults(key: str, text: str) -> Iterator[str]:
+def _address_errors(key: str, text: str) -> Iterator[str]:
     try:
         parse_address(text, key)
     except ConfigurationError as error:
@@ -179,10 +207,14 @@
 
 
 def read_peer_settings(table: "PeersTable", *, proxy_name: str) -> PeerSettings:
-    """Return the settings, with the shared key read from its file.
+    """Return the settings, including the shared key, which is read from its file.
+
+    Args:
+        table: the `[peers]` table.
+        proxy_name: the file's `name`, which is the default for the name of the member.
 
     Raises:
-        ConfigurationError: The key can't be used.
+        ConfigurationError: the key file cannot be read, or is invalid or insecure.
     """
     layout = read_zone_layout(table)
     seeds: Sequence[str] = table.seeds
@@ -194,7 +226,7 @@
         listen=parse_address(table.listen, "peers.listen"),
         advertise_address=table.advertise or table.listen,
         seeds=tuple(seeds),
-        shared_key=_read_key(table.key_file),
+        shared_key=_read_shared_key(table.key_file),
         expected_members=tuple(table.roster),
         control_socket_path=table.control,
         probe_interval_ms=table.period_ms,
@@ -204,26 +236,26 @@
     )
 
 
-def _read_key(path: str) -> bytes:
-    """Return the file's bytes without white space at their end.
+def _read_shared_key(path: str) -> bytes:
+    """Return the contents of the key file without trailing white space.
 
-    Only its owner, who runs the proxy, may have access: whoever has the key counts as
-    a member of the cluster.
+    Access must be limited to the user that runs the proxy, because anyone with the key
+    is accepted as a member of the cluster.
     """
     try:
         with open(path, "rb") as source:
-            state = os.fstat(source.fileno())
-            key = source.read(LONGEST_KEY + 1).rstrip()
+            file_status = os.fstat(source.fileno())
+            key = source.read(MAX_KEY_BYTES + 1).rstrip()
     except OSError as error:
         raise ConfigurationError(f"peers.key_file: {error}") from None
-    if state.st_uid != os.geteuid() or stat.S_IMODE(state.st_mode) & 0o077:
+    if file_status.st_uid != os.geteuid() or stat.S_IMODE(file_status.st_mode) & 0o077:
         raise ConfigurationError(
             f"peers.key_file: {path} must be readable by its owner alone,"
             " who starts the proxy"
         )
-    if not SHORTEST_KEY <= len(key) <= LONGEST_KEY:
+    if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise ConfigurationError(
             f"peers.key_file: {path} holds {len(key)} bytes,"
-            f" expected {SHORTEST_KEY} to {LONGEST_KEY}"
+            f" expected {MIN_KEY_BYTES} to {MAX_KEY_BYTES}"
         )
     return key
--- a/wheathill/config/platform.py
+++ b/wheathill/config/platform.py
@@ -1,10 +1,11 @@
-"""A proxy's configuration from the platform's JSON object.
+"""Reading of the platform's JSON configuration.
 
-An operator's own file is turned into the same form (`wheathill.config.operator`), so
-that both are checked and given defaults by the same lines. Nothing here needs more than
-the standard library.
+An operator's file is converted to the same format (`wheathill.config.operator`), so
+that both share validation and defaults. This module and its imports need only the
+standard library.
 
-Values are read in one order, as of several that are wrong the first one is named.
+If several values are invalid, only the first one read is reported, so values are read
+in a fixed order.
 """
 
 import json
@@ -14,7 +15,7 @@
 from wheathill.config.addresses import parse_address
 from wheathill.config.environment import (
     EnvironmentDefaults,
-    inherited_listener,
+    parse_listen_fd,
     read_environment,
 )
 from wheathill.config.errors import ConfigurationError
@@ -26,23 +27,23 @@
 from wheathill.model import ENDPOINT_LIST_CALL_MS, Listener
 from wheathill.policy.settings import PolicySettings
 
-NO_ENVIRONMENT = EnvironmentDefaults()
-# The fewest descriptors with which a proxy serves anybody.
+EMPTY_ENVIRONMENT = EnvironmentDefaults()
+# A proxy with fewer file descriptors could not serve any client.
 MIN_SOCKETS, DEFAULT_SOCKETS = 64, 1024
 MIN_MEMORY_MB, DEFAULT_MEMORY_MB = 16.0, 192.0
 DEFAULT_CONNECT_TIMEOUT_MS = 1000.0
 DEFAULT_PROBE_IDLE_TIMEOUT_MS = 30_000.0
-# A second watch is not opened beside the first sooner than that, in ms.
+# Minimum delay before a second watch is opened in parallel to the first, in ms.
 MIN_WATCH_HEDGE_DELAY_MS = 100.0
-# Where all proxies poll one service, they wait so long at the least, in ms.
+# Minimum backoff after a failed poll of a service that all proxies share, in ms.
 MIN_WATCH_BACKOFF_MS = 500.0
 
 
 def read_platform_config(environ: Mapping[str, str]) -> NodeConfig:
-    """Return the configuration of the file that $NODE_CONFIG names.
+    """Return the configuration in the file that $NODE_CONFIG names.
 
     Raises:
-        ConfigurationError: The file or one of its values can't be used.
+        ConfigurationError: the file cannot be read, or a value is invalid.
     """
     path = environ.get("NODE_CONFIG")
     if not path:
@@ -56,47 +57,52 @@
 
 
 def build_node_config(
-    values: object, environment: EnvironmentDefaults = NO_ENVIRONMENT
+    values: object, environment: EnvironmentDefaults = EMPTY_ENVIRONMENT
 ) -> NodeConfig:
-    """Return the configuration that the platform's object states.
+    """Return the configuration in the platform's JSON object.
 
-    `discovery` may be false: `known` is then the whole list of servers.
+    If `discovery` is false, `known` is the complete list of servers.
+
+    Args:
+        values: the JSON object.
+        environment: values that the object may omit.
 
     Raises:
-        ConfigurationError: A value can't be used.
+        ConfigurationError: a value is invalid.
     """
-    top = SettingsReader(values)
-    basics = _Basics.read(top, environment)
-    settings, policy = top.child("settings"), basics.policy
-    admin_text = basics.admin_text
+    root = SettingsReader(values)
+    core = _CoreSettings.read(root, environment)
+    settings, policy = root.child("settings"), core.policy
+    admin_text = core.admin_text
     is_state_kept = bool(admin_text or environment.listen_fd)
-    # Arguments are read in the order in which they stand here.
+    # The order of the arguments is the order of reading.
     return NodeConfig(
-        name=top.text("name", environment.name),
-        listen_address=basics.listen_address,
-        discovery_address=basics.discovery_address,
-        seed=top.text("seed"),
-        listen_fd=inherited_listener(environment.listen_fd, "NODE_FD"),
+        name=root.text("name", environment.name),
+        listen_address=core.listen_address,
+        discovery_address=core.discovery_address,
+        seed=root.text("seed"),
+        listen_fd=parse_listen_fd(environment.listen_fd, "NODE_FD"),
         admin_address=parse_address(admin_text, "admin_addr") if admin_text else None,
         state_directory=environment.state_directory if is_state_kept else None,
-        limits=_read_limits(top, basics),
-        initial_endpoints=top.child("known").values,
-        listeners=basics.listeners,
+        limits=_read_limits(root, core),
+        initial_endpoints=root.child("known").values,
+        listeners=core.listeners,
         tenants=[item.text("name", "") for item in settings.children("tenants")],
         zones=settings.texts("dcs"),
         uses_groups=settings.child("familyInfo").flag("groups"),
         migrates_at_shutdown=not policy.is_passthrough,
         report_fields=settings.child("report").texts("names"),
         policy=policy,
-        raw_config={key: value for key, value in top.values.items() if key != "known"},
+        raw_config={key: value for key, value in root.values.items() if key != "known"},
     )
 
 
 @dataclass(frozen=True)
-class _Basics:
-    """What is read first, and what other values depend on.
+class _CoreSettings:
+    """The values that are read first, some of which others depend on.
 
-    `admin_text` is empty where there is no admin endpoint.
+    Attributes:
+        admin_text: the admin endpoint's address, empty if there is none.
     """
 
     listeners: list[Listener]
@@ -107,12 +113,15 @@
     admin_text: str
 
     @classmethod
-    def read(cls, top: SettingsReader, environment: EnvironmentDefaults) -> "_Basics":
-        settings, resources = top.child("settings"), top.child("limits")
+    def read(
+        cls, root: SettingsReader, environment: EnvironmentDefaults
+    ) -> "_CoreSettings":
+        """Read the values, in the order of the arguments below."""
+        settings, resources = root.child("settings"), root.child("limits")
         listeners = read_listeners(settings)
         if not listeners:
             raise ConfigurationError("settings.listeners: names none")
-        # Arguments are read in the order in which they stand here.
+        # The order of the arguments is the order of reading.
         return cls(
             listeners=listeners,
             policy=_read_proxy_policy(settings),
@@ -120,17 +129,17 @@
                 "sockets", DEFAULT_SOCKETS, minimum=MIN_SOCKETS
             ),
             listen_address=parse_address(
-                top.text("listen", environment.listen), "listen"
+                root.text("listen", environment.listen), "listen"
             ),
-            discovery_address=_read_discovery_address(top, environment),
-            admin_text=top.text("admin_addr", environment.admin_address or ""),
+            discovery_address=_read_discovery_address(root, environment),
+            admin_text=root.text("admin_addr", environment.admin_address or ""),
         )
 
 
 def _read_proxy_policy(settings: SettingsReader) -> PolicySettings:
-    """Return the policy's settings for a proxy on sockets.
+    """Return the settings of the policy of a real proxy, as opposed to a simulated one.
 
-    It measures the latency of messages itself, whatever the settings say.
+    It measures the latency of messages itself, so the setting for that is overridden.
     """
     policy = read_policy(settings)
     load_estimator = replace(policy.load_estimator, reports_late_messages=True)
@@ -138,16 +147,16 @@
 
 
 def _read_discovery_address(
-    top: SettingsReader, environment: EnvironmentDefaults
+    root: SettingsReader, environment: EnvironmentDefaults
 ) -> tuple[str, int] | None:
-    if top.values.get("discovery") is False:
+    if root.values.get("discovery") is False:
         return None
-    return parse_address(top.text("discovery", environment.discovery), "discovery")
+    return parse_address(root.text("discovery", environment.discovery), "discovery")
 
 
 @dataclass(frozen=True)
 class _WatchTiming:
-    """When the endpoint list is watched again, in ms, as in `ProxyLimits`."""
+    """Timing of watches of the endpoint list, in ms; see `ProxyLimits`."""
 
     hedge_delay_ms: float
     min_interval_ms: float
@@ -155,8 +164,8 @@
 
 
 def _watch_timing(policy: PolicySettings) -> _WatchTiming:
-    # Nothing new may go to a server that leaves once the grace is over: what asks for
-    # the list must be well within it.
+    # No new session may be sent to a draining server once its grace period is over, so
+    # the list must be requested well within that period.
     half_grace_ms = policy.endpoint_list.drain_grace_ms / 2
     hedge_delay_ms = min(
         ProxyLimits.first_list_timeout_ms, max(MIN_WATCH_HEDGE_DELAY_MS, half_grace_ms)
@@ -164,28 +173,29 @@
     min_interval_ms = min(ProxyLimits.min_watch_interval_ms, hedge_delay_ms)
     if not policy.endpoint_list.is_polled:
         return _WatchTiming(hedge_delay_ms, min_interval_ms)
-    # Not an agent beside each proxy: what refuses calls that come too often would never
-    # be left alone.
-    half_turn_ms = policy.proxy_count * ENDPOINT_LIST_CALL_MS / 2
+    # The service is shared by all proxies and rejects requests that are too frequent.
+    # Without backoff they would keep it overloaded.
+    half_poll_cycle_ms = policy.proxy_count * ENDPOINT_LIST_CALL_MS / 2
     return _WatchTiming(
         hedge_delay_ms=ProxyLimits.max_watch_backoff_ms,
         min_interval_ms=min_interval_ms,
         backoff_ms=min(
-            ProxyLimits.max_watch_backoff_ms, max(MIN_WATCH_BACKOFF_MS, half_turn_ms)
+            ProxyLimits.max_watch_backoff_ms,
+            max(MIN_WATCH_BACKOFF_MS, half_poll_cycle_ms),
         ),
     )
 
 
-def _read_limits(top: SettingsReader, basics: _Basics) -> ProxyLimits:
-    """Return the limits of one proxy."""
-    max_sockets = basics.max_sockets
-    memory_mb = top.child("limits").number(
+def _read_limits(root: SettingsReader, core: _CoreSettings) -> ProxyLimits:
+    """Return the limits of the proxy, some of which depend on its configuration."""
+    max_sockets = core.max_sockets
+    memory_mb = root.child("limits").number(
         "memory_mb", DEFAULT_MEMORY_MB, minimum=MIN_MEMORY_MB
     )
     buffers = buffer_sizes(memory_mb, max_sockets)
-    watch_timing = _watch_timing(basics.policy)
-    session_limits = top.child("settings").child("limits")
-    # A timeout that is 0 states none: no connection would ever come up in it.
+    watch_timing = _watch_timing(core.policy)
+    session_limits = root.child("settings").child("limits")
+    # A timeout of 0 would prevent all connections, so it selects the default.
     connect_timeout_ms = session_limits.milliseconds(
         "connectTimeoutS", DEFAULT_CONNECT_TIMEOUT_MS
     )
@@ -195,9 +205,9 @@
     return ProxyLimits(
         max_sockets=max_sockets,
         connect_timeout_ms=connect_timeout_ms or DEFAULT_CONNECT_TIMEOUT_MS,
-        max_dial_timeout_ms=max(item.dial_timeout_ms for item in basics.listeners),
+        max_dial_timeout_ms=max(item.dial_timeout_ms for item in core.listeners),
         probe_idle_timeout_ms=probe_idle_timeout_ms or DEFAULT_PROBE_IDLE_TIMEOUT_MS,
-        reserved_sockets=_reserved_sockets(bool(basics.admin_text)),
+        reserved_sockets=_reserved_sockets(bool(core.admin_text)),
         receive_buffer_bytes=buffers.receive_buffer_bytes,
         max_list_line_bytes=buffers.max_list_line_bytes,
         watch_hedge_delay_ms=watch_timing.hedge_delay_ms,
@@ -207,10 +217,10 @@
 
 
 def _reserved_sockets(has_admin_endpoint: bool) -> int:
-    """Return how many descriptors clients never get.
+    """Return the number of descriptors that clients cannot use.
 
-    Operators must get through when clients hold all that is theirs: the requests'
-    descriptors and that of the endpoint itself are reserved too.
+    The admin endpoint must stay reachable when clients use all other descriptors. Its
+    listening socket and its maximum number of requests are therefore reserved too.
     """
     reserved = ProxyLimits.reserved_sockets
     if has_admin_endpoint:
--- a/wheathill/config/reload.py
+++ b/wheathill/config/reload.py
@@ -1,7 +1,7 @@
-"""What a running proxy takes from a configuration that is read again."""
+"""Which configuration changes take effect on reload, and which need a restart."""
 
-# The keys whose change a running proxy takes over, with all below them. `known` and
-# `seed` are for a start only.
+# Keys whose changes, including all nested keys, need no restart. `seed` is only
+# used at startup, and `known` at startup and, without discovery, on reload.
 RELOADABLE_KEYS = (
     "discovery",
     "limits",
@@ -15,7 +15,7 @@
 
 
 def keys_needing_restart(old: object, new: object, path: str = "") -> list[str]:
-    """Return the keys, by their paths, whose change takes effect at a restart only."""
+    """Return the paths of the changed keys that take effect only after a restart."""
     if path in RELOADABLE_KEYS or old == new:
         return []
     if not isinstance(old, dict) or not isinstance(new, dict):
--- a/wheathill/config/settings_reader.py
+++ b/wheathill/config/settings_reader.py
@@ -1,13 +1,15 @@
-"""Reading of a JSON object's values; each fault is named by the path of its key."""
+"""Typed access to the values of a JSON object; errors state the path of the key."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, TypeVar
 
 from wheathill.config.errors import ConfigurationError
 
-# No setting means more than that, and what is calculated from it would be infinite.
+# Maximum of any number. No setting needs more, and calculations with larger values
+# could overflow to infinity.
 MAX_NUMBER = 1e15
-# The largest integer up to which a float, as JSON has them, holds each one exactly.
+# Maximum of integers. JSON numbers may be floats, which represent all integers exactly
+# only up to this value.
 MAX_COUNT = 2**53
 
 Choice = TypeVar("Choice")
@@ -15,10 +17,15 @@
 
 
 class SettingsReader:
-    """One JSON object and its path.
+    """Reads the values of one JSON object.
 
-    An absent or null value gives the default, and is a fault where there is none. All
-    methods that read raise `ConfigurationError` for a value of another kind.
+    A missing or null value is replaced by the default, and is an error if there is no
+    default. All methods that read a value raise `ConfigurationError` if it has the
+    wrong type or is out of range.
+
+    Attributes:
+        values: the object.
+        path: the path of the object in the configuration, empty for the root.
     """
 
     def __init__(self, values: object, path: str = "") -> None:
@@ -30,25 +37,35 @@
         self.path = path
 
     def path_of(self, key: str) -> str:
-        """Return the path by which faults name that key."""
+        """Return the path of a key, as used in error messages."""
         return f"{self.path}.{key}" if self.path else key
 
     def get(
         self,
         key: str,
         default: Value | None,
-        kinds: tuple[type[Value], ...],
+        types: tuple[type[Value], ...],
         description: str,
     ) -> Value:
-        """Return a value of one of those types, which a fault describes so."""
+        """Return a value of one of the given types.
+
+        Args:
+            key: the key in this object.
+            default: the value if the key is missing; None if it is required.
+            types: the permitted types.
+            description: what the value must be, for the error message.
+
+        Raises:
+            ConfigurationError: the value is missing or has another type.
+        """
         value = self.values.get(key)
         if value is None:
             if default is None:
                 raise ConfigurationError(f"{self.path_of(key)}: is missing")
             return default
-        # To Python a bool is an int.
-        is_unexpected_bool = isinstance(value, bool) and bool not in kinds
-        if not isinstance(value, kinds) or is_unexpected_bool:
+        # bool is a subclass of int.
+        is_unexpected_bool = isinstance(value, bool) and bool not in types
+        if not isinstance(value, types) or is_unexpected_bool:
             raise ConfigurationError(f"{self.path_of(key)}: must be {description}")
         return value
 
@@ -59,7 +76,7 @@
         minimum: float = 0.0,
         maximum: float = MAX_NUMBER,
     ) -> float:
-        """Return a number within `minimum` and `maximum`."""
+        """Return a number from `minimum` to `maximum`."""
         value = self.get(key, default, (int, float), "a number")
         if not minimum <= value <= maximum:
             raise ConfigurationError(
@@ -69,15 +86,15 @@
         return value
 
     def milliseconds(self, key: str, default_ms: float) -> float:
-        """Return a time in milliseconds, which the setting gives in seconds."""
+        """Return a duration in milliseconds, which is configured in seconds."""
         return self.number(key, default_ms / 1000) * 1000
 
     def count(self, key: str, default: int, minimum: int = 0) -> int:
-        """Return a whole number; a fraction is cut off."""
+        """Return an integer; a fractional part is truncated."""
         return int(self.number(key, default, minimum, MAX_COUNT))
 
     def flag(self, key: str, default: bool = False) -> bool:
-        """Return true or false."""
+        """Return a boolean."""
         return self.get(key, default, (bool,), "true or false")
 
     def text(self, key: str, default: str | None = None) -> str:
@@ -85,7 +102,7 @@
         return self.get(key, default, (str,), "text")
 
     def choice(self, key: str, choices: Mapping[str, Choice], default: str) -> Choice:
-        """Return what `choices` has for the text of that key."""
+        """Return the value that `choices` maps the configured string to."""
         value = self.text(key, default)
         if value not in choices:
             raise ConfigurationError(
@@ -94,18 +111,18 @@
         return choices[value]
 
     def array(self, key: str) -> list[Any]:
-        """Return an array, empty by default, whose elements are not checked."""
+        """Return an array, empty by default, without checking its elements."""
         return self.get(key, [], (list,), "an array")
 
     def texts(self, key: str) -> list[str]:
-        """Return an array of strings."""
+        """Return an array of strings, empty by default."""
         for index, value in enumerate(self.array(key)):
             if not isinstance(value, str):
                 raise ConfigurationError(f"{self.path_of(key)}[{index}]: must be text")
         return self.array(key)
 
     def numbers(self, key: str) -> list[float]:
-        """Return an array of numbers of any size."""
+        """Return an array of numbers of any size, empty by default."""
         for index, value in enumerate(self.array(key)):
             if isinstance(value, bool) or not isinstance(value, (int, float)):
                 raise ConfigurationError(
@@ -114,13 +131,13 @@
         return self.array(key)
 
     def child(self, key: str) -> "SettingsReader":
-        """Return a reader of the object under that key, empty by default."""
+        """Return a reader for the object at a key, empty by default."""
         return SettingsReader(
             self.get(key, {}, (dict,), "an object"), self.path_of(key)
         )
 
     def children(self, key: str) -> "Sequence[SettingsReader]":
-        """Return a reader of each object in the array under that key."""
+        """Return a reader for each object of the array at a key."""
         return [
             SettingsReader(value, f"{self.path_of(key)}[{index}]")
             for index, value in enumerate(self.array(key))
--- a/wheathill/config/tables.py
+++ b/wheathill/config/tables.py
@@ -1,4 +1,4 @@
-"""Kinds of values in an operator's file, and the base of its tables."""
+"""Value types of an operator's file, and the base class of its tables."""
 
 from typing import Annotated
 
@@ -25,4 +25,4 @@
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True):
-    """A table of the file, in which an unknown key is a fault."""
+    """A table of the file, in which unknown keys are invalid."""
