--- a/wheathill/peers/transport.py
+++ b/wheathill/peers/transport.py
@@ -75,7 +75,7 @@
         on_message: Callable[[Frame, str | None], None],
         listen: tuple[str, int],
     ) -> None:
-        network, clock = environment.carrier, environment.clock
+        network, clock = environment.transport, environment.clock
         self._network, self._clock = network, clock
         self.metrics = TransportMetrics(clock, environment.log_event)
         self._authenticator, self._on_message = authenticator, on_message
