--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -413,8 +413,8 @@
     "more, fault",
     [
         ({"seeds": ["nowhere"]}, "peers.seeds[0]"),
-        ({"roster": ["x"]}, "peers.roster: 'a', this instance"),
-        ({"patience_ms": 500.0}, "peers.patience_ms: is not under"),
+        ({"roster": ["x"]}, "peers.roster: must include this instance, 'a'"),
+        ({"patience_ms": 500.0}, "peers.patience_ms: must be less than"),
         ({"key_file": "/nowhere"}, "peers.key_file"),
         ({"sedes": []}, "peers.sedes: no such key; did you mean seeds?"),
     ],
@@ -429,4 +429,4 @@
 def test_a_key_that_others_may_read_is_refused(tmp_path):
     path = write_file(tmp_path, "a", {"a": [9001, 9002]})
     (tmp_path / "key").chmod(0o640)
-    assert "readable by its owner alone" in run_cli("check", str(path)).stderr
+    assert "accessible to no other user" in run_cli("check", str(path)).stderr
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -44,7 +44,7 @@
             '"repeatable"',
             '"referenced"',
             [
-                "listener[0].window_s: a referenced listener needs its servers' dedup window"
+                "listener[0].window_s: a referenced listener requires the deduplication window of its servers"
             ],
         ),
         (
@@ -55,13 +55,13 @@
         (
             "[[server]]",
             '[[server]]\nname = "a"\naddress = "127.0.0.1:1"\n[[server]]',
-            ["server[1]: 'a' stands at server[0] already"],
+            ["server[1]: 'a' is already used by server[0]"],
         ),
         (
             "[[server]]",
             "[fleet]\nfurther_dials_free = 2\n[[server]]",
             [
-                "fleet.further_dials_s: is missing beside further_dials_free or further_dials_share"
+                "fleet.further_dials_s: is required with further_dials_free or further_dials_share"
             ],
         ),
         (
--- a/wheathill/config/checked.py
+++ b/wheathill/config/checked.py
@@ -87,7 +87,7 @@
     similar = difflib.get_close_matches(name, known, 1)
     if similar:
         return f"did you mean {similar[0]}?"
-    return "known here: " + ", ".join(known)
+    return "known keys: " + ", ".join(known)
 
 
 def value_errors(value: object, field_type: object, path: str) -> Iterator[str]:
--- a/wheathill/config/environment.py
+++ b/wheathill/config/environment.py
@@ -57,7 +57,7 @@
     if text is None:
         return None
     if not text.isdecimal():
-        raise ConfigurationError(f"{variable}: {text!r} is no descriptor")
+        raise ConfigurationError(f"{variable}: {text!r} is not a file descriptor")
     try:
         listener = socket.socket(fileno=int(text))
     except OSError as error:
@@ -67,7 +67,7 @@
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         ):
             raise ConfigurationError(
-                f"{variable}: descriptor {text} is no stream socket that listens"
+                f"{variable}: descriptor {text} is not a listening stream socket"
             )
     finally:
         listener.detach()
--- a/wheathill/config/operator_checks.py
+++ b/wheathill/config/operator_checks.py
@@ -34,7 +34,9 @@
         for index, name in enumerate(names):
             first_index = names.index(name)
             if first_index < index:
-                yield f"{key}[{index}]: {name!r} stands at {key}[{first_index}] already"
+                yield (
+                    f"{key}[{index}]: {name!r} is already used by {key}[{first_index}]"
+                )
 
 
 def _retry_budget_errors(file: File) -> Iterator[str]:
@@ -42,27 +44,28 @@
     has_retry_budget = fleet.further_dials_free or fleet.further_dials_share
     if has_retry_budget and not fleet.further_dials_s:
         yield (
-            "fleet.further_dials_s: is missing beside"
+            "fleet.further_dials_s: is required with"
             " further_dials_free or further_dials_share"
         )
 
 
 def _zone_errors(file: File) -> Iterator[str]:
     if file.own_zone is not None and file.own_zone not in file.zone:
-        yield f"own_zone: {file.own_zone!r} is not one of zone"
+        yield f"own_zone: {file.own_zone!r} is not listed in zone"
     for index, server in enumerate(file.server):
         if server.zone is not None and server.zone not in file.zone:
-            yield f"server[{index}].zone: {server.zone!r} is not one of zone"
+            yield f"server[{index}].zone: {server.zone!r} is not listed in zone"
 
 
 def _listener_errors(file: File) -> Iterator[str]:
     for index, listener in enumerate(file.listener):
         key = f"listener[{index}]"
         if listener.handshake_target_ms > listener.dial_timeout_ms:
-            yield f"{key}.handshake_target_ms: is over its dial_timeout_ms"
+            yield f"{key}.handshake_target_ms: exceeds dial_timeout_ms"
         if listener.repeat == "referenced" and not listener.window_s:
             yield (
-                f"{key}.window_s: a referenced listener needs its servers' dedup window"
+                f"{key}.window_s: a referenced listener requires the deduplication"
+                " window of its servers"
             )
 
 
--- a/wheathill/config/peers.py
+++ b/wheathill/config/peers.py
@@ -141,27 +141,27 @@
         if text is not None:
             yield from _address_errors(key, text)
     if table.patience_ms >= table.period_ms:
-        yield "peers.patience_ms: is not under peers.period_ms"
+        yield "peers.patience_ms: must be less than peers.period_ms"
     name = table.name or proxy_name
     if table.roster and name not in table.roster:
-        yield f"peers.roster: {name!r}, this instance, is not one of them"
+        yield f"peers.roster: must include this instance, {name!r}"
     if len(dict.fromkeys(table.roster)) != len(table.roster):
-        yield "peers.roster: a name stands twice"
+        yield "peers.roster: contains a duplicate name"
     yield from _zone_layout_errors(table, fleet_size)
 
 
 def _zone_layout_errors(table: "PeersTable", fleet_size: int) -> Iterator[str]:
     if table.zone is None:
         if table.zones:
-            yield "peers.zone: is missing, as peers.zones names some"
+            yield "peers.zone: is missing, but peers.zones is not empty"
         return
     names = [zone.name for zone in table.zones]
     if table.zone not in names:
-        yield f"peers.zone: {table.zone!r} is none of peers.zones"
+        yield f"peers.zone: {table.zone!r} is not listed in peers.zones"
     if table.roster:
         yield (
-            "peers.roster: is for a fleet without zones;"
-            " peers.zones says how many are meant to be there"
+            "peers.roster: cannot be combined with zones;"
+            " peers.zones states the expected number of proxies"
         )
     for index in range(len(table.zones)):
         yield from _zone_errors(table.zones, index)
@@ -169,11 +169,11 @@
     yield from _quota_errors("was", [zone.was for zone in table.zones])
     expected = sum(zone.proxies for zone in table.zones)
     if not expected:
-        yield "peers.zones: proxies is 0 in all of them"
+        yield "peers.zones: proxies is 0 in every zone"
     elif expected != fleet_size:
         yield (
             f"fleet.proxies: is {fleet_size},"
-            f" and the proxies of peers.zones are {expected}"
+            f" but peers.zones has {expected} proxies in total"
         )
 
 
@@ -182,9 +182,9 @@
     key, zone = f"peers.zones[{index}]", zones[index]
     first_index = [other.name for other in zones].index(zone.name)
     if first_index < index:
-        yield f"{key}.name: {zone.name!r} stands at peers.zones[{first_index}] already"
+        yield f"{key}.name: {zone.name!r} is already used by peers.zones[{first_index}]"
     if not zone.seeds:
-        yield f"{key}.seeds: is empty, so that the zone can't be found"
+        yield f"{key}.seeds: is empty, so the zone cannot be found"
     for seed_index, seed in enumerate(zone.seeds):
         yield from _address_errors(f"{key}.seeds[{seed_index}]", seed)
 
@@ -194,9 +194,9 @@
     configured = [quota for quota in quotas if quota is not None]
     if len(configured) < len(quotas):
         if configured:
-            yield f"peers.zones: {key} is told of some zones and not of others"
+            yield f"peers.zones: {key} is set for some zones but not for others"
     elif sum(configured) > 1.0 + QUOTA_SUM_TOLERANCE:
-        yield f"peers.zones: {key} sums to {sum(configured):g}, which is over 1"
+        yield f"peers.zones: {key} sums to {sum(configured):g}, which exceeds 1"
 
 
 def _address_errors(key: str, text: str) -> Iterator[str]:
@@ -250,8 +250,8 @@
         raise ConfigurationError(f"peers.key_file: {error}") from None
     if file_status.st_uid != os.geteuid() or stat.S_IMODE(file_status.st_mode) & 0o077:
         raise ConfigurationError(
-            f"peers.key_file: {path} must be readable by its owner alone,"
-            " who starts the proxy"
+            f"peers.key_file: {path} must be owned by the user that starts the proxy,"
+            " and accessible to no other user"
         )
     if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
         raise ConfigurationError(
--- a/wheathill/config/platform.py
+++ b/wheathill/config/platform.py
@@ -120,7 +120,7 @@
         settings, resources = root.child("settings"), root.child("limits")
         listeners = read_listeners(settings)
         if not listeners:
-            raise ConfigurationError("settings.listeners: names none")
+            raise ConfigurationError("settings.listeners: must not be empty")
         # The order of the arguments is the order of reading.
         return cls(
             listeners=listeners,
--- a/wheathill/config/policy_settings.py
+++ b/wheathill/config/policy_settings.py
@@ -123,8 +123,8 @@
         return RetryBudgetSettings()
     if "ratioSpanS" not in configured_keys:
         raise ConfigurationError(
-            f"{obligations.path_of('ratioSpanS')}: is missing,"
-            f" beside {obligations.path_of(configured_keys[0])}"
+            f"{obligations.path_of('ratioSpanS')}: is required"
+            f" with {obligations.path_of(configured_keys[0])}"
         )
     window_s = obligations.number(
         "ratioSpanS", None, MIN_RETRY_WINDOW_S, MAX_RETRY_WINDOW_S
--- a/wheathill/config/settings_reader.py
+++ b/wheathill/config/settings_reader.py
@@ -80,7 +80,7 @@
         value = self.get(key, default, (int, float), "a number")
         if not minimum <= value <= maximum:
             raise ConfigurationError(
-                f"{self.path_of(key)}: {value} is not within"
+                f"{self.path_of(key)}: {value} is not between"
                 f" {minimum:g} and {maximum:g}"
             )
         return value
@@ -106,7 +106,7 @@
         value = self.text(key, default)
         if value not in choices:
             raise ConfigurationError(
-                f"{self.path_of(key)}: {value!r} is none of {', '.join(choices)}"
+                f"{self.path_of(key)}: {value!r} is not one of {', '.join(choices)}"
             )
         return choices[value]
 
