--- a/tests/test_golden_store.py
+++ b/tests/test_golden_store.py
@@ -125,8 +125,8 @@
                 [
                     "seen",
                     self.replica.version_vector,
-                    tombstones.collected,
-                    tombstones.collected_time,
+                    tombstones.collected_vector,
+                    tombstones.collected_lamport_time,
                 ]
             ]
         )
@@ -140,7 +140,10 @@
     """What is read from a directory, and a replica that is started from it."""
     log = WriteAheadLog(str(folder), CLUSTER)
     image, tail = log.last_snapshot, log.records
-    result = {"torn": log.torn_bytes, "damage": [list(each) for each in log.damage]}
+    result = {
+        "torn": log.torn_bytes,
+        "damage": [list(each) for each in log.corrupt_locations],
+    }
     log.close()
     replica = Replica("a", "g2", lambda *_: None, LIMITS)
     if image is not None:
@@ -152,7 +155,7 @@
             (kind, *rest), encoded = fields
             entry = None if encoded is None else decode_entry(kind, encoded)
             replica.load_entry(EntryKey(EntryKind(kind), *rest), entry, 7.0)
-    replica.cover_own_changes("a/g1")
+    replica.include_previous_generation("a/g1")
     return {
         **result,
         "snapshot": hashed(image),
@@ -167,7 +170,12 @@
     """A record of a member's disk in the play of random faults, as it was recorded."""
     if isinstance(record, store_cluster.LoggedEntry):
         return ["cell", record.key, record.encoded]
-    return ["seen", record.version_vector, record.collected, record.collected_time]
+    return [
+        "seen",
+        record.version_vector,
+        record.collected_vector,
+        record.collected_lamport_time,
+    ]
 
 
 def play(seed, monkeypatch):
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -228,7 +228,7 @@
 
 
 def test_of_too_many_the_oldest_go_at_all_alike(monkeypatch):
-    monkeypatch.setattr(replicated_table, "MAX_SERVERS", 20)
+    monkeypatch.setattr(replicated_table, "MAX_SERVER_RECORDS", 20)
     records = [
         [f"s/g{place}", WALL + place, 1, "", [True, WALL + place]]
         for place in range(60)
@@ -310,7 +310,7 @@
         self.writer = self.another_writer(f"{own}1 5")
 
     def another_writer(self, name):
-        own = self.directory.own.name
+        own = self.directory.own_zone.name
         return SummaryWriter(own, name, self.table, 1000.0, 0.0)
 
 
@@ -362,7 +362,7 @@
     assert one.directory.state("w", converged) == ViewState.DIVERGED
     assert one.directory.region_state(converged) == converged
     next_one = ZoneParts(parts=parts, held=one.table)
-    next_one.contacts.restart(16_500.0)
+    next_one.contacts.reset(16_500.0)
     assert next_one.contacts.unreachable_zones(17_000.0) == ["v"]
     next_one.contacts.record_contact(17_500.0, "v")
     assert next_one.contacts.unreachable_zones(18_000.0) == []
@@ -386,12 +386,12 @@
         whole = chance.choice((0.2, 0.9, 1.0, 3.7, 40.0))
         for server in range(20):
             total = sum(
-                one.round_permits(f"g{server}", whole * part)
+                one.permit_count(f"g{server}", whole * part)
                 for one, part in zip(each, parts.values())
             )
             assert whole - 1 - 1e-6 <= total <= whole + 1 + 1e-6, (seed, total)
     one = ZoneParts("e", {"e": 0.25, "w": 0.75}).quota
-    permits = [one.round_permits(f"g{server}", 0.25 * 1.2) for server in range(4000)]
+    permits = [one.permit_count(f"g{server}", 0.25 * 1.2) for server in range(4000)]
     assert abs(sum(permits) / 4000 - 0.3) < 0.03
 
 
@@ -584,7 +584,7 @@
     one.transport.send_by_stream = lambda *told: streams.append(told)
     for number in range(160):
         fleet.proxies["a1-1"].list(one, f"g{number}", True, 0.0)
-    buckets = range(replicated_table.BUCKETS)
+    buckets = range(replicated_table.BUCKET_COUNT)
     found = one.zone_table.encoded_by_bucket(buckets)
     told = list(one.zone_table.bucket_batches(buckets))
     assert len(told) > 4 and [
