--- a/wheathill/config/operator_tables.py
+++ b/wheathill/config/operator_tables.py
@@ -13,13 +13,13 @@
 from wheathill.config.tables import (
     Address,
     Count,
-    Ms,
+    Fraction,
     Name,
-    Price,
+    NonNegativeMs,
+    PositiveMs,
     Seconds,
-    Share,
     Table,
-    Wait,
+    Weight,
 )
 
 
@@ -30,10 +30,10 @@
     repeat: Literal["repeatable", "referenced", "once-only"] = "once-only"
     scope: Literal["all", "zone", "cell"] = "cell"
     window_s: Seconds = 0.0
-    handshake_target_ms: Ms = 500.0
-    message_target_ms: Ms = 100.0
-    dial_timeout_ms: Ms = 2000.0
-    utility: Price = 1.0
+    handshake_target_ms: PositiveMs = 500.0
+    message_target_ms: PositiveMs = 100.0
+    dial_timeout_ms: PositiveMs = 2000.0
+    utility: Weight = 1.0
 
 
 class ServerTable(Table, frozen=True):
@@ -50,10 +50,10 @@
 class Limits(Table, frozen=True):  # noqa: D101 - a docstring would be printed in the schema
     sockets: Annotated[int, Meta(ge=64, le=1_000_000)] = 1024
     memory_mb: Annotated[float, Meta(ge=16)] = 192.0
-    connect_ms: Ms = 1000.0
+    connect_ms: PositiveMs = 1000.0
     idle_s: Seconds = 30.0
     dials: Annotated[int, Meta(ge=1, le=100)] = 3
-    longest_wait_ms: Wait = 1500.0
+    longest_wait_ms: NonNegativeMs = 1500.0
 
 
 class Fleet(Table, frozen=True):
@@ -62,28 +62,28 @@
     proxies: Annotated[int, Meta(ge=1, le=100_000)] = 1
     slots: Literal[512, 1024, 2048, 4096, 8192, 16_384, 32_768, 65_536] = 4096
     weights: Literal["registered", "off"] = "off"
-    drain_grace_ms: Wait = 500.0
+    drain_grace_ms: NonNegativeMs = 500.0
     cold_s: Seconds = 20.0
-    cold_start_share: Share = 0.1
+    cold_start_share: Fraction = 0.1
     cold_multiple: Annotated[float, Meta(gt=0)] = 4.0
-    cold_window_ms: Ms = 1000.0
+    cold_window_ms: PositiveMs = 1000.0
     further_dials_s: Seconds = 0.0
     further_dials_free: Count = 0
-    further_dials_share: Share = 0.0
+    further_dials_share: Fraction = 0.0
     only_draining_binds: bool = False
     probes: bool = False
     report_fields: list[Literal["inflight", "waiting", "cpu", "x0", "active"]] = []
 
 
 class Prices(Table, frozen=True):  # noqa: D101 - a docstring would be printed in the schema
-    crossing: Price = 0.0
-    move: Price = 0.0
+    crossing: Weight = 0.0
+    move: Weight = 0.0
 
 
 class Goal(Table, frozen=True):
     """How service is judged, as far as it changes what is decided."""
 
-    nines: Share = 0.0
+    nines: Fraction = 0.0
     nines_full: Annotated[float, Meta(gt=0, le=1000)] = 3.0
 
 
--- a/wheathill/config/peer_tables.py
+++ b/wheathill/config/peer_tables.py
@@ -8,7 +8,7 @@
 
 from msgspec import Meta
 
-from wheathill.config.tables import Address, Count, Name, Share, Table
+from wheathill.config.tables import Address, Count, Fraction, Name, Table
 
 
 class ZoneTable(Table, frozen=True):
@@ -19,9 +19,9 @@
     seeds: list[Address]
     region: Name | None = None
     # Fraction of every fleet-wide limit, by default the zone's fraction of all proxies.
-    part: Share | None = None
+    part: Fraction | None = None
     # The value of `part` in the previous layout.
-    was: Share | None = None
+    was: Fraction | None = None
 
 
 class Peers(Table, frozen=True):
--- a/wheathill/config/tables.py
+++ b/wheathill/config/tables.py
@@ -16,12 +16,12 @@
 Address = Annotated[
     str, Meta(pattern=r"^.+:[0-9]{1,5}$", description="HOST:PORT, a numeric address")
 ]
-Ms = Annotated[float, Meta(gt=0, le=3_600_000)]
-Wait = Annotated[float, Meta(ge=0, le=3_600_000)]
+PositiveMs = Annotated[float, Meta(gt=0, le=3_600_000)]
+NonNegativeMs = Annotated[float, Meta(ge=0, le=3_600_000)]
 Seconds = Annotated[float, Meta(ge=0, le=86_400)]
-Share = Annotated[float, Meta(ge=0, le=1)]
+Fraction = Annotated[float, Meta(ge=0, le=1)]
 Count = Annotated[int, Meta(ge=0, le=1_000_000)]
-Price = Annotated[float, Meta(ge=0, le=1000)]
+Weight = Annotated[float, Meta(ge=0, le=1000)]
 
 
 class Table(Struct, forbid_unknown_fields=True, frozen=True):
--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -10,13 +10,13 @@
 from wheathill.config.operator_tables import ListenerTable
 from wheathill.config.tables import (
     Count,
-    Ms,
+    Fraction,
     Name,
-    Price,
+    NonNegativeMs,
+    PositiveMs,
     Seconds,
-    Share,
     Table,
-    Wait,
+    Weight,
 )
 
 Times = Annotated[float, Meta(gt=0, le=1000)]
@@ -79,21 +79,21 @@
 
 
 class Rules(Table):
-    drain_grace_ms: Wait = 500.0
+    drain_grace_ms: NonNegativeMs = 500.0
     cold_multiple: Times = 4.0
-    cold_window_ms: Ms = 1000.0
+    cold_window_ms: PositiveMs = 1000.0
     further_dials_s: Seconds = 0.0
     further_dials_free: Count = 0
-    further_dials_share: Share = 0.0
+    further_dials_share: Fraction = 0.0
     only_draining_binds: bool = False
 
 
 class Net(Table):
-    same_ms: Wait = 0.25
-    cross_ms: Wait = 4.0
-    client_ms: Wait = 0.7
-    jitter: Price = 0.2
-    hop_ms: Wait = 0.2  # virtual only: what a delivery costs beside the way, as measured on loopback
+    same_ms: NonNegativeMs = 0.25
+    cross_ms: NonNegativeMs = 4.0
+    client_ms: NonNegativeMs = 0.7
+    jitter: Weight = 0.2
+    hop_ms: NonNegativeMs = 0.2  # virtual only: what a delivery costs beside the way, as measured on loopback
 
 
 class Gateways(Table):
@@ -106,16 +106,16 @@
     cores: Many = 2
     speed: Times = 1.0
     queue: Count = 64
-    setup_ms: Ms = 8.0
-    line_ms: Ms = 4.0
-    probe_ms: Ms = 0.25
+    setup_ms: PositiveMs = 8.0
+    line_ms: PositiveMs = 4.0
+    probe_ms: PositiveMs = 0.25
     holds: Many = 200
     warm_from: Annotated[float, Meta(gt=0, le=1)] = 0.2
     warm_s: Seconds = 15.0
     falls_over: Times = 4.0
-    fall_window_ms: Ms = 1000.0
+    fall_window_ms: PositiveMs = 1000.0
     falls_at: Times = 2.5
-    report_ms: Ms = 200.0
+    report_ms: PositiveMs = 200.0
     tells_load: bool = False  # each connection's load, on a line after UP
     weight: Times = 1.0
     weight_error: Span | None = (
@@ -125,13 +125,13 @@
 
 class StoreTable(Table):
     at_once: Many = 8
-    call_ms: Ms = 10.0
+    call_ms: PositiveMs = 10.0
     queue: Count = 400
 
 
 class Registry(Table):
-    late_ms: Wait = 1500.0
-    finds_dead_ms: Wait = 4000.0
+    late_ms: NonNegativeMs = 1500.0
+    finds_dead_ms: NonNegativeMs = 4000.0
 
 
 class Proxies(Table):
@@ -139,8 +139,8 @@
     sockets: Annotated[int, Meta(ge=64, le=65_536)] = 4096
     memory_mb: Annotated[float, Meta(ge=16)] = 192.0
     dials: Annotated[int, Meta(ge=1, le=100)] = 3
-    connect_ms: Ms = 500.0
-    longest_wait_ms: Wait = 1500.0
+    connect_ms: PositiveMs = 500.0
+    longest_wait_ms: NonNegativeMs = 1500.0
     probes: bool = True
     weights: Literal["registered", "off"] = "registered"
     packets_pass: bool = False
@@ -181,18 +181,20 @@
 class Fleet(Table):
     """What is judged of instances that know their peers, in ms."""
 
-    agree_ms: Ms = 5000.0  # after the last fault's end all views are equal
-    false_ms: Ms = (
+    agree_ms: PositiveMs = 5000.0  # after the last fault's end all views are equal
+    false_ms: PositiveMs = (
         2000.0  # no longer is one held dead that answered before, or only stands still
     )
-    told_ms: Ms = 1000.0  # until all that can be reached know of a drain
-    known_ms: Ms = 8000.0  # until a death is known to all that can know it
-    apart_ms: Ms = 8000.0  # until a zone says that it is cut off from all others
+    told_ms: PositiveMs = 1000.0  # until all that can be reached know of a drain
+    known_ms: PositiveMs = 8000.0  # until a death is known to all that can know it
+    apart_ms: PositiveMs = (
+        8000.0  # until a zone says that it is cut off from all others
+    )
 
 
 class FrontTable(Table):
-    notice_ms: Wait = 1500.0
-    ask_ms: Ms = 100.0
+    notice_ms: NonNegativeMs = 1500.0
+    ask_ms: PositiveMs = 100.0
     shares: Span | None = (
         None  # what a proxy gets beside the others of its zone, drawn between; None: alike
     )
@@ -211,14 +213,14 @@
     within_s: Seconds = 3.0
     life_s: Annotated[float, Meta(gt=0)] = 20.0
     rest_s: Seconds = 1.0
-    think_ms: Ms = 2000.0
-    gives_up_ms: Ms | None = None
+    think_ms: PositiveMs = 2000.0
+    gives_up_ms: PositiveMs | None = None
     retry: Literal["at once", "wait", "never"] = "wait"
-    wait_ms: Ms = 500.0
-    honours: Share = 1.0
+    wait_ms: PositiveMs = 500.0
+    honours: Fraction = 1.0
     tries: Many = 5
     returns: bool = True
-    leaves: Share = 0.0
+    leaves: Fraction = 0.0
     load_sigma: Annotated[float, Meta(ge=0, le=3)] = (
         0.0  # of the logarithm of a session's load, by mean 1
     )
@@ -232,21 +234,21 @@
     with_: Name | None = field(default=None, name="with")
     for_s: Annotated[float, Meta(gt=0)] | None = None
     factor: Times | None = None
-    share: Share = 0.5
+    share: Fraction = 0.5
     within_s: Seconds = 2.0
     one_way: bool = False
     word: Literal["OPEN", "UP", "BUSY", "DONE"] = "UP"
     bytes: Count = 1
-    wait_ms: Wait = 0.0
+    wait_ms: NonNegativeMs = 0.0
     then: Literal["on", "reset", "half-open"] = "on"
     times: Many = 1
     leaves_s: Seconds = 3.0
     parts: list[Name] = []  # of a split: each with commas between its names
     cut: bool = False
-    loss: Share = 0.0
-    doubled: Share = 0.0
-    overtaken: Share = 0.0
-    spoilt: Share = 0.0
+    loss: Fraction = 0.0
+    doubled: Fraction = 0.0
+    overtaken: Fraction = 0.0
+    spoilt: Fraction = 0.0
     crawl: Count = 0  # of streams, bytes a second
     key: bool = False  # a stranger that has the cluster's key
 
