--- a/wheathill/config/environment.py
+++ b/wheathill/config/environment.py
@@ -59,16 +59,16 @@
     if not text.isdecimal():
         raise ConfigurationError(f"{variable}: {text!r} is not a file descriptor")
     try:
-        listener = socket.socket(fileno=int(text))
+        sock = socket.socket(fileno=int(text))
     except OSError as error:
         raise ConfigurationError(f"{variable}: descriptor {text}: {error}") from None
     try:
-        if listener.type != socket.SOCK_STREAM or not listener.getsockopt(
+        if sock.type != socket.SOCK_STREAM or not sock.getsockopt(
             socket.SOL_SOCKET, socket.SO_ACCEPTCONN
         ):
             raise ConfigurationError(
                 f"{variable}: descriptor {text} is not a listening stream socket"
             )
     finally:
-        listener.detach()
+        sock.detach()
     return int(text)
--- a/wheathill/config/limits.py
+++ b/wheathill/config/limits.py
@@ -79,7 +79,7 @@
     # Rate limit for logging protocol errors of clients, per time window.
     protocol_error_window_ms: float = 1000.0
     max_protocol_errors_logged: int = 5
-    # A line that has not been answered for this long is reported.
+    # A line that has not been answered for this long is reported to the balancer.
     unanswered_after_ms: float = 500.0
     # Timeout for the rest of an incomplete line.
     partial_line_timeout_ms: float = 5000.0
@@ -92,7 +92,7 @@
     # Session ids, kept to recognize a session that is opened again.
     max_session_ids: int = 8192
 
-    # Connections and responses
+    # Connections and answers
 
     # How long a closing connection waits for the peer to close its side.
     linger_ms: float = 1000.0
@@ -112,7 +112,7 @@
 
     # The watch on the endpoint list
 
-    # Timeout for the first response of discovery, after which the configured list is
+    # Timeout for the first answer of discovery, after which the configured list is
     # used.
     first_list_timeout_ms: float = 1000.0
     # A watch that is idle for this long is reopened. Two consecutive timeouts fit into
@@ -120,7 +120,7 @@
     watch_idle_timeout_ms: float = 2700.0
     # Minimum time between opening two watches.
     min_watch_interval_ms: float = 250.0
-    # Delay before a second watch is opened in parallel to one without a response.
+    # Delay before a second watch is opened in parallel to one without an answer.
     watch_hedge_delay_ms: float = 250.0
     # Exponential backoff after a failed watch where all proxies share one discovery
     # service: initial and maximum delay, of which half is random jitter. An initial
--- a/wheathill/config/platform.py
+++ b/wheathill/config/platform.py
@@ -116,7 +116,7 @@
     def read(
         cls, root: SettingsReader, environment: EnvironmentDefaults
     ) -> "_CoreSettings":
-        """Read the values, in the order of the arguments below."""
+        """Read the values from the configuration and the environment."""
         settings, resources = root.child("settings"), root.child("limits")
         listeners = read_listeners(settings)
         if not listeners:
