--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -270,7 +270,7 @@
         f'[[event]]\nat_s = {at}\ndo = "{do}"\non = "n1"\n{more}'
         for at, do, more in ((2, "proxy-kill", ""), (2.5, "proxy-pause", "for_s = 9\n"))
     )
-    result = virtual(language.script_of(tomllib.loads(text)), 1)
+    result = virtual(language.parse_script(tomllib.loads(text)), 1)
     truths = [
         fields for _, kind, fields in result.scene.record.events if kind == "truth"
     ]
@@ -287,7 +287,7 @@
         f'[[event]]\nat_s = {at}\ndo = "{do}"\non = "{on}"\n' for at, do, on in events
     )
     return processes(
-        language.script_of(tomllib.loads(text)),
+        language.parse_script(tomllib.loads(text)),
         1,
         world="processes",
         program=("-c", program),
@@ -323,9 +323,9 @@
 @pytest.mark.parametrize(
     "change, fault",
     [
-        (("event.0.with", "n9"), "event[0].with: 'n9' is no proxy"),
-        (("event.0.when", "n1 eats n2"), "event[0].when: 'n1 eats n2' is none of"),
-        (("proxies.peers", False), "event[0].do: link-flap needs proxies.peers"),
+        (("event.0.with", "n9"), "event[0].with: 'n9' is not a proxy"),
+        (("event.0.when", "n1 eats n2"), "event[0].when: 'n1 eats n2' is not one of"),
+        (("proxies.peers", False), "event[0].do: link-flap requires proxies.peers"),
     ],
 )
 def test_script_faults(change, fault):
