--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -233,13 +233,13 @@
         )
         if key not in self.said:
             self.said[key] = now
-            self.breach(now, f"{proxy} {what}")
+            self.report_breach(now, f"{proxy} {what}")
 
-    def close(self, now):
+    def finish(self, now):
         if now - self.changed > 2 * self.agree:
             for name in sorted(self.running):
                 if name not in self.digests and name not in self.paused:
-                    self.breach(now, f"{name} has never said what it believes")
+                    self.report_breach(now, f"{name} has never said what it believes")
 
 
 class ZoneStateJudge(Judge):
@@ -347,7 +347,7 @@
         key = what.split(",")[0]
         if key not in self.said:
             self.said[key] = None
-            self.breach(now, what)
+            self.report_breach(now, what)
 
 
 class QuotaSumJudge(Judge):
@@ -386,7 +386,7 @@
         elif self.over is None:
             self.over = now
         elif now - self.over > self.OVERLAP:
-            self.breach(
+            self.report_breach(
                 now,
                 f"shares sum to {total:.3f}: "
                 + " ".join(
@@ -460,7 +460,7 @@
             and (proxy, server) not in self.said
         ):
             self.said[proxy, server] = now
-            self.breach(
+            self.report_breach(
                 now,
                 f"{proxy} dialled it {late:.0f} ms after {other} was told that it drains",
                 sess,
@@ -551,13 +551,13 @@
     def once(self, now, what):
         if what not in self.said:
             self.said[what] = None
-            self.breach(now, what)
+            self.report_breach(now, what)
 
-    def close(self, now):
+    def finish(self, now):
         for name, item in self.odd.items():
             for field, reason in self.REASONS.items():
                 if getattr(item, field) and (name, reason) not in self.seen:
-                    self.breach(
+                    self.report_breach(
                         now, f"nobody has dropped what {name} says as of {reason}"
                     )
 
@@ -569,7 +569,7 @@
 
     def on_effect(self, now, do, on, count):
         if not count:
-            self.breach(now, f"fault without effect: {do} on {on}")
+            self.report_breach(now, f"fault without effect: {do} on {on}")
 
 
 class ConvergenceTimes(Judge):
--- a/wheathill/lab/judging/judges.py
+++ b/wheathill/lab/judging/judges.py
@@ -1,7 +1,8 @@
-"""The rules, judged from a run's events alone: what clients, servers and discovery saw.
+"""Judges that check the rules from a run's events alone: what clients, servers and discovery saw.
 
-Each judge is fed (ms, kind, fields) in order and names its breaches with time, session and what last happened
-to it. Nothing here knows the proxy. `slack` is what the network may add to every time limit, in ms.
+Each judge is given events (ms, kind, fields) in order, and reports its breaches with the time, the session and the
+session's last events. None of them uses the proxy's code or state. `slack` is what the network may add to every time
+limit, in ms.
 """
 
 import math
@@ -9,9 +10,15 @@
 
 from wheathill.log_events import LogEvent
 
+MAX_OPERATOR_CALL_MS = 1000.0
+# From a proxy's resumption, so long after a session's deadline it may still be excused.
+RESUME_GRACE_MS = 500.0
+
 
 class Breach:
-    def __init__(self, rule, now, what, sess=None, server=None, last=()):
+    """A breach of a rule: when, what, and the last events of the session concerned."""
+
+    def __init__(self, rule, now, what, sess=None, server=None, last_events=()):
         self.rule, self.now, self.what, self.sess, self.server = (
             rule,
             now,
@@ -19,21 +26,22 @@
             sess,
             server,
         )
-        self.last = list(last)
+        self.last_events = list(last_events)
 
     def __str__(self):
-        where = " ".join(
+        subject = " ".join(
             filter(None, (self.sess and f"session {self.sess}", self.server))
         )
-        return f"rule {self.rule} at {self.now:.1f} ms, {where}: {self.what}"
+        return f"rule {self.rule} at {self.now:.1f} ms, {subject}: {self.what}"
 
     def as_dict(self):
+        """Return the breach as plain data for the report."""
         last = [
             f"{now:.1f} {kind} "
             + " ".join(
                 f"{key}={value}" for key, value in fields.items() if key != "sess"
             )
-            for now, kind, fields in self.last
+            for now, kind, fields in self.last_events
         ]
         return {
             "rule": self.rule,
@@ -46,6 +54,8 @@
 
 
 class Judge:
+    """Base class: passes each event to the method `on_KIND` of its kind, if there is one."""
+
     rule = 0
 
     def __init__(self, breaches, histories, slack):
@@ -53,153 +63,188 @@
         self.histories = histories
         self.slack = slack
 
-    def breach(self, now, what, sess=None, server=None):
+    def report_breach(self, now, what, sess=None, server=None):
+        """Add a breach of this judge's rule."""
         self.breaches.append(
             Breach(self.rule, now, what, sess, server, self.histories.get(sess, ()))
         )
 
     def observe(self, now, kind, fields):
+        """Handle one event."""
         handler = getattr(self, "on_" + kind.replace(" ", "_"), None)
         if handler is not None:
             handler(now, **fields)
 
-    def close(self, now):
+    def finish(self, now):
+        """Check what can only be judged at the end of the run."""
         pass
 
 
 class FinalAnswerJudge(Judge):
-    """Rule 1. A session counts as taken once its line is written to a connection that its proxy's machine
-    accepted; it is over for this judge when its client leaves or its proxy is killed."""
+    """Rule 1: each session gets exactly one final answer, in time.
+
+    A session counts from when its request is written to a connection that its proxy's host accepted, until its client
+    leaves or its proxy is killed.
+    """
 
     rule = 1
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.open = {}  # session -> what is known of it
+        self.open_sessions = {}  # session -> its state
         self.receipts = {}  # session -> receipts that servers made for it
-        self.ends = {}  # session -> when its server ended it
-        self.down = {}  # proxies and servers that are gone, silent or paused -> since when
-        self.anew = {}  # servers -> when they last started: what was open there before is lost
+        self.server_ends = {}  # session -> {server that ended it: when}
+        self.unavailable = {}  # proxy or server that is gone, silent or paused -> since when
+        self.server_starts = {}  # server -> its last start, which loses its earlier sessions
 
     def on_open(self, now, sess, proxy, deadline, mid, **_):
-        self.open[sess] = {
-            "at": now,
-            "until": now + deadline + self.slack,
+        """Start to watch a session."""
+        self.open_sessions[sess] = {
+            "opened_ms": now,
+            "deadline_ms": now + deadline + self.slack,
             "proxy": proxy,
             "answer": None,
             "mid": mid,
             "over": False,
-            "stopped": False,
+            "paused_past_deadline": False,
         }
-        self.ends.pop(sess, None)
+        self.server_ends.pop(sess, None)
 
     def on_line_out(self, now, sess):
-        known = self.open[sess]
-        known["until"] += now - known["at"]
+        """Count the deadline from when the request line was written."""
+        state = self.open_sessions[sess]
+        state["deadline_ms"] += now - state["opened_ms"]
 
     def on_host(self, now, name, state):
-        # One that was told to end ("ended") may not cut anybody off.
+        """Record which hosts are unavailable; a proxy that was told to end ("ended") may not cut any session off."""
         if state in ("up", "ended"):
-            since = self.down.pop(name, None)
+            since = self.unavailable.pop(name, None)
             if since is not None and state == "up":
-                # Whose time ended while its proxy stood still can't be answered in time; but UP is never late.
-                for known in self.open.values():
+                # A session whose deadline passed while its proxy was paused can't be answered in time. UP is excused
+                # then, however late.
+                for session in self.open_sessions.values():
                     if (
-                        known["proxy"] == name
-                        and known["answer"] is None
-                        and since < known["until"] < now + 500.0
+                        session["proxy"] == name
+                        and session["answer"] is None
+                        and since < session["deadline_ms"] < now + RESUME_GRACE_MS
                     ):
-                        known["stopped"] = True
+                        session["paused_past_deadline"] = True
         else:
-            self.down[name] = now
+            self.unavailable[name] = now
             if state == "killed":
-                for sess, known in self.open.items():
-                    if known["proxy"] == name:
-                        known["over"] = True
-
-    def excused(self, known):
-        return known["over"] or known["proxy"] in self.down or known["stopped"]
+                for sess, session in self.open_sessions.items():
+                    if session["proxy"] == name:
+                        session["over"] = True
+
+    def is_excused(self, state):
+        """Whether the session's proxy could not have answered."""
+        return (
+            state["over"]
+            or state["proxy"] in self.unavailable
+            or state["paused_past_deadline"]
+        )
 
     def on_up(self, now, sess, receipt, **_):
+        """Record a server's receipt."""
         self.receipts.setdefault(sess, {})[receipt] = now
 
     def on_dial_over(self, now, sess, how, server):
+        """Record that the server has ended the session."""
         if how == "sent away" or how.startswith("answered"):
-            self.ends.setdefault(sess, {})[server] = now
+            self.server_ends.setdefault(sess, {})[server] = now
 
     def on_fell_over(self, now, server, **_):
-        self.down[server] = now
+        """Record the overloaded server as unavailable."""
+        self.unavailable[server] = now
 
     def on_cold(self, now, server, **_):
-        self.anew[server] = now
+        """Record a server's start."""
+        self.server_starts[server] = now
 
     def on_answer(self, now, sess, word, rest):
-        known = self.open[sess]
-        if known["answer"] is not None:
-            return self.breach(
-                now, f"a second answer, {word}, after {known['answer']}", sess
+        """Check that the answer is the only one, in time, and that UP carries a receipt of a server."""
+        state = self.open_sessions[sess]
+        if state["answer"] is not None:
+            return self.report_breach(
+                now, f"a second answer, {word}, after {state['answer']}", sess
             )
-        known["answer"] = word
-        if now > known["until"] and (
-            word == "UP" and known["stopped"] or not self.excused(known)
+        state["answer"] = word
+        if now > state["deadline_ms"] and (
+            word == "UP" and state["paused_past_deadline"] or not self.is_excused(state)
         ):
-            self.breach(
+            self.report_breach(
                 now,
-                f"{word} came {now - known['until']:.0f} ms after the dial timeout",
+                f"{word} came {now - state['deadline_ms']:.0f} ms after the dial timeout",
                 sess,
             )
         if word == "UP":
             if rest not in self.receipts.get(sess, {}):
-                self.breach(now, f"UP {rest}, which no server gave for it", sess)
-            known["server"], known["up"] = rest.partition("/")[0], now
+                self.report_breach(now, f"UP {rest}, which no server gave for it", sess)
+            state["server"], state["up_ms"] = rest.partition("/")[0], now
 
     def on_extra(self, now, sess, what):
-        self.breach(now, f"{what!r} after the final answer", sess)
+        """Report bytes after the final answer."""
+        self.report_breach(now, f"{what!r} after the final answer", sess)
 
     def on_broken(self, now, sess, how):
-        known = self.open[sess]
-        if not self.excused(known):
-            self.breach(now, f"its connection {how} without an answer", sess)
-        known["over"] = True
+        """Check that a connection that breaks without an answer is excused."""
+        state = self.open_sessions[sess]
+        if not self.is_excused(state):
+            self.report_breach(now, f"its connection {how} without an answer", sess)
+        state["over"] = True
 
     def on_cut(self, now, sess, how):
-        known = self.open[sess]
-        server = known["server"]
-        lost = (
-            server in self.down
-            or known["up"] <= self.anew.get(server, -1.0)
-            or server in self.ends.get(sess, {})
+        """Check that an established session is only cut off if its server has lost or ended it."""
+        state = self.open_sessions[sess]
+        server = state["server"]
+        is_lost = (
+            server in self.unavailable
+            or state["up_ms"] <= self.server_starts.get(server, -1.0)
+            or server in self.server_ends.get(sess, {})
         )
-        if not self.excused(known) and not lost:
-            self.breach(now, f"cut off without MOVE while {server} holds it", sess)
-        known["over"] = True
+        if not self.is_excused(state) and not is_lost:
+            self.report_breach(
+                now, f"cut off without MOVE while {server} holds it", sess
+            )
+        state["over"] = True
 
     def on_left(self, now, sess, how):
-        # One that gave up at the end of its time got no answer: that is the rule.
-        known = self.open.get(sess)
-        if known is None:
+        """Check that a client that gives up at its deadline was not left without an answer."""
+        state = self.open_sessions.get(sess)
+        if state is None:
             return
-        if known["answer"] is None and now > known["until"] and not self.excused(known):
-            self.breach(now, "no answer before the dial timeout", sess)
-        known["over"] = True
+        if (
+            state["answer"] is None
+            and now > state["deadline_ms"]
+            and not self.is_excused(state)
+        ):
+            self.report_breach(now, "no answer before the dial timeout", sess)
+        state["over"] = True
 
     def on_moved(self, now, sess):
-        self.open[sess]["over"] = True
+        """Stop watching a session that was told to migrate."""
+        self.open_sessions[sess]["over"] = True
 
-    def close(self, now):
-        for sess, known in self.open.items():
+    def finish(self, now):
+        """Report the sessions that never had an answer."""
+        for sess, state in self.open_sessions.items():
             if (
-                known["answer"] is None
-                and now > known["until"]
-                and not self.excused(known)
+                state["answer"] is None
+                and now > state["deadline_ms"]
+                and not self.is_excused(state)
             ):
-                self.breach(known["until"], "no answer before the dial timeout", sess)
+                self.report_breach(
+                    state["deadline_ms"], "no answer before the dial timeout", sess
+                )
 
 
 class DuplicateEffectJudge(Judge):
-    """Rule 2. `repeats`: listener -> (repeat, scope, window in ms). Only what the proxy repeats counts: a
-    client that tries again after a failure does so at its own risk. A once-only session is dialled again only
-    where each earlier dial was answered BUSY or never reached a server, whether or not it really ran."""
+    """Rule 2: no retry of the proxy's makes a session take effect twice.
+
+    `repeats`: listener -> (repeat, scope, window in ms). Only the proxy's own retries count: a client that tries again
+    after a failure does so at its own risk. A non-idempotent ("once-only") session may be retried only where each
+    earlier attempt was answered BUSY or never reached a server, whether or not it really ran.
+    """
 
     rule = 2
 
@@ -207,94 +252,104 @@
         super().__init__(*args)
         self.repeats = repeats
         self.listeners = {}  # session -> listener
-        self.out = {}  # session -> {server: since}
-        self.past = {}  # session -> {server: how its dial there ended, None while it has not}
-        self.ran = {}  # session -> [(when, server)]
+        # session -> {server: (start, when a later attempt began beside it or None)}
+        self.open_attempts = {}
+        # session -> {server: how the attempt there ended, None while it has not}
+        self.outcomes = {}
+        self.executions = {}  # session -> [(when, server)]
 
     def on_open(self, now, sess, listener, mid, **_):
-        # Packets of an open connection run nothing anew.
-        self.past[sess] = None if mid else {}
+        """Start to watch a session; packets of a mid-flow one have no further effect."""
+        self.outcomes[sess] = None if mid else {}
         if not mid:
             self.listeners[sess] = listener
 
     def on_dial(self, now, sess, server, first):
-        past = self.past.get(sess)
-        if past is not None:
-            if self.repeat(sess)[0] == "once-only":
-                for other, how in past.items():
+        """Check that a non-idempotent session is not retried after an attempt that may have had an effect."""
+        outcomes = self.outcomes.get(sess)
+        if outcomes is not None:
+            if self.repeat_rule(sess)[0] == "once-only":
+                for other, how in outcomes.items():
                     if how != "answered BUSY":
-                        self.breach(
+                        self.report_breach(
                             now,
                             f"dialled again, once-only, though the dial at {other} may have run",
                             sess,
                             server,
                         )
-            past[server] = None
-        out = self.out.setdefault(sess, {})
-        for other, since in out.items():
-            # The end of the earlier one may still be on its way.
-            out[other] = since, now if since[1] is None else since[1]
-        out[server] = (now, None)
-
-    def repeat(self, sess):
+            outcomes[server] = None
+        open_attempts = self.open_attempts.setdefault(sess, {})
+        for other, times in open_attempts.items():
+            # The end of the earlier attempt may not have arrived yet.
+            open_attempts[other] = times, now if times[1] is None else times[1]
+        open_attempts[server] = (now, None)
+
+    def repeat_rule(self, sess):
+        """Return the (repeat, scope, window) of the session's listener."""
         return self.repeats.get(self.listeners.get(sess), ("repeatable", "all", 0.0))
 
     def on_dial_over(self, now, sess, server, how):
-        if self.past.get(sess):
-            self.past[sess][server] = how
-        dial = self.out.get(sess, {}).pop(server, None)
-        if dial is not None and dial[1] is not None and now - dial[1] > self.slack:
-            self.breach(
-                now, f"two dials out at once for {now - dial[1]:.0f} ms", sess, server
+        """Check that the attempt has not overlapped with a later one."""
+        if self.outcomes.get(sess):
+            self.outcomes[sess][server] = how
+        times = self.open_attempts.get(sess, {}).pop(server, None)
+        if times is not None and times[1] is not None and now - times[1] > self.slack:
+            self.report_breach(
+                now, f"two dials out at once for {now - times[1]:.0f} ms", sess, server
             )
 
     def on_fell_over(self, now, server, **_):
-        self.lose(server)
+        """Forget the attempts at a server that failed."""
+        self.forget_attempts(server)
 
     def on_host(self, now, name, state):
-        # What a dead, silent or paused machine still holds, it cannot tell the end of.
+        """Forget the attempts at a host that is dead, silent or paused: their ends can't be seen."""
         if state != "up":
-            self.lose(name)
+            self.forget_attempts(name)
 
-    def lose(self, server):
-        for out in self.out.values():
-            out.pop(server, None)
+    def forget_attempts(self, server):
+        """Forget the open attempts at a server."""
+        for open_attempts in self.open_attempts.values():
+            open_attempts.pop(server, None)
 
     def on_ran(self, now, sess, server, copy):
-        ran = self.ran.setdefault(sess, [])
-        repeat, scope, window = self.repeat(sess)
-        if ran and repeat == "once-only":
-            self.breach(
+        """Check that a session runs once, unless its listener or its group allows for more."""
+        executions = self.executions.setdefault(sess, [])
+        repeat, scope, window = self.repeat_rule(sess)
+        if executions and repeat == "once-only":
+            self.report_breach(
                 now,
-                f"ran at {ran[0][1]} and again at {server}, once-only",
+                f"ran at {executions[0][1]} and again at {server}, once-only",
                 sess,
                 server,
             )
-        elif ran and repeat == "referenced" and not copy:
-            self.breach(
+        elif executions and repeat == "referenced" and not copy:
+            self.report_breach(
                 now,
-                f"ran at {ran[0][1]} and again at {server}, outside its group or window",
+                f"ran at {executions[0][1]} and again at {server}, outside its group or window",
                 sess,
                 server,
             )
-        ran.append((now, server))
+        executions.append((now, server))
 
     def on_answer(self, now, sess, word, rest):
-        repeat, scope, _ = self.repeat(sess)
+        """Check that a session that had an effect is not rejected."""
+        repeat, scope, _ = self.repeat_rule(sess)
         if (
             word == "BUSY"
-            and self.ran.get(sess)
+            and self.executions.get(sess)
             and (repeat == "once-only" or repeat == "referenced" and scope != "all")
         ):
-            self.breach(
-                now, f"refused although it ran at {self.ran[sess][-1][1]}", sess
+            self.report_breach(
+                now, f"refused although it ran at {self.executions[sess][-1][1]}", sess
             )
 
-    def close(self, now):
-        for sess, out in self.out.items():
-            for server, (_, since) in out.items():
+    def finish(self, now):
+        """Report attempts that overlapped until the end."""
+        for sess, open_attempts in self.open_attempts.items():
+            for server, (_, since) in open_attempts.items():
                 if since is not None and now - since > self.slack:
-                    self.breach(
+                    self.report_breach(
                         now,
                         f"two dials out at once, the one at {server} to the end",
                         sess,
@@ -303,46 +358,54 @@
 
 
 class DrainJudge(Judge):
-    """Rule 3. Nothing new reaches a server later than the grace after its proxy was told."""
+    """Rule 3: no new session reaches a server later than the grace after its proxy was told that it leaves."""
 
     rule = 3
 
     def __init__(self, *args, grace, gone_binds):
         super().__init__(*args)
-        self.grace = grace
+        self.grace_ms = grace
         self.gone_binds = gone_binds
         self.proxies = {}  # session -> its proxy
-        self.told = {}  # (proxy, server) -> when
-        self.held = {}  # the same, by an operator's call
+        self.told = {}  # (proxy, server) -> when its list told it
+        self.in_maintenance = {}  # the same, by an operator's call
 
     def on_open(self, now, sess, proxy, mid, **_):
+        """Record the session's proxy."""
         self.proxies[sess] = proxy
 
     def on_out_by_hand(self, now, proxy, server):
-        self.held.setdefault((proxy, server), now)
+        """Record that an operator has put a server into maintenance."""
+        self.in_maintenance.setdefault((proxy, server), now)
 
     def on_put_back(self, now, proxy, server):
-        self.held.pop((proxy, server), None)
+        """Record that an operator has ended a server's maintenance."""
+        self.in_maintenance.pop((proxy, server), None)
 
     def on_told(self, now, proxy, server, health, stale=False):
-        """A list that is late binds its proxy too, `stale` or not, until it says otherwise."""
+        """Record a list's update; a late list, `stale` or not, binds its own proxy until its next update."""
         if health == "draining" or self.gone_binds:
             self.told.setdefault((proxy, server), now)
 
     def on_told_over(self, now, proxy, server):
+        """Record that the proxy's list no longer says so."""
         self.told.pop((proxy, server), None)
 
     def on_ready(self, now, server):
-        """The registry has it as ready again."""
+        """Record that the server is registered as ready again."""
         for key in [key for key in self.told if key[1] == server]:
             del self.told[key]
 
     def on_dial(self, now, sess, server, first):
+        """Check that the attempt was sent within the grace."""
         proxy = self.proxies.get(sess)
-        known = self.told.get((proxy, server)), self.held.get((proxy, server))
-        told = min((when for when in known if when is not None), default=None)
-        if told is not None and first > told + self.grace + self.slack:
-            self.breach(
+        times = (
+            self.told.get((proxy, server)),
+            self.in_maintenance.get((proxy, server)),
+        )
+        told = min((time for time in times if time is not None), default=None)
+        if told is not None and first > told + self.grace_ms + self.slack:
+            self.report_breach(
                 now,
                 f"{proxy} dialled it {first - told:.0f} ms after it was told that it leaves",
                 sess,
@@ -351,130 +414,154 @@
 
 
 class ColdServerJudge(Judge):
-    """Rule 4. In any window a cold server gets at most the multiple of the sessions that it can take up in
-    that time, where it fills evenly while it warms up, and beside this N one dial a proxy, as dials are whole, but
-    no more than 2 x root of N + 2 by chance, as the sum over all falls at that whatever their number. Only
-    proxies that discovery has told of the start count: a server that is back before that looks like the one
-    that was there. One that falls over by dials of proxies that were all told is a breach whatever the count says."""
+    """Rule 4: a server that is warming up is not flooded.
+
+    In any window it gets at most N attempts, the multiple of the sessions that it can take in that time if it fills
+    evenly while it warms up. On top of N one attempt for each proxy is allowed, as attempts are whole, but no more than
+    2 sqrt(N) + 2: whatever the number of proxies, chance adds no more than that to the sum over all.
+
+    Only proxies that discovery has told of the start count, as a server that is back before that can't be told from its
+    previous process. A server that fails by attempts of proxies that were all told is a breach whatever their number.
+    """
 
     rule = 4
 
     def __init__(self, *args, multiple, window, proxies):
         super().__init__(*args)
-        self.multiple, self.window, self.proxies = multiple, window, proxies
-        self.born = {}  # server -> (when, holds, share at the start, warm-up)
-        self.dials = {}
-        self.quiet = {}
-        self.largest = (
-            0.0  # multiple of what a server bears, of dials that reached it in a window
-        )
-        self.over = None  # the most dials in a window above what chance may add, below 0 if under; None: no dial
-        self.knows = {}  # (proxy, server) of the present start -> None
-        self.of = {}  # session -> proxy
-        self.blind = {}  # server -> when it was last dialled by a proxy that wasn't told
+        self.multiple, self.window_ms, self.proxy_count = multiple, window, proxies
+        # server -> (start, capacity, share of it at the start, warm-up time)
+        self.starts = {}
+        self.attempts = {}  # server -> times of attempts within the window
+        self.quiet_until = {}  # server -> until when no further breach is reported
+        # Largest ratio of the attempts in a window to the server's capacity.
+        self.largest = 0.0
+        # Largest number of attempts in a window above the bound with its share of chance, negative if below; None
+        # without any attempt.
+        self.over = None
+        self.told = {}  # (proxy, server) told of the server's present start -> None
+        self.proxies = {}  # session -> proxy
+        self.untold_attempts = {}  # server -> last attempt by a proxy that was not told
 
     def on_cold(self, now, server, holds, warm_from, warm):
-        self.born[server] = now, holds, warm_from, warm
-        self.dials[server] = deque()
-        self.blind.pop(server, None)
-        self.knows = {key: None for key in self.knows if key[1] != server}
+        """Record a server's start."""
+        self.starts[server] = now, holds, warm_from, warm
+        self.attempts[server] = deque()
+        self.untold_attempts.pop(server, None)
+        self.told = {key: None for key in self.told if key[1] != server}
 
     def on_fell_over(self, now, server, why, **_):
-        # What it bears is its own word: pushed over by proxies that all knew that it is cold, whatever was counted.
+        """Report a cold server that was overloaded by proxies that all knew that it is cold."""
         if (
             why.startswith("cold")
-            and self.blind.get(server, -self.window) <= now - self.window
+            and self.untold_attempts.get(server, -self.window_ms)
+            <= now - self.window_ms
         ):
-            self.breach(
+            self.report_breach(
                 now,
-                f"{why}, by {len(self.dials.get(server, ()))} dials within {self.window:.0f} ms of proxies "
+                f"{why}, by {len(self.attempts.get(server, ()))} dials within {self.window_ms:.0f} ms of proxies "
                 "that were told",
                 server=server,
             )
 
     def on_told_start(self, now, proxy, server):
-        self.knows[proxy, server] = None
+        """Record that discovery has told a proxy of the start."""
+        self.told[proxy, server] = None
 
     def on_open(self, now, sess, proxy, **_):
-        self.of[sess] = proxy
+        """Record the session's proxy."""
+        self.proxies[sess] = proxy
 
     def on_dial(self, now, sess, server, first):
-        if server not in self.born:
+        """Check the number of attempts within the window."""
+        if server not in self.starts:
             return
-        if (self.of.get(sess), server) not in self.knows:
-            self.blind[server] = now
+        if (self.proxies.get(sess), server) not in self.told:
+            self.untold_attempts[server] = now
             return
-        started, holds, warm_from, warm = self.born[server]
+        started, holds, warm_from, warm = self.starts[server]
         age = now - started
         if age >= warm:
-            del self.born[server]
+            del self.starts[server]
             return
-        dials = self.dials[server]
-        dials.append(now)
-        while dials[0] <= now - self.window:
-            dials.popleft()
-        bears = holds * (warm_from + (1 - warm_from) * age / warm) / warm * self.window
-        self.largest = max(self.largest, len(dials) / bears)
-        chance = 2 * math.sqrt(self.multiple * bears) + 2
-        allowed = self.multiple * bears + min(self.proxies, chance)
-        over = len(dials) - self.multiple * bears - chance
+        attempts = self.attempts[server]
+        attempts.append(now)
+        while attempts[0] <= now - self.window_ms:
+            attempts.popleft()
+        capacity = (
+            holds * (warm_from + (1 - warm_from) * age / warm) / warm * self.window_ms
+        )
+        self.largest = max(self.largest, len(attempts) / capacity)
+        random_excess = 2 * math.sqrt(self.multiple * capacity) + 2
+        allowed = self.multiple * capacity + min(self.proxy_count, random_excess)
+        over = len(attempts) - self.multiple * capacity - random_excess
         self.over = over if self.over is None else max(self.over, over)
-        if len(dials) > allowed and now >= self.quiet.get(server, 0.0):
-            self.quiet[server] = now + self.window  # once for each time it is flooded
-            self.breach(
+        if len(attempts) > allowed and now >= self.quiet_until.get(server, 0.0):
+            # One report for each window.
+            self.quiet_until[server] = now + self.window_ms
+            self.report_breach(
                 now,
-                f"{len(dials)} dials within {self.window:.0f} ms, {allowed:.1f} allowed",
+                f"{len(attempts)} dials within {self.window_ms:.0f} ms, {allowed:.1f} allowed",
                 sess,
                 server,
             )
 
 
 class RetryBudgetJudge(Judge):
-    """Rule 5, where it is stated. In any span the dials of one proxy beyond each session's first number at
-    most `free` and `share` of the sessions it took. Seen where they arrive, so a dial that reached nobody is not
-    counted, and both ends of the span give way by the slack."""
+    """Rule 5, where a script states a retry budget.
+
+    In any span the retries of one proxy number at most `free` plus `share` of the sessions that it accepted. They are
+    seen where they arrive, so an attempt that reached no server is not counted, and both ends of the span are moved by
+    the slack in the proxy's favour.
+    """
 
     rule = 5
 
     def __init__(self, *args, free, share, span):
         super().__init__(*args)
-        self.free, self.share, self.span = free, share, span
-        self.of = {}  # session -> its proxy
-        self.past = {}  # session -> dials seen
-        self.taken = {}  # proxy -> when, of sessions
-        self.further = {}  # proxy -> when, of dials
+        self.free, self.share, self.span_ms = free, share, span
+        self.proxies = {}  # session -> its proxy
+        self.attempt_counts = {}  # session -> attempts seen
+        self.accepted = {}  # proxy -> times of accepted sessions
+        self.retries = {}  # proxy -> times of retries
 
     def on_open(self, now, sess, proxy, **_):
-        if self.of.get(sess) != proxy:
-            self.past[sess] = 0
-        self.of[sess] = proxy
-        self.taken.setdefault(proxy, deque()).append(now)
+        """Count an accepted session."""
+        if self.proxies.get(sess) != proxy:
+            self.attempt_counts[sess] = 0
+        self.proxies[sess] = proxy
+        self.accepted.setdefault(proxy, deque()).append(now)
 
     def on_host(self, now, name, state):
-        # A proxy that starts anew counts from its start; what the earlier one took or made is its own.
+        """Reset the counts of a proxy whose process ends; the next one has a budget of its own."""
         if state in ("killed", "ended"):
-            self.taken.pop(name, None)
-            self.further.pop(name, None)
-            self.of = {sess: proxy for sess, proxy in self.of.items() if proxy != name}
+            self.accepted.pop(name, None)
+            self.retries.pop(name, None)
+            self.proxies = {
+                sess: proxy for sess, proxy in self.proxies.items() if proxy != name
+            }
 
     def on_dial(self, now, sess, server, first):
-        proxy = self.of.get(sess)
+        """Check the number of retries within the span."""
+        proxy = self.proxies.get(sess)
         if proxy is None:
             return
-        self.past[sess] += 1
-        if self.past[sess] == 1:
+        self.attempt_counts[sess] += 1
+        if self.attempt_counts[sess] == 1:
             return
-        taken, further = self.taken[proxy], self.further.setdefault(proxy, deque())
-        further.append(now)
-        while further[0] <= now - self.span + self.slack:
-            further.popleft()
-        while taken and taken[0] <= now - self.span - self.slack:
-            taken.popleft()
-        allowed = self.free + self.share * len(taken)
-        if len(further) > allowed:
-            self.breach(
+        accepted, retries = (
+            self.accepted[proxy],
+            self.retries.setdefault(proxy, deque()),
+        )
+        retries.append(now)
+        while retries[0] <= now - self.span_ms + self.slack:
+            retries.popleft()
+        while accepted and accepted[0] <= now - self.span_ms - self.slack:
+            accepted.popleft()
+        allowed = self.free + self.share * len(accepted)
+        if len(retries) > allowed:
+            self.report_breach(
                 now,
-                f"{len(further)} further dials of {proxy} within {self.span:.0f} ms, "
+                f"{len(retries)} further dials of {proxy} within {self.span_ms:.0f} ms, "
                 f"{allowed:.1f} allowed",
                 sess,
                 server,
@@ -482,33 +569,38 @@
 
 
 class InternalErrorJudge(Judge):
-    """Not a rule: an error inside the proxy, or a line that no client sent in this form."""
+    """Reports errors that break no numbered rule, such as an exception in the proxy or a line that no client sent."""
 
     rule = "none"
 
     def on_log(self, now, event, **fields):
+        """Report an exception in the proxy."""
         if event == LogEvent.INTERNAL_ERROR:
-            self.breach(
+            self.report_breach(
                 now,
                 f"{fields.get('node')}: {fields.get('where')} {fields.get('what')} "
                 f"{fields.get('line', '')}",
             )
 
     def on_syntax(self, now, server):
-        self.breach(now, "a line that no client sent", server=server)
+        """Report a line that a server could not have got from a client."""
+        self.report_breach(now, "a line that no client sent", server=server)
 
     def on_call(self, now, proxy, status, took):
-        if status != "200" or took > 1000.0:
-            self.breach(
+        """Report an operator's call that failed or was slow."""
+        if status != "200" or took > MAX_OPERATOR_CALL_MS:
+            self.report_breach(
                 now,
                 f"an operator's call at {proxy}: {status or 'no answer'} after {took:.0f} ms",
             )
 
     def on_over_memory(self, now, proxy, mb):
-        self.breach(now, f"{proxy} holds {mb} MB, more than it may")
+        """Report a process above its memory limit."""
+        self.report_breach(now, f"{proxy} holds {mb} MB, more than it may")
 
     def on_crashed(self, now, proxy, code):
-        self.breach(now, f"{proxy} ended by itself with {code}")
+        """Report a process that ended by itself."""
+        self.report_breach(now, f"{proxy} ended by itself with {code}")
 
 
 def find_breaches(
@@ -526,28 +618,35 @@
     kept=8,
     more=(),
 ):
-    """All breaches of a run that ended at `now`, in order of time. `budget`: (free, share, span in ms). `more`:
-    makes further judges, of what they all share."""
+    """Return all breaches of a run that ended at `now`, in order of time.
+
+    `budget` is (free, share, span in ms) of the retry budget. `more` creates further judges from (breaches, histories,
+    slack). `kept` is how many events of each session a breach shows.
+    """
     breaches, histories = [], {}
-    common = breaches, histories, slack
+    common_args = breaches, histories, slack
     judges = [
-        FinalAnswerJudge(*common),
-        DuplicateEffectJudge(*common, repeats=repeats),
-        DrainJudge(*common, grace=grace, gone_binds=gone_binds),
-        ColdServerJudge(*common, multiple=multiple, window=window, proxies=proxies),
-        InternalErrorJudge(*common),
+        FinalAnswerJudge(*common_args),
+        DuplicateEffectJudge(*common_args, repeats=repeats),
+        DrainJudge(*common_args, grace=grace, gone_binds=gone_binds),
+        ColdServerJudge(
+            *common_args, multiple=multiple, window=window, proxies=proxies
+        ),
+        InternalErrorJudge(*common_args),
     ]
     if budget is not None:
         judges.append(
-            RetryBudgetJudge(*common, **dict(zip(("free", "share", "span"), budget)))
+            RetryBudgetJudge(
+                *common_args, **dict(zip(("free", "share", "span"), budget))
+            )
         )
-    judges += [make(*common) for make in more]
+    judges += [create(*common_args) for create in more]
     for event in events:
         sess = event[2].get("sess")
         if sess is not None:
             histories.setdefault(sess, deque(maxlen=kept)).append(event)
-        for each in judges:
-            each.observe(*event)
-    for each in judges:
-        each.close(now)
+        for judge in judges:
+            judge.observe(*event)
+    for judge in judges:
+        judge.finish(now)
     return sorted(breaches, key=lambda breach: breach.now)
