--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -404,7 +404,7 @@
 
 
 def test_a_late_list_binds_its_own_proxy_until_it_says_otherwise():
-    told = Told(DrainJudge, grace=500.0, gone_binds=True)
+    told = Told(DrainJudge, grace_ms=500.0, is_gone_binding=True)
 
     def dials(sess):
         told.see("open", sess=sess, proxy="a", mid=False)
@@ -504,7 +504,7 @@
         lambda *args, **limits: RetryBudgetJudge(*args, **limits),
         free=1,
         share=0.0,
-        span=10_000.0,
+        span_ms=10_000.0,
     )
 
     def dial_twice(sess):
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -456,7 +456,7 @@
         when, other = min(known)
         late = first - max(when, self.fine[proxy])
         if (
-            late > self.grace + self.within + self.slack
+            late > self.grace + self.within + self.slack_ms
             and (proxy, server) not in self.said
         ):
             self.said[proxy, server] = now
--- a/wheathill/lab/judging/judges.py
+++ b/wheathill/lab/judging/judges.py
@@ -1,8 +1,8 @@
 """Judges that check the rules from a run's events alone: what clients, servers and discovery saw.
 
 Each judge is given events (ms, kind, fields) in order, and reports its breaches with the time, the session and the
-session's last events. None of them uses the proxy's code or state. `slack` is what the network may add to every time
-limit, in ms.
+session's last events. None of them uses the proxy's code or state. `slack_ms` is what the network may add to every
+time limit.
 """
 
 import math
@@ -58,10 +58,10 @@
 
     rule = 0
 
-    def __init__(self, breaches, histories, slack):
+    def __init__(self, breaches, histories, slack_ms):
         self.breaches = breaches
         self.histories = histories
-        self.slack = slack
+        self.slack_ms = slack_ms
 
     def report_breach(self, now, what, sess=None, server=None):
         """Add a breach of this judge's rule."""
@@ -101,7 +101,7 @@
         """Start to watch a session."""
         self.open_sessions[sess] = {
             "opened_ms": now,
-            "deadline_ms": now + deadline + self.slack,
+            "deadline_ms": now + deadline + self.slack_ms,
             "proxy": proxy,
             "answer": None,
             "mid": mid,
@@ -241,16 +241,16 @@
 class DuplicateEffectJudge(Judge):
     """Rule 2: no retry of the proxy's makes a session take effect twice.
 
-    `repeats`: listener -> (repeat, scope, window in ms). Only the proxy's own retries count: a client that tries again
+    `retry_rules`: listener -> (repeat, scope, window in ms). Only the proxy's own retries count: a client that tries again
     after a failure does so at its own risk. A non-idempotent ("once-only") session may be retried only where each
     earlier attempt was answered BUSY or never reached a server, whether or not it really ran.
     """
 
     rule = 2
 
-    def __init__(self, *args, repeats):
+    def __init__(self, *args, retry_rules):
         super().__init__(*args)
-        self.repeats = repeats
+        self.retry_rules = retry_rules
         self.listeners = {}  # session -> listener
         # session -> {server: (start, when a later attempt began beside it or None)}
         self.open_attempts = {}
@@ -286,14 +286,20 @@
 
     def repeat_rule(self, sess):
         """Return the (repeat, scope, window) of the session's listener."""
-        return self.repeats.get(self.listeners.get(sess), ("repeatable", "all", 0.0))
+        return self.retry_rules.get(
+            self.listeners.get(sess), ("repeatable", "all", 0.0)
+        )
 
     def on_dial_over(self, now, sess, server, how):
         """Check that the attempt has not overlapped with a later one."""
         if self.outcomes.get(sess):
             self.outcomes[sess][server] = how
         times = self.open_attempts.get(sess, {}).pop(server, None)
-        if times is not None and times[1] is not None and now - times[1] > self.slack:
+        if (
+            times is not None
+            and times[1] is not None
+            and now - times[1] > self.slack_ms
+        ):
             self.report_breach(
                 now, f"two dials out at once for {now - times[1]:.0f} ms", sess, server
             )
@@ -348,7 +354,7 @@
         """Report attempts that overlapped until the end."""
         for sess, open_attempts in self.open_attempts.items():
             for server, (_, since) in open_attempts.items():
-                if since is not None and now - since > self.slack:
+                if since is not None and now - since > self.slack_ms:
                     self.report_breach(
                         now,
                         f"two dials out at once, the one at {server} to the end",
@@ -362,10 +368,10 @@
 
     rule = 3
 
-    def __init__(self, *args, grace, gone_binds):
+    def __init__(self, *args, grace_ms, is_gone_binding):
         super().__init__(*args)
-        self.grace_ms = grace
-        self.gone_binds = gone_binds
+        self.grace_ms = grace_ms
+        self.is_gone_binding = is_gone_binding
         self.proxies = {}  # session -> its proxy
         self.told = {}  # (proxy, server) -> when its list told it
         self.in_maintenance = {}  # the same, by an operator's call
@@ -384,7 +390,7 @@
 
     def on_told(self, now, proxy, server, health, stale=False):
         """Record a list's update; a late list, `stale` or not, binds its own proxy until its next update."""
-        if health == "draining" or self.gone_binds:
+        if health == "draining" or self.is_gone_binding:
             self.told.setdefault((proxy, server), now)
 
     def on_told_over(self, now, proxy, server):
@@ -404,7 +410,7 @@
             self.in_maintenance.get((proxy, server)),
         )
         told = min((time for time in times if time is not None), default=None)
-        if told is not None and first > told + self.grace_ms + self.slack:
+        if told is not None and first > told + self.grace_ms + self.slack_ms:
             self.report_breach(
                 now,
                 f"{proxy} dialled it {first - told:.0f} ms after it was told that it leaves",
@@ -426,18 +432,22 @@
 
     rule = 4
 
-    def __init__(self, *args, multiple, window, proxies):
+    def __init__(self, *args, multiple, window_ms, proxy_count):
         super().__init__(*args)
-        self.multiple, self.window_ms, self.proxy_count = multiple, window, proxies
+        self.multiple, self.window_ms, self.proxy_count = (
+            multiple,
+            window_ms,
+            proxy_count,
+        )
         # server -> (start, capacity, share of it at the start, warm-up time)
         self.starts = {}
         self.attempts = {}  # server -> times of attempts within the window
         self.quiet_until = {}  # server -> until when no further breach is reported
         # Largest ratio of the attempts in a window to the server's capacity.
-        self.largest = 0.0
+        self.largest_multiple = 0.0
         # Largest number of attempts in a window above the bound with its share of chance, negative if below; None
         # without any attempt.
-        self.over = None
+        self.largest_excess = None
         self.told = {}  # (proxy, server) told of the server's present start -> None
         self.proxies = {}  # session -> proxy
         self.untold_attempts = {}  # server -> last attempt by a proxy that was not told
@@ -490,11 +500,13 @@
         capacity = (
             holds * (warm_from + (1 - warm_from) * age / warm) / warm * self.window_ms
         )
-        self.largest = max(self.largest, len(attempts) / capacity)
+        self.largest_multiple = max(self.largest_multiple, len(attempts) / capacity)
         random_excess = 2 * math.sqrt(self.multiple * capacity) + 2
         allowed = self.multiple * capacity + min(self.proxy_count, random_excess)
-        over = len(attempts) - self.multiple * capacity - random_excess
-        self.over = over if self.over is None else max(self.over, over)
+        excess = len(attempts) - self.multiple * capacity - random_excess
+        self.largest_excess = (
+            excess if self.largest_excess is None else max(self.largest_excess, excess)
+        )
         if len(attempts) > allowed and now >= self.quiet_until.get(server, 0.0):
             # One report for each window.
             self.quiet_until[server] = now + self.window_ms
@@ -516,9 +528,9 @@
 
     rule = 5
 
-    def __init__(self, *args, free, share, span):
+    def __init__(self, *args, free, share, span_ms):
         super().__init__(*args)
-        self.free, self.share, self.span_ms = free, share, span
+        self.free, self.share, self.span_ms = free, share, span_ms
         self.proxies = {}  # session -> its proxy
         self.attempt_counts = {}  # session -> attempts seen
         self.accepted = {}  # proxy -> times of accepted sessions
@@ -553,9 +565,9 @@
             self.retries.setdefault(proxy, deque()),
         )
         retries.append(now)
-        while retries[0] <= now - self.span_ms + self.slack:
+        while retries[0] <= now - self.span_ms + self.slack_ms:
             retries.popleft()
-        while accepted and accepted[0] <= now - self.span_ms - self.slack:
+        while accepted and accepted[0] <= now - self.span_ms - self.slack_ms:
             accepted.popleft()
         allowed = self.free + self.share * len(accepted)
         if len(retries) > allowed:
@@ -607,44 +619,47 @@
     events,
     now,
     *,
-    slack,
-    repeats,
-    grace,
+    slack_ms,
+    retry_rules,
+    grace_ms,
     multiple,
-    window,
-    proxies,
-    budget=None,
-    gone_binds=True,
-    kept=8,
-    more=(),
+    window_ms,
+    proxy_count,
+    retry_budget=None,
+    is_gone_binding=True,
+    history_length=8,
+    judge_factories=(),
 ):
     """Return all breaches of a run that ended at `now`, in order of time.
 
-    `budget` is (free, share, span in ms) of the retry budget. `more` creates further judges from (breaches, histories,
-    slack). `kept` is how many events of each session a breach shows.
+    `retry_budget` is (free retries, share, span in ms). Each of `judge_factories` creates a further judge from
+    (breaches, histories, slack_ms). A breach shows up to `history_length` events of its session.
     """
     breaches, histories = [], {}
-    common_args = breaches, histories, slack
+    common_args = breaches, histories, slack_ms
     judges = [
         FinalAnswerJudge(*common_args),
-        DuplicateEffectJudge(*common_args, repeats=repeats),
-        DrainJudge(*common_args, grace=grace, gone_binds=gone_binds),
+        DuplicateEffectJudge(*common_args, retry_rules=retry_rules),
+        DrainJudge(*common_args, grace_ms=grace_ms, is_gone_binding=is_gone_binding),
         ColdServerJudge(
-            *common_args, multiple=multiple, window=window, proxies=proxies
+            *common_args,
+            multiple=multiple,
+            window_ms=window_ms,
+            proxy_count=proxy_count,
         ),
         InternalErrorJudge(*common_args),
     ]
-    if budget is not None:
+    if retry_budget is not None:
         judges.append(
             RetryBudgetJudge(
-                *common_args, **dict(zip(("free", "share", "span"), budget))
+                *common_args, **dict(zip(("free", "share", "span_ms"), retry_budget))
             )
         )
-    judges += [create(*common_args) for create in more]
+    judges += [create(*common_args) for create in judge_factories]
     for event in events:
         sess = event[2].get("sess")
         if sess is not None:
-            histories.setdefault(sess, deque(maxlen=kept)).append(event)
+            histories.setdefault(sess, deque(maxlen=history_length)).append(event)
         for judge in judges:
             judge.observe(*event)
     for judge in judges:
--- a/wheathill/lab/scripts/run.py
+++ b/wheathill/lab/scripts/run.py
@@ -37,10 +37,10 @@
         cold = ColdServerJudge([], {}, 0.0, **scene.cold_rule())
         for event in record.events:
             cold.observe(*event)
-        if cold.over is not None:
+        if cold.largest_excess is not None:
             self.figures["fleet"] = {
-                "largest_multiple": round(cold.largest, 2),
-                "over_cold_bound": round(cold.over, 2),
+                "largest_multiple": round(cold.largest_multiple, 2),
+                "over_cold_bound": round(cold.largest_excess, 2),
             }
         if scene.script.proxies.peers:
             from wheathill.lab.judging.fleet import convergence_times
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -347,35 +347,35 @@
 
     def breaches(self):
         script = self.script
-        repeats = {
+        retry_rules = {
             item.name: (item.repeat, item.scope, item.window_s * 1000)
             for item in script.listener
         }
         rules = script.rules
-        budget = (
+        retry_budget = (
             rules.further_dials_free,
             rules.further_dials_share,
             rules.further_dials_s * 1000,
         )
-        budget = budget if rules.further_dials_s else None
+        retry_budget = retry_budget if rules.further_dials_s else None
         return find_breaches(
             self.record.events,
             self.clock.now(),
-            slack=self.world.slack(script),
-            repeats=repeats,
-            grace=script.rules.drain_grace_ms,
+            slack_ms=self.world.slack(script),
+            retry_rules=retry_rules,
+            grace_ms=script.rules.drain_grace_ms,
             **self.cold_rule(),
-            budget=budget,
-            gone_binds=not rules.only_draining_binds,
-            more=self.fleet_judges() if script.proxies.peers else (),
+            retry_budget=retry_budget,
+            is_gone_binding=not rules.only_draining_binds,
+            judge_factories=self.fleet_judges() if script.proxies.peers else (),
         )
 
     def cold_rule(self):
         rules = self.script.rules
         return {
             "multiple": rules.cold_multiple,
-            "window": rules.cold_window_ms,
-            "proxies": self.script.proxies.count,
+            "window_ms": rules.cold_window_ms,
+            "proxy_count": self.script.proxies.count,
         }
 
     def fleet_judges(self):
