--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -93,7 +93,11 @@
 @pytest.fixture
 def zones():
     told = Told(
-        ZoneStateJudge, zone_of=ZONE_OF, agree=5000.0, apart=8000.0, told=1000.0
+        ZoneStateJudge,
+        zone_of=ZONE_OF,
+        agreement_ms=5000.0,
+        isolation_known_ms=8000.0,
+        propagation_ms=1000.0,
     )
 
     def says(name, region, fleet="in doubt"):
@@ -201,7 +205,12 @@
 
 @pytest.fixture
 def views():
-    told = Told(MembershipViewJudge, agree=5000.0, false=2000.0, known=8000.0)
+    told = Told(
+        MembershipViewJudge,
+        agreement_ms=5000.0,
+        false_death_ms=2000.0,
+        death_known_ms=8000.0,
+    )
 
     def says(name, digest="same", **held):
         told.see(
@@ -345,7 +354,7 @@
 
 @pytest.fixture
 def drains():
-    told = Told(DrainPropagationJudge, grace=500.0, within=1000.0)
+    told = Told(DrainPropagationJudge, grace_ms=500.0, propagation_ms=1000.0)
     sessions = iter(range(100))
 
     def dials(name):
@@ -424,7 +433,9 @@
 
 @pytest.fixture
 def names():
-    told = Told(IsolationJudge, odd=[Odd(on="d", claims="a")], within=5000.0)
+    told = Told(
+        IsolationJudge, misconfigured=[Odd(on="d", claims="a")], agreement_ms=5000.0
+    )
 
     def says(name, held, alone=False):
         told.see("believes", proxy=name, name=held, alone=alone, dropped={}, members={})
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -34,11 +34,24 @@
 
     rule = "views"
 
-    def __init__(self, *args, agree, false, known, odd=(), zone_of=None):
+    def __init__(
+        self,
+        *args,
+        agreement_ms,
+        false_death_ms,
+        death_known_ms,
+        excluded=(),
+        zone_of=None,
+    ):
         """`zone_of`: name -> zone, where whole views are held within a zone only."""
         super().__init__(*args)
         self.zone_of = zone_of or {}
-        self.agree, self.false, self.known, self.odd = agree, false, known, odd
+        self.agree, self.false, self.known, self.odd = (
+            agreement_ms,
+            false_death_ms,
+            death_known_ms,
+            excluded,
+        )
         self.awake = Awake()
         self.running, self.paused, self.cut = (
             {},
@@ -251,9 +264,16 @@
 
     rule = "zones"
 
-    def __init__(self, *args, zone_of, agree, apart, told):
+    def __init__(
+        self, *args, zone_of, agreement_ms, isolation_known_ms, propagation_ms
+    ):
         super().__init__(*args)
-        self.zone_of, self.agree, self.apart, self.told = zone_of, agree, apart, told
+        self.zone_of, self.agree, self.apart, self.told = (
+            zone_of,
+            agreement_ms,
+            isolation_known_ms,
+            propagation_ms,
+        )
         self.awake = Awake()
         self.truth, self.changed = None, 0.0
         self.alone = {}  # zone -> since when none of it reaches another zone
@@ -402,9 +422,9 @@
 
     rule = 3
 
-    def __init__(self, *args, grace, within):
+    def __init__(self, *args, grace_ms, propagation_ms):
         super().__init__(*args)
-        self.grace, self.within = grace, within
+        self.grace, self.within = grace_ms, propagation_ms
         self.told = {}  # server -> {proxy that was told: when}
         self.of = {}  # session -> its proxy
         self.awake = Awake()
@@ -479,16 +499,16 @@
         "version": "another version",
     }
 
-    def __init__(self, *args, odd, within):
+    def __init__(self, *args, misconfigured, agreement_ms):
         super().__init__(*args)
-        self.odd = {item.on: item for item in odd}
-        self.within = within
+        self.odd = {item.on: item for item in misconfigured}
+        self.within = agreement_ms
         self.awake = Awake()
         self.seen = {}  # (odd one, reason) -> None, once others have dropped what it says
         self.holders = {}  # name -> {proxy: since when it holds that name and is not alone}
         self.said = {}
         self.nobody = {
-            item.claims: 0.0 for item in odd if item.claims
+            item.claims: 0.0 for item in misconfigured if item.claims
         }  # name -> since when nobody holds it
 
     def on_host(self, now, name, state):
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -383,25 +383,25 @@
         zone_of = self.zone_of if script.proxies.zoned else None
         views = partial(
             MembershipViewJudge,
-            odd=[name for item in script.odd for name in (item.on, item.claims)],
-            agree=limits.agree_ms,
-            false=limits.false_ms,
-            known=limits.known_ms,
+            excluded=[name for item in script.odd for name in (item.on, item.claims)],
+            agreement_ms=limits.agree_ms,
+            false_death_ms=limits.false_ms,
+            death_known_ms=limits.known_ms,
             zone_of=zone_of,
         )
         told = partial(
             DrainPropagationJudge,
-            grace=script.rules.drain_grace_ms,
-            within=limits.told_ms,
+            grace_ms=script.rules.drain_grace_ms,
+            propagation_ms=limits.told_ms,
         )
         zones = (
             (
                 partial(
                     ZoneStateJudge,
                     zone_of=zone_of,
-                    agree=limits.agree_ms,
-                    apart=limits.apart_ms,
-                    told=limits.told_ms,
+                    agreement_ms=limits.agree_ms,
+                    isolation_known_ms=limits.apart_ms,
+                    propagation_ms=limits.told_ms,
                 ),
             )
             if zone_of
@@ -412,7 +412,9 @@
             QuotaSumJudge,
             told,
             FaultEffectJudge,
-            partial(IsolationJudge, odd=script.odd, within=limits.agree_ms),
+            partial(
+                IsolationJudge, misconfigured=script.odd, agreement_ms=limits.agree_ms
+            ),
             *zones,
         )
 
