--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -503,7 +503,7 @@
             state="dead",
             peer="d",
         )
-    assert found[0].found["first"] == [2000] and found[0].found["all"] == [2250]
+    assert found[0].times_ms["first"] == [2000] and found[0].times_ms["all"] == [2250]
 
 
 # Rule 5
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -1,36 +1,49 @@
-"""Judges of instances that know one another: what each believes, set against what the lab knows to be true.
+"""Judges of proxies that know one another: their views, compared with what the lab knows to be true.
 
-Truth comes as `truth` events: who runs, who of these stands still or doesn't listen yet, which pairs can't reach each
-other. Beliefs come as `believes` events, asked of each instance. Nothing is judged sooner than the script's limits
-allow, counted from when the truth it is about began to hold, or from when the process concerned could first know it.
+The truth comes as `truth` events: which processes run, which of these are paused or do not listen yet, and which pairs
+can't reach each other. The views come as `believes` events, requested from each proxy. Nothing is judged before the
+script's limits allow, counted from when the truth concerned began to hold, or from when the process concerned could
+first know it.
 """
 
 from wheathill.lab.judging.judges import Judge
 from wheathill.log_events import LogEvent
 
 GONE = ("dead", "left")
+# Above rounding errors of a sum of quotas.
+MAX_QUOTA_SUM = 1.001
 
 
-class Awake:
-    """Since when each process can know what befalls: it listens, and doesn't stand still. A new process under a name,
-    and one that goes on after a stop, answer for nothing that befell before that; truth that is looked at now and then
-    doesn't always show a short stop or a quick restart, so that what is done to hosts counts as well."""
+class AwakeProcesses:
+    """Since when each process has been able to observe the cluster: it listens and is not paused.
+
+    A new process under a name, and one that is resumed, need not know what happened before. The truth is sampled, and a
+    sample may miss a short pause or a quick restart; so events of hosts count as well.
+    """
 
     def __init__(self):
         self.since = {}
 
-    def look(self, now, running, paused, starting):
-        here = [name for name in running if name not in paused and name not in starting]
-        self.since = {name: self.since.get(name, now) for name in here}
+    def update(self, now, running, paused, starting):
+        """Apply a sample of the truth."""
+        awake = [
+            name for name in running if name not in paused and name not in starting
+        ]
+        self.since = {name: self.since.get(name, now) for name in awake}
 
-    def host(self, name):
-        """Killed, ended, stopped, started or going on: what it could know before is over."""
+    def reset(self, name):
+        """Forget a process that was killed, ended, paused, started or resumed."""
         self.since.pop(name, None)
 
 
 class MembershipViewJudge(Judge):
-    """Views are equal a while after the last fault's end; nobody who answers is held dead for long; every death is
-    known in time to all that run."""
+    """Checks members' views of one another.
+
+    Views are equal within a time after the last fault's end; no member that answers is held dead for long; every death
+    is known in time to all that run.
+
+    `zone_of` is name -> zone, where complete views are held within a zone only.
+    """
 
     rule = "views"
 
@@ -43,224 +56,259 @@
         excluded=(),
         zone_of=None,
     ):
-        """`zone_of`: name -> zone, where whole views are held within a zone only."""
         super().__init__(*args)
         self.zone_of = zone_of or {}
-        self.agree, self.false, self.known, self.odd = (
+        self.agreement_ms, self.false_death_ms, self.death_known_ms, self.excluded = (
             agreement_ms,
             false_death_ms,
             death_known_ms,
             excluded,
         )
-        self.awake = Awake()
+        self.awake = AwakeProcesses()
+        # Name (or pair) -> since when; those that run also listen.
         self.running, self.paused, self.cut = (
             {},
             {},
             {},
-        )  # name (or pair) -> since when; who runs listens, too
+        )
         self.names = {}  # of all that ever ran
-        self.gone = {}  # name -> since when it doesn't run
-        self.held = {}  # (who, whom) -> since when it is held for gone
-        self.fine = {}  # (who, whom) -> since when both run and reach each other
-        self.still = {}  # (who, whom) -> the same, but that the other stands still
-        self.differ = None  # since when views differ
-        self.changed = 0.0  # when the truth last changed
+        self.gone = {}  # name -> since when it does not run
+        self.held_gone = {}  # (observer, member) -> since when it is held dead or left
+        # (observer, member) -> since when both run and reach each other.
+        self.reachable = {}
+        # (observer, member) -> the same, but that the member is paused.
+        self.paused_reachable = {}
+        self.differing_since = None
+        self.last_change = 0.0  # of the truth
         self.digests = {}  # name -> (when asked, digest)
-        self.said = {}  # breaches told, once each
+        self.reported = {}  # breaches, each reported once
 
     def on_truth(self, now, running, paused, cut, starting):
+        """Apply a sample of the truth, and report a process that does not listen in time."""
         for name in running:
             self.gone.pop(name, None)
             self.names[name] = None
-        for name, had in starting.items():
-            if had > self.agree:
-                self.once(
+        for name, own_time_ms in starting.items():
+            if own_time_ms > self.agreement_ms:
+                self.report_once(
                     now,
                     name,
-                    f"doesn't listen yet, {had:.0f} ms of its own time after its start",
+                    f"doesn't listen yet, {own_time_ms:.0f} ms of its own time after its start",
                 )
-        self.awake.look(now, running, paused, starting)
+        self.awake.update(now, running, paused, starting)
         running = [
-            name for name in running if name not in self.odd and name not in starting
+            name
+            for name in running
+            if name not in self.excluded and name not in starting
         ]
         cut = [
             pair
             for pair in cut
-            if not any(name in self.odd for name in pair.split())
-            and self.together(*pair.split())
+            if not any(name in self.excluded for name in pair.split())
+            and self.is_same_zone(*pair.split())
         ]
-        for kept, here in (
+        for known, current in (
             (self.running, running),
             (self.paused, paused),
             (self.cut, cut),
         ):
-            for key in here:
-                if key not in kept:
-                    kept[key] = now
-                    self.changed = now
-            for key in [key for key in kept if key not in here]:
-                del kept[key]
-                self.changed = now
-                if kept is self.running:
+            for key in current:
+                if key not in known:
+                    known[key] = now
+                    self.last_change = now
+            for key in [key for key in known if key not in current]:
+                del known[key]
+                self.last_change = now
+                if known is self.running:
                     self.gone.setdefault(key, now)
-        well = [name for name in running if name not in paused]
-        for one in running:
-            for other in running:
-                if one != other and self.together(one, other):
-                    fine = (
-                        one in well
-                        and other in well
-                        and f"{one} {other}" not in cut
-                        and f"{other} {one}" not in cut
+        responsive = [name for name in running if name not in paused]
+        for observer in running:
+            for member in running:
+                if observer != member and self.is_same_zone(observer, member):
+                    is_reachable = (
+                        observer in responsive
+                        and member in responsive
+                        and f"{observer} {member}" not in cut
+                        and f"{member} {observer}" not in cut
+                    )
+                    self.update_since(
+                        self.reachable, (observer, member), is_reachable, now
                     )
-                    self.keep(self.fine, (one, other), fine, now)
-                    self.keep(
-                        self.still,
-                        (one, other),
-                        one in well and other in paused and not cut,
+                    self.update_since(
+                        self.paused_reachable,
+                        (observer, member),
+                        observer in responsive and member in paused and not cut,
                         now,
                     )
-        for kept in (self.fine, self.still):
+        for times in (self.reachable, self.paused_reachable):
             for pair in [
                 pair
-                for pair in kept
+                for pair in times
                 if pair[0] not in running or pair[1] not in running
             ]:
-                del kept[pair]
+                del times[pair]
 
-    def together(self, one, other):
-        return self.zone_of.get(one) == self.zone_of.get(other)
+    def is_same_zone(self, first, second):
+        """Whether both hold complete views of each other's zone."""
+        return self.zone_of.get(first) == self.zone_of.get(second)
 
     @staticmethod
-    def keep(kept, pair, here, now):
-        if here:
-            kept.setdefault(pair, now)
+    def update_since(times, pair, holds, now):
+        """Keep since when a condition holds for a pair."""
+        if holds:
+            times.setdefault(pair, now)
         else:
-            kept.pop(pair, None)
+            times.pop(pair, None)
 
     def on_host(self, now, name, state):
+        """Reset what is known of a proxy's process, as the condition may end before the next sample of the truth."""
         if name not in self.names:
             return  # a server
-        # All that may be over before the truth is next looked at.
-        self.changed = now
-        self.awake.host(name)
+        self.last_change = now
+        self.awake.reset(name)
         self.digests.pop(name, None)
-        for kept in (self.fine, self.still):
-            for pair in [pair for pair in kept if name in pair]:
-                del kept[pair]
+        for times in (self.reachable, self.paused_reachable):
+            for pair in [pair for pair in times if name in pair]:
+                del times[pair]
         if state in ("killed", "ended"):
             self.running.pop(name, None)
             self.gone[name] = now
-            for pair in [pair for pair in self.held if pair[0] == name]:
-                del self.held[pair]
+            for pair in [pair for pair in self.held_gone if pair[0] == name]:
+                del self.held_gone[pair]
         elif state == "up":
             self.gone.pop(name, None)
 
     def on_log(self, now, node, event, **fields):
-        """However short: one that answers is not buried by who reaches it."""
+        """Check that no member that answers is declared dead by one that reaches it, however briefly."""
         if event == LogEvent.MEMBER_STATE_CHANGED and fields["state"] == "dead":
-            since = self.fine.get((node, fields["peer"]))
-            if since is not None and now - since > self.false:
-                self.once(
+            since = self.reachable.get((node, fields["peer"]))
+            if since is not None and now - since > self.false_death_ms:
+                self.report_once(
                     now,
                     node,
                     f"buries {fields['peer']} at {now:.0f}, reaching it since {since:.0f}",
                 )
 
     def on_believes(self, now, proxy, digest, members, **_):
+        """Check a view against the truth, and against the other views."""
         if proxy not in self.running or proxy not in self.awake.since:
             return
         for other, state in members.items():
             if state in GONE:
-                held = self.held.setdefault((proxy, other), now)
-                since, still = (
-                    self.fine.get((proxy, other)),
-                    self.still.get((proxy, other)),
+                held = self.held_gone.setdefault((proxy, other), now)
+                since, paused_since = (
+                    self.reachable.get((proxy, other)),
+                    self.paused_reachable.get((proxy, other)),
                 )
-                # Who has just become reachable again is met within the same time as views become equal.
+                # A member that has just become reachable again may be held dead until views have to be equal.
                 if (
                     since is not None
-                    and now - max(held, since + self.agree - self.false) > self.false
+                    and now - max(held, since + self.agreement_ms - self.false_death_ms)
+                    > self.false_death_ms
                 ):
-                    self.once(
+                    self.report_once(
                         now,
                         proxy,
                         f"holds {other} for {state} since {held:.0f}, reaching it since {since:.0f}",
                     )
-                # Who was buried before, out of reach, can't deny it while it stands still, and is not met by a knock.
-                if still is not None and held >= still and now - held > self.false:
-                    self.once(
+                # A member that was declared dead while out of reach can't refute that while it is paused, and dead
+                # members get no fallback probes.
+                if (
+                    paused_since is not None
+                    and held >= paused_since
+                    and now - held > self.false_death_ms
+                ):
+                    self.report_once(
                         now,
                         proxy,
-                        f"holds {other} for {state}, which only stands still since {still:.0f}",
+                        f"holds {other} for {state}, which only stands still since {paused_since:.0f}",
                     )
             else:
-                self.held.pop((proxy, other), None)
+                self.held_gone.pop((proxy, other), None)
             since = max(self.gone.get(other, now), self.awake.since[proxy])
-            if state not in GONE and other in self.gone and now - since > self.known:
-                self.once(
+            if (
+                state not in GONE
+                and other in self.gone
+                and now - since > self.death_known_ms
+            ):
+                self.report_once(
                     now,
                     proxy,
                     f"holds {other} for {state}, which is gone for {now - since:.0f} ms",
                 )
-        for (one, other), since in self.fine.items():
-            if one == proxy and other not in members and now - since > self.agree:
-                self.once(
-                    now, proxy, f"does not know {other} after {now - since:.0f} ms"
+        for (observer, member), since in self.reachable.items():
+            if (
+                observer == proxy
+                and member not in members
+                and now - since > self.agreement_ms
+            ):
+                self.report_once(
+                    now, proxy, f"does not know {member} after {now - since:.0f} ms"
                 )
         self.digests[proxy] = now, digest
-        if now - self.changed > self.agree and not self.paused and not self.cut:
+        if (
+            now - self.last_change > self.agreement_ms
+            and not self.paused
+            and not self.cut
+        ):
             fresh = {
                 name: found
-                for name, (when, found) in self.digests.items()
-                if when - self.changed > self.agree and name in self.running
+                for name, (asked, found) in self.digests.items()
+                if asked - self.last_change > self.agreement_ms and name in self.running
             }
-            # Who leaves says so a moment before its process ends, and views are asked one after another.
+            # A difference has to last: a member announces that it leaves shortly before its process ends, and views
+            # are requested one after another.
             views = {
                 (self.zone_of.get(name), found): None for name, found in fresh.items()
             }
             zones = {self.zone_of.get(name): None for name in fresh}
             if (
                 len(views) <= len(zones)
-                or self.differ is not None
-                and self.differ < self.changed
+                or self.differing_since is not None
+                and self.differing_since < self.last_change
             ):
-                self.differ = None
-            elif self.differ is None:
-                self.differ = now
-            elif now - self.differ > self.false:
-                self.once(
+                self.differing_since = None
+            elif self.differing_since is None:
+                self.differing_since = now
+            elif now - self.differing_since > self.false_death_ms:
+                self.report_once(
                     now,
                     proxy,
-                    f"views differ {now - self.changed:.0f} ms after the last change: "
+                    f"views differ {now - self.last_change:.0f} ms after the last change: "
                     + " ".join(
                         f"{name}={found}" for name, found in sorted(fresh.items())
                     ),
                 )
 
-    def once(self, now, proxy, what):
+    def report_once(self, now, proxy, what):
+        """Report a breach, unless this proxy has had one of the same kind."""
         key = (
             ("", "views differ")
             if what.startswith("views differ")
             else (proxy, what[:24])
         )
-        if key not in self.said:
-            self.said[key] = now
+        if key not in self.reported:
+            self.reported[key] = now
             self.report_breach(now, f"{proxy} {what}")
 
     def finish(self, now):
-        if now - self.changed > 2 * self.agree:
+        """Report running proxies that never returned a view."""
+        if now - self.last_change > 2 * self.agreement_ms:
             for name in sorted(self.running):
                 if name not in self.digests and name not in self.paused:
                     self.report_breach(now, f"{name} has never said what it believes")
 
 
 class ZoneStateJudge(Judge):
-    """What members of a fleet of zones believe of region and fleet: all agree where nothing has befallen anyone for a
-    while, and a zone out of every other's reach says that it is cut off. Each zone is a region of its own.
+    """Checks the states of region and fleet that members of a fleet of zones report.
 
-    That a zone is cut off is found out by its delegates and said in its summary, a record of the replicated table as a drain is.
-    So whoever joins a zone that knows has to know it as soon as a drain: `told` ms after it listens."""
+    They are converged once there has been no fault for a time, and a zone that can't reach any other is reported as
+    partitioned. Each zone is a region of its own.
+
+    The zone's delegates detect that it is partitioned and write that to its summary, a record of the replicated table
+    like a drain. So a member that joins such a zone has to know it as soon as a drain, `propagation_ms` after it
+    listens.
+    """
 
     rule = "zones"
 
@@ -268,229 +316,259 @@
         self, *args, zone_of, agreement_ms, isolation_known_ms, propagation_ms
     ):
         super().__init__(*args)
-        self.zone_of, self.agree, self.apart, self.told = (
+        (
+            self.zone_of,
+            self.agreement_ms,
+            self.isolation_known_ms,
+            self.propagation_ms,
+        ) = (
             zone_of,
             agreement_ms,
             isolation_known_ms,
             propagation_ms,
         )
-        self.awake = Awake()
-        self.truth, self.changed = None, 0.0
-        self.alone = {}  # zone -> since when none of it reaches another zone
-        self.said = {}
+        self.awake = AwakeProcesses()
+        self.truth, self.last_change = None, 0.0
+        # Zone -> since when none of its members reaches another zone.
+        self.partitioned = {}
+        self.reported = {}
 
     def on_truth(self, now, running, paused, cut, starting):
-        self.awake.look(now, running, paused, starting)
+        """Apply a sample of the truth."""
+        self.awake.update(now, running, paused, starting)
         if (running, paused, cut) != self.truth:
-            self.truth, self.changed = (running, paused, cut), now
+            self.truth, self.last_change = (running, paused, cut), now
         cut = dict.fromkeys(cut)
         for zone in dict.fromkeys(self.zone_of.values()):
-            within = [name for name in running if self.zone_of[name] == zone]
-            others = [name for name in running if self.zone_of[name] != zone]
-            alone = bool(within and others) and all(
+            inside = [name for name in running if self.zone_of[name] == zone]
+            outside = [name for name in running if self.zone_of[name] != zone]
+            is_partitioned = bool(inside and outside) and all(
                 f"{one} {other}" in cut or f"{other} {one}" in cut
-                for one in within
-                for other in others
+                for one in inside
+                for other in outside
             )
-            if alone:
-                self.alone.setdefault(zone, now)
+            if is_partitioned:
+                self.partitioned.setdefault(zone, now)
             else:
-                self.alone.pop(zone, None)
+                self.partitioned.pop(zone, None)
 
     def on_host(self, now, name, state):
-        if name in self.zone_of:  # servers come and go as well
-            self.changed = now
-            self.awake.host(name)
+        """Reset a proxy's process; servers, which have no zone, are ignored."""
+        if name in self.zone_of:
+            self.last_change = now
+            self.awake.reset(name)
+
+    def isolation_known_by(self, zone, proxy):
+        """Return from when on a proxy must report that its zone is partitioned.
 
-    def due(self, zone, proxy):
-        """From when on it answers for what it says of its zone, which is cut off. Some member that was awake all the
-        time, or the first one since, has to find it out; who came later is told."""
+        A member that was awake all the time, or the first one since, has to detect it; later ones are told.
+        """
         first = min(
             self.awake.since[name]
             for name in self.awake.since
             if self.zone_of[name] == zone
         )
         return max(
-            max(self.alone[zone], first) + self.apart,
-            self.awake.since[proxy] + self.told,
+            max(self.partitioned[zone], first) + self.isolation_known_ms,
+            self.awake.since[proxy] + self.propagation_ms,
         )
 
-    def reaches_another(self, proxy):
-        """Whether any other zone can be reached from here, by way of others if need be: a part of a zone may be cut off
-        from the rest of it as well."""
+    def reaches_another_zone(self, proxy):
+        """Whether a proxy reaches any other zone, directly or through others.
+
+        A part of a zone may be partitioned from the rest of it as well.
+        """
         running, paused, cut = self.truth
         cut = dict.fromkeys(cut)
-        seen, ahead = {proxy: None}, [proxy]
-        while ahead:
-            here = ahead.pop()
+        visited, pending = {proxy: None}, [proxy]
+        while pending:
+            current = pending.pop()
             for name in running:
                 if (
-                    name not in seen
+                    name not in visited
                     and name not in paused
-                    and f"{here} {name}" not in cut
-                    and f"{name} {here}" not in cut
+                    and f"{current} {name}" not in cut
+                    and f"{name} {current}" not in cut
                 ):
                     if self.zone_of[name] != self.zone_of[proxy]:
                         return True
-                    seen[name] = None
-                    ahead.append(name)
+                    visited[name] = None
+                    pending.append(name)
         return False
 
     def on_believes(self, now, proxy, region_state, fleet_state, **_):
+        """Check the states that a proxy reports."""
         running, paused, cut = self.truth or ((), (), ())
         zone = self.zone_of[proxy]
         if proxy not in self.awake.since:
             return
         if region_state == "cut off":
-            if now - self.changed > self.agree and self.reaches_another(proxy):
-                self.once(now, f"{proxy} says that it is cut off, and is not")
-        elif zone in self.alone and now > self.due(zone, proxy):
-            self.once(
+            if now - self.last_change > self.agreement_ms and self.reaches_another_zone(
+                proxy
+            ):
+                self.report_once(now, f"{proxy} says that it is cut off, and is not")
+        elif zone in self.partitioned and now > self.isolation_known_by(zone, proxy):
+            self.report_once(
                 now,
-                f"{proxy} says that its region is {region_state}, {now - self.alone[zone]:.0f} ms after it "
+                f"{proxy} says that its region is {region_state}, {now - self.partitioned[zone]:.0f} ms after it "
                 f"was cut off",
             )
         if (
             len(running) == len(self.zone_of)
             and not paused
             and not cut
-            and now - self.changed > 2 * self.agree
+            and now - self.last_change > 2 * self.agreement_ms
             and fleet_state != "agreed"
         ):
-            self.once(
+            self.report_once(
                 now,
-                f"{proxy} says that the fleet is {fleet_state}, {now - self.changed:.0f} ms after all was "
+                f"{proxy} says that the fleet is {fleet_state}, {now - self.last_change:.0f} ms after all was "
                 f"well",
             )
 
-    def once(self, now, what):
+    def report_once(self, now, what):
+        """Report a breach, unless the same one was reported with another time."""
         key = what.split(",")[0]
-        if key not in self.said:
-            self.said[key] = None
+        if key not in self.reported:
+            self.reported[key] = None
             self.report_breach(now, what)
 
 
 class QuotaSumJudge(Judge):
-    """All shares of a limit together are one at the most, whatever the views; more than a moment's overlap of what
-    was asked at different times is a breach."""
+    """Checks that all quotas of a limit together are at most one, whatever the views.
+
+    Quotas are asked for one after another, so a short overlap is no breach.
+    """
 
     rule = "shares"
-    OVERLAP = 1500.0
+    MAX_OVERLAP_MS = 1500.0
 
     def __init__(self, *args):
         super().__init__(*args)
-        self.shares = {}
+        self.quotas = {}
         self.running = []
-        self.over = None  # since when the sum is over one
-        self.largest = 0.0
+        self.exceeded_since = None
+        self.largest_sum = 0.0
 
     def on_host(self, now, name, state):
+        """Drop the quota of a process that has ended."""
         if state in ("killed", "ended"):
-            self.shares.pop(name, None)
+            self.quotas.pop(name, None)
             self.running = [other for other in self.running if other != name]
 
     def on_believes(self, now, proxy, share, **_):
+        """Record a proxy's quota."""
         if proxy in self.running:
-            self.shares[proxy] = share
+            self.quotas[proxy] = share
 
     def on_truth(self, now, running, paused, cut, **_):
-        """Of what all have said since they were asked last."""
+        """Check the sum of the last quotas of all that run."""
         self.running = running
-        self.shares = {
-            name: share for name, share in self.shares.items() if name in running
+        self.quotas = {
+            name: quota for name, quota in self.quotas.items() if name in running
         }
-        total = sum(self.shares.values())
-        self.largest = max(self.largest, total)
-        if total <= 1.001:
-            self.over = None
-        elif self.over is None:
-            self.over = now
-        elif now - self.over > self.OVERLAP:
+        total = sum(self.quotas.values())
+        self.largest_sum = max(self.largest_sum, total)
+        if total <= MAX_QUOTA_SUM:
+            self.exceeded_since = None
+        elif self.exceeded_since is None:
+            self.exceeded_since = now
+        elif now - self.exceeded_since > self.MAX_OVERLAP_MS:
             self.report_breach(
                 now,
                 f"shares sum to {total:.3f}: "
                 + " ".join(
-                    f"{name}={share:g}" for name, share in sorted(self.shares.items())
+                    f"{name}={quota:g}" for name, quota in sorted(self.quotas.items())
                 ),
             )
-            self.over = float("inf")
+            self.exceeded_since = float("inf")
 
 
 class DrainPropagationJudge(Judge):
-    """Rule 3 over the fleet: a server that one instance was told drains gets nothing new from any that it reaches,
-    `within` ms and the grace later."""
+    """Rule 3 over the fleet: a drain that one proxy was told is known to all that it reaches.
+
+    None of them sends the server a new session later than `propagation_ms` and the grace after that.
+    """
 
     rule = 3
 
     def __init__(self, *args, grace_ms, propagation_ms):
         super().__init__(*args)
-        self.grace, self.within = grace_ms, propagation_ms
+        self.grace_ms, self.propagation_ms = grace_ms, propagation_ms
         self.told = {}  # server -> {proxy that was told: when}
-        self.of = {}  # session -> its proxy
-        self.awake = Awake()
-        self.fine = {}  # proxy -> since when it is awake and reaches all others
-        self.said = {}
+        self.proxies = {}  # session -> its proxy
+        self.awake = AwakeProcesses()
+        self.reachable = {}  # proxy -> since when it is awake and reaches all others
+        self.reported = {}
 
     def on_told(self, now, proxy, server, health, stale=False):
-        """A late list may tell a new process of a drain that is over, which the others know."""
+        """Record a drain, unless a late list reports one that is over, which the others know."""
         if health == "draining" and not stale:
             self.told.setdefault(server, {}).setdefault(proxy, now)
 
     def on_ready(self, now, server):
+        """End the server's drain."""
         self.told.pop(server, None)
 
     def on_cold(self, now, server, **_):
+        """End the server's drain by its restart."""
         self.told.pop(server, None)
 
     def on_host(self, now, name, state):
-        self.awake.host(name)
-        self.fine.pop(name, None)
+        """Reset a proxy's process; the next one under its name has to be told itself."""
+        self.awake.reset(name)
+        self.reachable.pop(name, None)
         if state in ("killed", "ended"):
-            # What it was told it knows no more; the next process of its name is told for itself.
-            for told in self.told.values():
-                told.pop(name, None)
+            for times in self.told.values():
+                times.pop(name, None)
 
     def on_truth(self, now, running, paused, cut, starting):
-        self.awake.look(now, running, paused, starting)
+        """Apply a sample of the truth."""
+        self.awake.update(now, running, paused, starting)
         cut_off = dict.fromkeys(name for pair in cut for name in pair.split())
-        self.fine = {
-            name: self.fine.get(name, now)
+        self.reachable = {
+            name: self.reachable.get(name, now)
             for name in self.awake.since
             if name not in cut_off
         }
 
     def on_open(self, now, sess, proxy, **_):
-        self.of[sess] = proxy
+        """Record the session's proxy."""
+        self.proxies[sess] = proxy
 
     def on_dial(self, now, sess, server, first):
-        proxy = self.of.get(sess)
-        if proxy not in self.fine:
+        """Check that the attempt was sent before the drain had to be known."""
+        proxy = self.proxies.get(sess)
+        if proxy not in self.reachable:
             return
-        known = [
-            (max(when, self.fine[other]), other)
-            for other, when in self.told.get(server, {}).items()
-            if other != proxy and other in self.fine
+        sources = [
+            (max(told, self.reachable[other]), other)
+            for other, told in self.told.get(server, {}).items()
+            if other != proxy and other in self.reachable
         ]
-        if not known:
+        if not sources:
             return
-        when, other = min(known)
-        late = first - max(when, self.fine[proxy])
+        told, other = min(sources)
+        late_ms = first - max(told, self.reachable[proxy])
         if (
-            late > self.grace + self.within + self.slack_ms
-            and (proxy, server) not in self.said
+            late_ms > self.grace_ms + self.propagation_ms + self.slack_ms
+            and (proxy, server) not in self.reported
         ):
-            self.said[proxy, server] = now
+            self.reported[proxy, server] = now
             self.report_breach(
                 now,
-                f"{proxy} dialled it {late:.0f} ms after {other} was told that it drains",
+                f"{proxy} dialled it {late_ms:.0f} ms after {other} was told that it drains",
                 sess,
                 server,
             )
 
 
 class IsolationJudge(Judge):
-    """Who has another cluster, key or version, or claims another's name, stays apart; that is seen, and nobody else
-    suffers."""
+    """Checks that misconfigured proxies stay isolated.
+
+    One with another cluster, key or protocol version, or with another proxy's name, does not become a member; the others
+    report that they drop its messages, and no other proxy is affected.
+    """
 
     rule = "apart"
     REASONS = {
@@ -501,125 +579,150 @@
 
     def __init__(self, *args, misconfigured, agreement_ms):
         super().__init__(*args)
-        self.odd = {item.on: item for item in misconfigured}
-        self.within = agreement_ms
-        self.awake = Awake()
-        self.seen = {}  # (odd one, reason) -> None, once others have dropped what it says
-        self.holders = {}  # name -> {proxy: since when it holds that name and is not alone}
-        self.said = {}
-        self.nobody = {
-            item.claims: 0.0 for item in misconfigured if item.claims
-        }  # name -> since when nobody holds it
+        self.misconfigured = {item.on: item for item in misconfigured}
+        self.agreement_ms = agreement_ms
+        self.awake = AwakeProcesses()
+        # (misconfigured proxy, reason) -> None, once others have dropped its messages.
+        self.dropped = {}
+        # Name -> {proxy: since when it holds that name and is not alone}.
+        self.holders = {}
+        self.reported = {}
+        # Name -> since when no proxy holds it.
+        self.unheld_since = {item.claims: 0.0 for item in misconfigured if item.claims}
 
     def on_host(self, now, name, state):
-        """The next process of its name holds nothing yet, and one that stood still may say what holds no more."""
-        self.awake.host(name)
+        """Reset a proxy's process: a new one holds no name yet, and a resumed one may report outdated state."""
+        self.awake.reset(name)
         for holders in self.holders.values():
             holders.pop(name, None)
 
     def on_truth(self, now, running, paused, cut, starting):
-        self.awake.look(now, running, paused, starting)
-        for name in self.nobody:
-            since = [
+        """Check that some proxy holds each claimed name."""
+        self.awake.update(now, running, paused, starting)
+        for name in self.unheld_since:
+            awake_since = [
                 self.awake.since[proxy]
-                for proxy in self.claims(name)
+                for proxy in self.claimants(name)
                 if proxy in self.awake.since
             ]
-            if self.holders.get(name) or not since:
-                self.nobody[name] = now
-            elif now - max(self.nobody[name], min(since)) > self.within:
-                self.once(
+            if self.holders.get(name) or not awake_since:
+                self.unheld_since[name] = now
+            elif (
+                now - max(self.unheld_since[name], min(awake_since)) > self.agreement_ms
+            ):
+                self.report_once(
                     now, f"nobody holds the name {name}, which a running one claims"
                 )
         for holders in self.holders.values():
             for proxy in [proxy for proxy in holders if proxy not in running]:
                 del holders[proxy]
 
-    def claims(self, name):
+    def claimants(self, name):
+        """Return the proxies that are configured with a name, its rightful holder first."""
         return [
             name,
-            *(proxy for proxy, item in self.odd.items() if item.claims == name),
+            *(
+                proxy
+                for proxy, item in self.misconfigured.items()
+                if item.claims == name
+            ),
         ]
 
     def on_believes(self, now, proxy, name, alone, dropped, members, **_):
+        """Check that a name has one holder, and that misconfigured proxies and others do not know each other."""
         if proxy not in self.awake.since:
             return
-        odd = self.odd.get(proxy)
+        misconfiguration = self.misconfigured.get(proxy)
         holders = self.holders.setdefault(name, {})
         if alone:
             holders.pop(proxy, None)
         else:
             holders.setdefault(proxy, now)
-        if len(holders) > 1 and now - sorted(holders.values())[1] > self.within:
-            self.once(now, f"{' and '.join(sorted(holders))} hold the name {name}")
+        if len(holders) > 1 and now - sorted(holders.values())[1] > self.agreement_ms:
+            self.report_once(
+                now, f"{' and '.join(sorted(holders))} hold the name {name}"
+            )
         if (
-            odd is not None
-            and not odd.claims
-            and (odd.cluster or odd.key or odd.version)
+            misconfiguration is not None
+            and not misconfiguration.claims
+            and (
+                misconfiguration.cluster
+                or misconfiguration.key
+                or misconfiguration.version
+            )
         ):
             for other, state in members.items():
                 if other != name:
-                    self.once(now, f"{proxy} knows {other}")
-        elif odd is None:
-            for other, item in self.odd.items():
+                    self.report_once(now, f"{proxy} knows {other}")
+        elif misconfiguration is None:
+            for other, item in self.misconfigured.items():
                 if other in members and not item.claims:
-                    self.once(now, f"{proxy} knows {other}")
+                    self.report_once(now, f"{proxy} knows {other}")
                 for field, reason in self.REASONS.items():
                     if getattr(item, field) and dropped.get(reason):
-                        self.seen[other, reason] = None
+                        self.dropped[other, reason] = None
 
-    def once(self, now, what):
-        if what not in self.said:
-            self.said[what] = None
+    def report_once(self, now, what):
+        """Report a breach, unless the same one was reported before."""
+        if what not in self.reported:
+            self.reported[what] = None
             self.report_breach(now, what)
 
     def finish(self, now):
-        for name, item in self.odd.items():
+        """Report misconfigured proxies whose messages no other proxy has dropped."""
+        for name, item in self.misconfigured.items():
             for field, reason in self.REASONS.items():
-                if getattr(item, field) and (name, reason) not in self.seen:
+                if getattr(item, field) and (name, reason) not in self.dropped:
                     self.report_breach(
                         now, f"nobody has dropped what {name} says as of {reason}"
                     )
 
 
 class FaultEffectJudge(Judge):
-    """Not a rule of the program's: a fault that did nothing proves nothing."""
+    """Checks the script, not the program: a fault that affected nothing proves nothing."""
 
     rule = "none"
 
     def on_effect(self, now, do, on, count):
+        """Report a fault that affected nothing."""
         if not count:
             self.report_breach(now, f"fault without effect: {do} on {on}")
 
 
 class ConvergenceTimes(Judge):
-    """No judge: how long things took, in ms. `agreed`: from a change of the truth (or its end, where a cut or a stop
-    heals) until all views are equal; `first`, `all`: from a death until one, and all that run, say so."""
+    """Measures how long convergence takes, in ms, and reports no breaches.
+
+    `agreed`: from a change of the truth (or the end of a partition or pause) until all views are equal. `first`, `all`:
+    from a death until one proxy, and until all that run, have declared it.
+    """
 
     def __init__(self):
         super().__init__([], {}, 0.0)
-        self.awake = Awake()
+        self.awake = AwakeProcesses()
         self.running, self.paused, self.cut = [], [], []
         self.changed = None
         self.digests = {}
-        self.deaths = {}  # name -> (when, {who says so: when})
-        self.found = {"agreed": [], "first": [], "all": []}
+        self.deaths = {}  # name -> (when, {proxy that declared it: when})
+        self.times_ms = {"agreed": [], "first": [], "all": []}
 
     def on_truth(self, now, running, paused, cut, starting):
-        self.awake.look(now, running, paused, starting)
+        """Apply a sample of the truth."""
+        self.awake.update(now, running, paused, starting)
         running = [name for name in running if name not in starting]
         if (running, paused, cut) != (self.running, self.paused, self.cut):
             self.running, self.paused, self.cut = running, paused, cut
             self.changed, self.digests = now, {}
 
     def on_host(self, now, name, state):
-        self.awake.host(name)
+        """Record a death, or end it by the name's next process."""
+        self.awake.reset(name)
         if state == "killed":
             self.deaths[name] = now, {}
         elif state == "up":
             self.deaths.pop(name, None)
 
     def on_believes(self, now, proxy, digest, **_):
+        """Record the time until all views are equal."""
         if self.changed is None or self.paused or self.cut:
             return
         self.digests[proxy] = digest
@@ -627,34 +730,35 @@
             all(name in self.digests for name in self.running)
             and len(dict.fromkeys(self.digests[name] for name in self.running)) == 1
         ):
-            self.found["agreed"].append(round(now - self.changed))
+            self.times_ms["agreed"].append(round(now - self.changed))
             self.changed = None
 
     def on_log(self, now, node, event, **fields):
+        """Record the time until a death is known to one proxy, and to all that were awake when it happened."""
         if (
             event != LogEvent.MEMBER_STATE_CHANGED
             or fields["state"] != "dead"
             or fields["peer"] not in self.deaths
         ):
             return
-        when, told = self.deaths[fields["peer"]]
-        if not told:
-            self.found["first"].append(round(now - when))
-        told.setdefault(node, now)
-        # Who was not awake when it happened has nothing to find out.
-        here = [
+        died, declared = self.deaths[fields["peer"]]
+        if not declared:
+            self.times_ms["first"].append(round(now - died))
+        declared.setdefault(node, now)
+        witnesses = [
             name
             for name, since in self.awake.since.items()
-            if since <= when and name not in self.deaths
+            if since <= died and name not in self.deaths
         ]
-        if all(name in told for name in here):
-            self.found["all"].append(round(now - when))
+        if all(name in declared for name in witnesses):
+            self.times_ms["all"].append(round(now - died))
             del self.deaths[fields["peer"]]
 
 
 def convergence_times(events):
-    judge, shares = ConvergenceTimes(), QuotaSumJudge([], {}, 0.0)
+    """Return the times until convergence and the largest sum of quotas, as plain data for the report."""
+    times, quota_sum = ConvergenceTimes(), QuotaSumJudge([], {}, 0.0)
     for event in events:
-        judge.observe(*event)
-        shares.observe(*event)
-    return {**judge.found, "largest_sum": round(shares.largest, 4)}
+        times.observe(*event)
+        quota_sum.observe(*event)
+    return {**times.times_ms, "largest_sum": round(quota_sum.largest_sum, 4)}
