--- a/tests/exactness/cores.py
+++ b/tests/exactness/cores.py
@@ -29,13 +29,13 @@
     kills = measure_detection(12, 0.05, [seed, seed + 10], observe_s=20.0)
     machines = measure_detection(20, 0.25, [seed], kills=2, do_hosts_vanish=True)
     cluster = MembershipCluster(
-        8, seed, faults={"loss": 0.05, "doubled": 0.1, "overtaken": 0.1}
+        8, seed, faults={"loss": 0.05, "duplication": 0.1, "reordering": 0.1}
     )
     names = list(cluster.hosts)
     cluster.run(10)
-    cluster.faults.cut(names[:3], names[3:])
+    cluster.faults.partition(names[:3], names[3:])
     cluster.run(20)
-    cluster.faults.mend()
+    cluster.faults.heal()
     cluster.pause(names[4])
     cluster.run(10)
     cluster.resume(names[4])
--- a/tests/test_members.py
+++ b/tests/test_members.py
@@ -82,12 +82,12 @@
     cluster = MembershipCluster(6)
     cluster.run(10)
     others = [name for name in cluster.hosts if name != "i002"]
-    cluster.faults.cut(["i002"], others, both=False)
+    cluster.faults.partition(["i002"], others, both=False)
     cluster.run(25)
     yield states(cluster, "i002", of="i004")
     yield f"its own view: {states(cluster, 'i004', of='i002')}"
     yield f"it takes itself for slow: {cluster.instances['i002'].membership.local_health > 0}"
-    cluster.faults.mend()
+    cluster.faults.heal()
     cluster.run(30)
     yield f"mended: {states(cluster, 'i002')}, agreed {cluster.has_converged()}"
 
@@ -96,10 +96,10 @@
     cluster = MembershipCluster(8)
     cluster.run(10)
     names = list(cluster.hosts)
-    cluster.faults.cut(names[:4], names[4:])
+    cluster.faults.partition(names[:4], names[4:])
     cluster.run(45)
     yield f"{states(cluster, 'i006', of='i001')} to the one, {states(cluster, 'i001', of='i006')} to the other"
-    cluster.faults.mend()
+    cluster.faults.heal()
     cluster.run(40)
     yield f"mended, agreed {cluster.has_converged()}"
 
@@ -129,11 +129,14 @@
 
 
 def doubled_overtaken_and_a_minute_late():
-    cluster = MembershipCluster(6, faults={"doubled": 0.5, "overtaken": 0.5})
+    cluster = MembershipCluster(6, faults={"duplication": 0.5, "reordering": 0.5})
     stale = []
-    end = cluster.peers.endpoints["i001"]
-    received = end.received
-    end.received = lambda data, came: (stale.append((data, came)), received(data, came))
+    end = cluster.network.endpoints["i001"]
+    received = end.on_datagram
+    end.on_datagram = lambda data, came: (
+        stale.append((data, came)),
+        received(data, came),
+    )
     cluster.run(10)
     cluster.kill("i003")
     cluster.run(20)
--- a/tests/test_worlds.py
+++ b/tests/test_worlds.py
@@ -9,7 +9,11 @@
 
 from drive import kept
 from wheathill.config.limits import ProxyLimits
-from wheathill.lab.cores.ways import Faults, SocketPeers, VirtualPeers
+from wheathill.lab.cores.ways import (
+    DatagramFaults,
+    LoopbackDatagramNetwork,
+    VirtualDatagramNetwork,
+)
 from wheathill.lab.scripts import language as scripts
 from wheathill.lab.scripts.run import play
 from wheathill.lab.worlds.host import raise_fault
@@ -210,10 +214,10 @@
 
 def datagrams():
     world = VirtualWorld(1, STILL)
-    faults = Faults(
-        random.Random("seed"), 1.0, 0.5, loss=0.2, doubled=0.2, overtaken=0.3
+    faults = DatagramFaults(
+        random.Random("seed"), 1.0, 0.5, loss=0.2, duplication=0.2, reordering=0.3
     )
-    peers = VirtualPeers(world.clock, faults)
+    peers = VirtualDatagramNetwork(world.clock, faults)
     lines = []
     hosts = [world.host(name, "east", LIMITS) for name in "ab"]
     ends = [
@@ -228,7 +232,7 @@
     for number in range(8):
         ends[0].send("b", b"%d" % number)
     world.clock.run(20)
-    faults.cut("b", "a", both=False)
+    faults.partition("b", "a", both=False)
     ends[0].send("b", b"one way")
     ends[1].send("a", b"the other")
     world.clock.run(40)
@@ -272,10 +276,10 @@
     """The same faults over UDP: what is cut does not arrive, the rest does."""
     loop = asyncio.new_event_loop()
     heard = []
-    faults = Faults(random.Random("seed"), 1.0, 0.5, doubled=0.5)
+    faults = DatagramFaults(random.Random("seed"), 1.0, 0.5, duplication=0.5)
 
     async def talk():
-        peers = SocketPeers(loop, LabClock(loop), faults)
+        peers = LoopbackDatagramNetwork(loop, LabClock(loop), faults)
         done = asyncio.Event()
         ends = {}
         for name in "ab":
@@ -286,12 +290,12 @@
                     done.set()
 
             ends[name] = await peers.endpoint(name, received)
-        faults.cut("a", "b", both=False)
+        faults.partition("a", "b", both=False)
         ends["a"].send("b", b"cut off")
         ends["b"].send("a", b"still heard")
         while ("a", b"still heard", "b") not in heard:
             await asyncio.sleep(0.001)
-        faults.mend()
+        faults.heal()
         ends["a"].send("b", b"last")
         await asyncio.wait_for(done.wait(), 8)
         for end in ends.values():
--- a/wheathill/lab/cores/membership_cluster.py
+++ b/wheathill/lab/cores/membership_cluster.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from wheathill.config.limits import ProxyLimits
-from wheathill.lab.cores.ways import Faults, VirtualPeers
+from wheathill.lab.cores.ways import DatagramFaults, VirtualDatagramNetwork
 from wheathill.lab.worlds.network import VirtualHost
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.peers.membership import (
@@ -44,7 +44,7 @@
     max_dial_timeout_ms=1000.0,
     probe_idle_timeout_ms=1000.0,
 )
-# The datagrams' own faults are those of `Faults`.
+# The datagrams' own faults are those of `DatagramFaults`.
 NETWORK = {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
 
 
@@ -65,7 +65,7 @@
         self.host = host
         self._cluster = cluster
         self._clock = host.clock
-        self._endpoint = cluster.peers.endpoint(host, self._on_datagram)
+        self._endpoint = cluster.network.endpoint(host, self._on_datagram)
         rng = random.Random(f"{cluster.seed}/{host.name}/{start}")
         config = replace(
             cluster.config,
@@ -90,7 +90,7 @@
             self.membership.on_fallback_probe_result(self._clock.now(), probe, result)
 
         self.fallback_probes += 1
-        self._cluster.peers.start_fallback_probe(
+        self._cluster.network.start_fallback_probe(
             self.host, probe.address, probe.timeout_ms, on_result
         )
 
@@ -165,11 +165,11 @@
         self.claims = claims or {}
         self.world = VirtualWorld(seed, NETWORK)
         self.clock = self.world.clock
-        self.faults = Faults(
+        self.faults = DatagramFaults(
             random.Random(f"{seed}/faults"),
-            **{"delay": 1.0, "jitter": 0.5, **(faults or {})},
+            **{"delay_ms": 1.0, "jitter": 0.5, **(faults or {})},
         )
-        self.peers = VirtualPeers(self.clock, self.faults)
+        self.network = VirtualDatagramNetwork(self.clock, self.faults)
         self.lines: list[str] = []
         self.instances: dict[str, SimulatedInstance] = {}
         self._starts: dict[str, int] = {}
--- a/wheathill/lab/cores/store_cluster.py
+++ b/wheathill/lab/cores/store_cluster.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from wheathill.config.limits import ProxyLimits
-from wheathill.lab.cores.ways import Faults, VirtualPeers
+from wheathill.lab.cores.ways import DatagramFaults, VirtualDatagramNetwork
 from wheathill.lab.worlds.virtual import VirtualWorld
 from wheathill.store.anti_entropy import (
     AntiEntropy,
@@ -107,7 +107,7 @@
         self._cluster = cluster
         self._host = cluster.hosts[name]
         self.clock = self._host.clock
-        self._endpoint = cluster.peers.endpoint(self._host, self._received)
+        self._endpoint = cluster.network.endpoint(self._host, self._received)
         cluster.start_count += 1
         self.replica = Replica(
             name, f"{cluster.start_count:x}", self._persist, cluster.limits
@@ -196,17 +196,17 @@
             seed: decides all that is random.
             member_count: number of members.
             limits: limits on the entries of each replica.
-            fault_rates: chances of faults on the network, as `Faults` takes them.
+            fault_rates: chances of faults on the network, as `DatagramFaults` takes them.
         """
         self.seed = seed
         self.limits = limits
         self.rng = random.Random(f"{seed}/copies")
         self.world = VirtualWorld(seed, HOP_LATENCIES_MS)
         self.clock = self.world.clock
-        self.faults = Faults(
+        self.faults = DatagramFaults(
             random.Random(f"{seed}/faults"), DELAY_MS, JITTER_SHARE, **fault_rates
         )
-        self.peers = VirtualPeers(self.clock, self.faults)
+        self.network = VirtualDatagramNetwork(self.clock, self.faults)
         self.sent_bytes = 0
         self.start_count = 0
         names = [f"i{number}" for number in range(member_count)]
@@ -266,8 +266,8 @@
 
     def end_faults(self, duration_ms: float) -> None:
         """End all faults, start and resume all members, and let time pass."""
-        self.faults.mend()
-        self.faults.loss = self.faults.doubled = self.faults.overtaken = 0.0
+        self.faults.heal()
+        self.faults.loss = self.faults.duplication = self.faults.reordering = 0.0
         self.collection_members = list(self.hosts)
         for name, host in self.hosts.items():
             if name not in self.members:
@@ -327,11 +327,11 @@
         names = list(self.hosts)
         split = self.rng.randrange(1, len(names))
         both = self.rng.random() < 0.5
-        self.faults.cut(names[:split], names[split:], both=both)
+        self.faults.partition(names[:split], names[split:], both=both)
 
     def heal_partitions(self, _name: str) -> None:
         """End all partitions."""
-        self.faults.mend()
+        self.faults.heal()
 
     def restore_old_disk(self, name: str) -> None:
         """Restart a member from an old copy of its disk."""
@@ -385,7 +385,9 @@
     seed: int, steps: int = 60, limits: StoreLimits = NO_LIMITS
 ) -> ConvergenceResult:
     """Make random changes and faults, end the faults, and compare the digests."""
-    cluster = StoreCluster(seed, limits=limits, loss=0.1, doubled=0.1, overtaken=0.2)
+    cluster = StoreCluster(
+        seed, limits=limits, loss=0.1, duplication=0.1, reordering=0.2
+    )
     for _ in range(steps):
         for _ in range(cluster.rng.randrange(6)):
             cluster.change_at_random()
--- a/wheathill/lab/cores/ways.py
+++ b/wheathill/lab/cores/ways.py
@@ -1,7 +1,7 @@
-"""The way between instances: datagrams that are late, lost, doubled, overtaken, or cut off in one direction
-or both. The same faults, decided by the same seed, in memory and over UDP on loopback.
+"""Datagram networks between instances, with faults: delay, loss, duplication, reordering and partitions.
 
-An endpoint has `send(to, data)` and calls `received(data, came_from)`; names stand for addresses.
+The same faults, decided by the same seed, in memory and over UDP on loopback. An endpoint has `send(to, data)` and
+calls `on_datagram(data, sender)`; names stand for addresses.
 """
 
 import asyncio
@@ -9,151 +9,196 @@
 from wheathill.peers.fallback_probe import CONNECTION_ATTEMPTS
 from wheathill.peers.membership import ProbeResult
 
+# When TCP sends the first segment of a connection, and again, within its first 15 s (RFC 6298).
+SYN_TIMES_MS = (0.0, 1000.0, 3000.0, 7000.0)
 
-class Faults:
-    """What befalls each datagram. Times in ms; `loss`, `doubled`, `overtaken` are chances; one that is
-    overtaken is held for up to four more of the longest usual ways."""
 
-    def __init__(self, chance, delay, jitter, loss=0.0, doubled=0.0, overtaken=0.0):
+class DatagramFaults:
+    """Decides the faults of each datagram.
+
+    `loss`, `duplication` and `reordering` are probabilities; `jitter` is a share of the delay, exponentially
+    distributed. A reordered datagram is held for up to four times the mean delay, and may be overtaken by later ones.
+    """
+
+    def __init__(
+        self, rng, delay_ms, jitter, loss=0.0, duplication=0.0, reordering=0.0
+    ):
         self.random, self.expovariate, self.uniform = (
-            chance.random,
-            chance.expovariate,
-            chance.uniform,
+            rng.random,
+            rng.expovariate,
+            rng.uniform,
         )
-        self.delay, self.jitter = delay, jitter
-        self.loss, self.doubled, self.overtaken = loss, doubled, overtaken
-        self.cuts = {}  # (from, to) -> None
+        self.delay_ms, self.jitter = delay_ms, jitter
+        self.loss, self.duplication, self.reordering = loss, duplication, reordering
+        self.partitioned = {}  # (from, to) -> None
         self.sent = self.lost = 0
 
-    def cut(self, ones, others, both=True):
-        """Nothing goes from any of `ones` to any of `others`, nor back where `both`."""
-        for one in ones:
+    def partition(self, names, others, both=True):
+        """Lose all datagrams from any of `names` to any of `others`, and if `both` in the other direction too."""
+        for name in names:
             for other in others:
-                self.cuts[one, other] = None
+                self.partitioned[name, other] = None
                 if both:
-                    self.cuts[other, one] = None
+                    self.partitioned[other, name] = None
 
-    def mend(self):
-        self.cuts = {}
+    def heal(self):
+        """End all partitions."""
+        self.partitioned = {}
 
-    def ways(self, one, other):
-        """After how long each copy arrives; none for one that is lost."""
+    def delays_ms(self, sender, receiver):
+        """Return the delay of each copy of a datagram; none if it is lost."""
         self.sent += 1
-        if (one, other) in self.cuts or self.random() < self.loss:
+        if (sender, receiver) in self.partitioned or self.random() < self.loss:
             self.lost += 1
             return []
-        waits = [self.wait()]
-        if self.random() < self.doubled:
-            waits.append(self.wait())
-        return waits
-
-    def wait(self):
-        usual = self.delay * (1.0 + self.jitter * self.expovariate(1.0))
-        return usual + (
-            self.uniform(0.0, 4 * self.delay * (1 + self.jitter))
-            if self.overtaken and self.random() < self.overtaken
+        copy_delays_ms = [self.draw_delay_ms()]
+        if self.random() < self.duplication:
+            copy_delays_ms.append(self.draw_delay_ms())
+        return copy_delays_ms
+
+    def draw_delay_ms(self):
+        """Return a random delay."""
+        usual_ms = self.delay_ms * (1.0 + self.jitter * self.expovariate(1.0))
+        return usual_ms + (
+            self.uniform(0.0, 4 * self.delay_ms * (1 + self.jitter))
+            if self.reordering and self.random() < self.reordering
             else 0.0
         )
 
 
-class VirtualPeers:
-    """Endpoints in memory. A host that is gone or silent neither sends nor hears."""
+class VirtualDatagramNetwork:
+    """Endpoints in memory; a host that is gone or silent neither sends nor receives."""
 
     def __init__(self, clock, faults):
         self.clock = clock
         self.faults = faults
         self.endpoints = {}
 
-    def endpoint(self, host, received):
-        end = self.endpoints[host.name] = VirtualEndpoint(self, host, received)
-        return end
+    def endpoint(self, host, on_datagram):
+        """Create the endpoint of a host's process."""
+        endpoint = self.endpoints[host.name] = VirtualEndpoint(self, host, on_datagram)
+        return endpoint
 
-    def start_fallback_probe(self, host, to, wait, told):
-        """Connections' starts: asked again as TCP does within the first 15 s of each (RFC 6298)."""
-        tries = sorted(
-            start + again
+    def start_fallback_probe(self, host, to, timeout_ms, on_result):
+        """Start the connection attempts of a fallback probe, each with TCP's retransmissions."""
+        send_times_ms = sorted(
+            start + retransmission
             for start in (
-                number * wait / CONNECTION_ATTEMPTS
+                number * timeout_ms / CONNECTION_ATTEMPTS
                 for number in range(CONNECTION_ATTEMPTS)
             )
-            for again in (0.0, 1000.0, 3000.0, 7000.0)
-            if start + again < wait
+            for retransmission in SYN_TIMES_MS
+            if start + retransmission < timeout_ms
         )
-        self.ask(host, to, told, tries, wait)
+        self.send_probe(host, to, on_result, send_times_ms, timeout_ms)
 
-    def ask(self, host, to, told, tries, wait):
+    def send_probe(self, host, to, on_result, send_times_ms, timeout_ms):
+        """Send one segment, and report its answer, or go on with the next segment if it or its answer is lost."""
         other = self.endpoints[to].host
         if not other.silent and not host.silent:
-            for there in self.faults.ways(host.name, to)[:1]:
-                for back in self.faults.ways(to, host.name)[:1]:
-                    how = ProbeResult.REACHABLE if other.alive else ProbeResult.REFUSED
+            for request_delay_ms in self.faults.delays_ms(host.name, to)[:1]:
+                for reply_delay_ms in self.faults.delays_ms(to, host.name)[:1]:
+                    result = (
+                        ProbeResult.REACHABLE if other.alive else ProbeResult.REFUSED
+                    )
                     return self.clock.after(
-                        there + back, host.gate, host.life, told, how
+                        request_delay_ms + reply_delay_ms,
+                        host.gate,
+                        host.life,
+                        on_result,
+                        result,
                     )
-        first, *more = tries
-        if more:
-            self.clock.after(more[0] - first, self.ask, host, to, told, more, wait)
+        first, *remaining = send_times_ms
+        if remaining:
+            self.clock.after(
+                remaining[0] - first,
+                self.send_probe,
+                host,
+                to,
+                on_result,
+                remaining,
+                timeout_ms,
+            )
         else:
             self.clock.after(
-                wait - first, host.gate, host.life, told, ProbeResult.NO_ANSWER
+                timeout_ms - first,
+                host.gate,
+                host.life,
+                on_result,
+                ProbeResult.NO_ANSWER,
             )
 
 
 class VirtualEndpoint:
-    def __init__(self, peers, host, received):
-        self.peers, self.host, self.received = peers, host, received
+    """One process's end of a `VirtualDatagramNetwork`."""
+
+    def __init__(self, network, host, on_datagram):
+        self.network, self.host, self.on_datagram = network, host, on_datagram
 
     def send(self, to, data):
+        """Send a datagram, unless the host is gone or silent."""
         if self.host.silent or not self.host.alive:
             return
         data = bytes(data)
-        for wait in self.peers.faults.ways(self.host.name, to):
-            self.peers.clock.after(wait, self.arrive, to, data)
-
-    def arrive(self, to, data):
-        end = self.peers.endpoints.get(to)
-        if end is not None and not end.host.silent:
-            end.host.gate(end.host.life, end.received, data, self.host.name)
+        for delay_ms in self.network.faults.delays_ms(self.host.name, to):
+            self.network.clock.after(delay_ms, self.deliver, to, data)
+
+    def deliver(self, to, data):
+        """Pass a datagram to the endpoint that the receiver has by now."""
+        endpoint = self.network.endpoints.get(to)
+        if endpoint is not None and not endpoint.host.silent:
+            endpoint.host.gate(
+                endpoint.host.life, endpoint.on_datagram, data, self.host.name
+            )
 
 
-class SocketPeers:
-    """Endpoints over UDP on loopback; faults are met by who sends."""
+class LoopbackDatagramNetwork:
+    """Endpoints over UDP on loopback; the sender applies the faults."""
 
     def __init__(self, loop, clock, faults):
         self.loop, self.clock, self.faults = loop, clock, faults
         self.addresses = {}  # name -> address
-        self.names = {}
+        self.names = {}  # address -> name
 
-    async def endpoint(self, name, received):
-        transport, end = await self.loop.create_datagram_endpoint(
-            lambda: SocketEndpoint(self, name, received), local_addr=("127.0.0.1", 0)
+    async def endpoint(self, name, on_datagram):
+        """Open the endpoint of a process."""
+        transport, endpoint = await self.loop.create_datagram_endpoint(
+            lambda: LoopbackEndpoint(self, name, on_datagram),
+            local_addr=("127.0.0.1", 0),
         )
         address = transport.get_extra_info("sockname")
         self.addresses[name], self.names[address] = address, name
-        return end
+        return endpoint
+
 
+class LoopbackEndpoint(asyncio.DatagramProtocol):
+    """One process's end of a `LoopbackDatagramNetwork`."""
 
-class SocketEndpoint(asyncio.DatagramProtocol):
-    def __init__(self, peers, name, received):
-        self.peers, self.name, self.received = peers, name, received
+    def __init__(self, network, name, on_datagram):
+        self.network, self.name, self.on_datagram = network, name, on_datagram
         self.transport = None
 
     def connection_made(self, transport):
+        """Keep the transport, see `asyncio.DatagramProtocol`."""
         self.transport = transport
 
     def send(self, to, data):
+        """Send a datagram after its delay."""
         data = bytes(data)
-        for wait in self.peers.faults.ways(self.name, to):
-            self.peers.clock.after(wait, self.go, to, data)
+        for delay_ms in self.network.faults.delays_ms(self.name, to):
+            self.network.clock.after(delay_ms, self.send_now, to, data)
 
-    def go(self, to, data):
+    def send_now(self, to, data):
+        """Send a datagram, unless the endpoint is closed."""
         if not self.transport.is_closing():
-            self.transport.sendto(data, self.peers.addresses[to])
+            self.transport.sendto(data, self.network.addresses[to])
 
     def datagram_received(self, data, address):
-        name = self.peers.names.get(address)
+        """Pass on a datagram of another endpoint, see `asyncio.DatagramProtocol`."""
+        name = self.network.names.get(address)
         if name is not None:
-            self.received(data, name)
+            self.on_datagram(data, name)
 
     def close(self):
+        """Close the socket."""
         self.transport.close()
