--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -16,7 +16,7 @@
     ZoneStateJudge,
 )
 from wheathill.lab.judging.judges import DrainJudge, RetryBudgetJudge
-from wheathill.lab.scripts.language import Odd
+from wheathill.lab.scripts.language import DivergentInstance
 from wheathill.log_events import LogEvent
 
 ZONE_OF = {"a": "e", "b": "e", "c": "w", "d": "w"}
@@ -434,7 +434,9 @@
 @pytest.fixture
 def names():
     told = Told(
-        IsolationJudge, misconfigured=[Odd(on="d", claims="a")], agreement_ms=5000.0
+        IsolationJudge,
+        misconfigured=[DivergentInstance(on="d", claims="a")],
+        agreement_ms=5000.0,
     )
 
     def says(name, held, alone=False):
