--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -350,35 +350,35 @@
 
     def breaches(self):
         script = self.script
-        repeats = {
+        retry_rules = {
             item.name: (item.repeat, item.scope, item.window_s * 1000)
             for item in script.listener
         }
         rules = script.rules
-        budget = (
+        retry_budget = (
             rules.further_dials_free,
             rules.further_dials_share,
             rules.further_dials_s * 1000,
         )
-        budget = budget if rules.further_dials_s else None
+        retry_budget = retry_budget if rules.further_dials_s else None
         return find_breaches(
             self.record.events,
             self.clock.now(),
-            slack=self.world.slack(script),
-            repeats=repeats,
-            grace=script.rules.drain_grace_ms,
+            slack_ms=self.world.slack(script),
+            retry_rules=retry_rules,
+            grace_ms=script.rules.drain_grace_ms,
             **self.cold_rule(),
-            budget=budget,
-            gone_binds=not rules.only_draining_binds,
-            more=self.fleet_judges() if script.proxies.peers else (),
+            retry_budget=retry_budget,
+            is_gone_binding=not rules.only_draining_binds,
+            judge_factories=self.fleet_judges() if script.proxies.peers else (),
         )
 
     def cold_rule(self):
         rules = self.script.rules
         return {
             "multiple": rules.cold_multiple,
-            "window": rules.cold_window_ms,
-            "proxies": self.script.proxies.count,
+            "window_ms": rules.cold_window_ms,
+            "proxy_count": self.script.proxies.count,
         }
 
     def fleet_judges(self):
@@ -386,25 +386,25 @@
         zone_of = self.zone_of if script.proxies.zoned else None
         views = partial(
             MembershipViewJudge,
-            odd=[name for item in script.odd for name in (item.on, item.claims)],
-            agree=limits.agree_ms,
-            false=limits.false_ms,
-            known=limits.known_ms,
+            excluded=[name for item in script.odd for name in (item.on, item.claims)],
+            agreement_ms=limits.agree_ms,
+            false_death_ms=limits.false_ms,
+            death_known_ms=limits.known_ms,
             zone_of=zone_of,
         )
         told = partial(
             DrainPropagationJudge,
-            grace=script.rules.drain_grace_ms,
-            within=limits.told_ms,
+            grace_ms=script.rules.drain_grace_ms,
+            propagation_ms=limits.told_ms,
         )
         zones = (
             (
                 partial(
                     ZoneStateJudge,
                     zone_of=zone_of,
-                    agree=limits.agree_ms,
-                    apart=limits.apart_ms,
-                    told=limits.told_ms,
+                    agreement_ms=limits.agree_ms,
+                    isolation_known_ms=limits.apart_ms,
+                    propagation_ms=limits.told_ms,
                 ),
             )
             if zone_of
@@ -415,7 +415,9 @@
             QuotaSumJudge,
             told,
             FaultEffectJudge,
-            partial(IsolationJudge, odd=script.odd, within=limits.agree_ms),
+            partial(
+                IsolationJudge, misconfigured=script.odd, agreement_ms=limits.agree_ms
+            ),
             *zones,
         )
 
