--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -1,8 +1,7 @@
-"""A network in memory between hosts in simulated time, with the carrier that the proxy knows.
+"""An in-memory network between simulated hosts, with the transport interface that the proxy uses.
 
-A connection follows what the driver on sockets does, byte stream by byte stream: bytes keep their order, a
-reader that is held fills a window and then blocks its writer, an end and a reset are told as sockets tell
-them.
+A connection behaves as one on sockets does: bytes keep their order, a paused reader lets the receive window
+fill and then blocks its writer, and an end of stream and a reset are reported as sockets report them.
 """
 
 from collections import deque
@@ -14,12 +13,14 @@
 
 
 class VirtualHost(Host):
+    """A host on the simulated network."""
+
     def __init__(self, net, name, zone):
         super().__init__(name, zone, net.clock)
         self.net = net
         self.wires = {}
         self.doors = {}  # address -> Door
-        self.posts = []  # to other processes of the same machine
+        self.posts = []  # Unix connections to other processes of the same machine
         self.carrier = None
 
     @property
@@ -40,7 +41,7 @@
         tap.connection = self.carrier.connect(tap, address)
 
     def kill(self):
-        """The system resets what the process held."""
+        """End the process; the operating system resets its connections."""
         for wire in list(self.wires):
             wire.die()
         self.wires.clear()
@@ -51,11 +52,15 @@
         self.end()
 
     def vanish(self):
+        """Drop all traffic to and from this host, without notice to any peer."""
         self.silent = True
 
     def come_back(self, anew):
-        """What stood waiting for it arrives now. A new process knows none of the old one's connections and
-        resets each as soon as something comes on it; until then they look open."""
+        """Make the host reachable again, and deliver what was stalled.
+
+        A new process knows none of the old one's connections and resets each as soon as data arrives on it;
+        until then they look open to the peer.
+        """
         if anew:
             for wire in self.wires:
                 wire.over = wire.gone = True
@@ -64,17 +69,19 @@
                 door.close()
             self.end()
         self.begin()
-        self.net.heal()
+        self.net.retransmit_stalled()
 
 
 class VirtualTap(Tap):
+    """Fault injection on a simulated connection."""
+
     @property
     def came(self):
         return self.connection.left
 
 
 class Door:
-    """A listening address. Connections come up in the backlog and are taken in a few at a time."""
+    """A listening socket. New connections enter the backlog and are accepted a few at a time."""
 
     def __init__(self, carrier, make_machine, address, room):
         self.carrier = carrier
@@ -122,7 +129,7 @@
 
 
 class VirtualCarrier:
-    """What the driver's carrier is on sockets, for one process on one host."""
+    """The transport of one process on one host, as `net.transport.Transport` is on sockets."""
 
     def __init__(self, host, limits, log):
         self.host = host
@@ -151,7 +158,7 @@
 
 
 class VirtualDatagrams(FaultIsolation):
-    """What the driver's is on sockets: of one process, on its host's only address for datagrams."""
+    """The datagram socket of one process; a host has only one address for datagrams."""
 
     def __init__(self, carrier, machine, address):
         self.transport, self.machine, self.address = carrier, machine, address
@@ -170,12 +177,12 @@
 
 
 class Links(Ways):
-    """Between instances: datagrams in memory; streams ask here what befalls them."""
+    """The links between instances: delivers datagrams, and holds the faults that streams meet."""
 
     def __init__(self, net, chance, usual, jitter):
         super().__init__(net.clock, chance, usual, jitter)
         self.net = net
-        self.addresses = {}  # name -> where its datagrams come from, also when it is gone
+        self.addresses = {}  # name -> source address of its datagrams, kept after its process ended
 
     def arrive(self, one, other, data):
         end = self.net.mail.get(other)
@@ -185,13 +192,21 @@
             )
 
     def changed(self):
-        self.net.heal()
+        self.net.retransmit_stalled()
 
 
 class Network:
-    """Who can reach whom, and how long it takes. `same`, `cross`: ms one way inside and between zones;
-    `client`: to and from clients; `jitter`: a share of that, exponential; `hop`: what each delivery costs
-    beside the way (the system, the loop, the program)."""
+    """The reachability and latency between hosts.
+
+    Args:
+        clock: the simulated clock.
+        chance: the random generator.
+        same: one-way latency within a zone, in ms.
+        cross: one-way latency between zones, in ms.
+        client: one-way latency to and from clients, in ms.
+        jitter: mean of the exponential jitter, as a fraction of the latency.
+        hop: processing cost of each delivery (kernel, event loop, program), in ms.
+    """
 
     def __init__(self, clock, chance, same, cross, client, jitter, hop):
         self.clock = clock
@@ -205,37 +220,37 @@
         )
         self.doors = {}
         self.hosts_by_address = {}
-        self.cuts = []  # (from host name, to host name), each direction by itself
-        self.ways = []  # worse ones: (name or zone, name or zone, ms longer, share lost)
+        self.cuts = []  # (from host name, to host name), one entry per direction
+        self.ways = []  # degraded paths: (name or zone, name or zone, extra ms, loss rate)
         self.random = chance.random
-        self.stalled = []  # what waits for a way: (wire, from, to, call, args)
-        self.links = None  # between instances that know one another
+        self.stalled = []  # segments without a path: (wire, from, to, call, args)
+        self.links = None  # between instances that are peers
         self.mail = {}  # host name -> VirtualDatagrams
 
     def delay(self, one, other, resend):
-        """`resend`: ms after which what is lost goes again for the first time."""
+        """Return the one-way delay in ms; `resend` is the initial retransmission time-out in ms."""
         if one.zone is None or other.zone is None:
             base = self.client
         else:
             base = self.same if one.zone == other.zone else self.cross
         if self.ways:
-            base += self.longer(one, other, resend)
+            base += self.extra_delay(one, other, resend)
         if (
             self.links is not None
             and (way := self.links.ways.get((one.name, other.name))) is not None
         ):
-            base += way.wait_ms + self.sent_again(way.loss, resend)
+            base += way.wait_ms + self.retransmission_delay(way.loss, resend)
         if not self.jitter:
             return self.hop + base
         return self.hop + base * (1.0 + self.jitter * self.expovariate(1.0))
 
-    # TCP's retransmission time-outs, ms, doubled each time (RFC 6298): the least one on Linux, and that of a connection's first
-    # segment and its answer, of whose way nothing is known.
-    RESEND, FIRST_AGAIN = 200.0, 1000.0
-    FIRST = dict.fromkeys(("syn", "came_up", "turned_away"))
+    # TCP retransmission time-outs in ms, doubled each time (RFC 6298): the minimum on Linux, and the initial one, which
+    # holds for SYN and its answer, as no round trip has been measured yet.
+    RESEND, INITIAL_RESEND = 200.0, 1000.0
+    HANDSHAKE_STEPS = dict.fromkeys(("syn", "came_up", "on_refused"))
 
-    def longer(self, one, other, resend):
-        """What is lost on the way is sent again until it arrives."""
+    def extra_delay(self, one, other, resend):
+        """Return the extra delay of degraded paths in ms; lost segments are retransmitted until they arrive."""
         more = 0.0
         ends = (one.name, one.zone), (other.name, other.zone)
         for first, second, wait, lost in self.ways:
@@ -245,10 +260,10 @@
                 or second in ends[0]
                 and first in ends[1]
             ):
-                more += wait + self.sent_again(lost, resend)
+                more += wait + self.retransmission_delay(lost, resend)
         return more
 
-    def sent_again(self, lost, resend):
+    def retransmission_delay(self, lost, resend):
         more, again = 0.0, resend
         while lost and self.random() < lost and again < 60_000.0:
             more, again = more + again, 2 * again
@@ -267,8 +282,8 @@
             way.seen["stream held"] += 1
         return bool(way and way.cuts)
 
-    def befall(self, wire, data):
-        """What of a stream's bytes may be sent; it crawls, is reset or stands half open as its way says."""
+    def apply_stream_faults(self, wire, data):
+        """Apply the faults of a link to stream bytes: throttling, reset, half-open. Returns the bytes to send."""
         way = self.links and self.links.ways.get((wire.host.name, wire.peer.host.name))
         if not way or data is None:
             return data
@@ -276,7 +291,7 @@
             way.seen["crawled"] += 1
             wire.last = max(wire.last, self.clock.time) + len(data) * 1000 / way.crawl
         if wire.passed < 0:
-            return None  # half open: nothing passes any more
+            return None  # half-open: no more bytes pass
         if way.then and wire.passed + len(data) >= way.after:
             data, wire.passed = data[: way.after - wire.passed], -1
             way.seen["stream " + way.then] += 1
@@ -288,7 +303,7 @@
         return data
 
     def transmit(self, wire, one, to, call, *args):
-        """`to` is a host, or the address of one. Each direction of a wire keeps its order."""
+        """Deliver a segment to a host or an address; each direction of a connection keeps its order."""
         if isinstance(to, tuple):
             door = self.doors.get(to)
             other = door.host if door else self.hosts_by_address.get(to)
@@ -302,20 +317,24 @@
                 wire.peer.left = self.clock.time
             self.stalled.append((wire, one, to, call, args))
             return
-        resend = self.FIRST_AGAIN if call.__name__ in self.FIRST else self.RESEND
+        resend = (
+            self.INITIAL_RESEND
+            if call.__name__ in self.HANDSHAKE_STEPS
+            else self.RESEND
+        )
         when = self.clock.time + self.delay(one, other, resend)
         if when < wire.last:
             when = wire.last
         wire.last = when
         self.clock.put(when, call, args)
 
-    def heal(self):
-        """TCP sends again what found no way: it arrives once there is one."""
+    def retransmit_stalled(self):
+        """Retransmit the stalled segments, as TCP does; they arrive once there is a path."""
         stalled, self.stalled = self.stalled, []
         for wire, *_ in stalled:
             wire.waiting = 0
         for wire, one, to, call, args in stalled:
-            # What an earlier process had sent is not sent again, nor is a start that was given up.
+            # Segments of an ended process are not retransmitted, nor is the SYN of an abandoned connection.
             if not (wire.host is one and wire.life != one.life) and not (
                 wire.gone and call == self.syn
             ):
@@ -330,9 +349,9 @@
         self.cuts = [
             cut for cut in self.cuts if cut not in ((one, other), (other, one))
         ]
-        self.heal()
+        self.retransmit_stalled()
 
-    # The two steps of a connection's start
+    # The two steps of the TCP handshake
 
     def syn(self, wire, address):
         door = self.doors.get(address)
@@ -340,11 +359,11 @@
             return
         if door is None or not door.host.alive:
             other = self.hosts_by_address.get(address) or wire.host
-            return self.transmit(wire, other, wire.host, wire.turned_away)
+            return self.transmit(wire, other, wire.host, wire.on_refused)
         if len(door.backlog) >= door.carrier.limits.listen_backlog:
             self.clock.after(
                 1000.0, self.syn, wire, address
-            )  # dropped; the system asks again
+            )  # dropped as the backlog is full; the kernel retransmits the SYN
             return
         far = VirtualWire(door.carrier, None)
         far.peer, wire.peer = wire, far
@@ -365,33 +384,33 @@
         self.life = carrier.host.life
         self.machine = machine
         self.peer = None
-        self.up = False  # the connection stands
-        self.gone = False  # and no longer
+        self.up = False  # established
+        self.gone = False  # closed at this end
         self.is_write_blocked = False
         self.finished = False
         self.ended = False
         self.is_closing = False
         self.over = False
         self.held = False
-        self.copied = False  # another process is to have it
+        self.copied = False  # duplicated, to be passed to another process
         self.holds_descriptor = False
         self.refused = False
-        self.inbox = deque()  # bytes, or None for the end, that were not read yet
+        self.inbox = deque()  # unread bytes; None for the end of the stream
         self.unsent = deque()
-        self.on_way = 0  # bytes sent and not read by the peer
-        self.last = 0.0  # when the last thing sent arrives
-        self.came = 0.0  # when the last bytes came
-        self.left = None  # when the first that found no way left the peer
+        self.on_way = 0  # bytes sent that the peer has not read yet
+        self.last = 0.0  # arrival time of the last segment sent
+        self.came = 0.0  # arrival time of the last bytes
+        self.left = None  # when the peer sent the first segment that stalled
         self.passed = (
-            0  # bytes that a way which cuts streams off has let pass; -1: none any more
+            0  # bytes passed by a link that breaks streams off; -1: no more bytes pass
         )
-        self.waiting = 0  # things sent that found no way yet
+        self.waiting = 0  # stalled segments
 
     def count(self, on):
         self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
-    # What arrives
+    # Receiving
 
     def came_up(self):
         self.host.gate(self.life, self.connected)
@@ -412,10 +431,10 @@
         if self.inbox:
             self.host.clock.soon(self.read)
 
-    def turned_away(self):
-        self.host.gate(self.life, self.tell_refused)
+    def on_refused(self):
+        self.host.gate(self.life, self.report_refused)
 
-    def tell_refused(self):
+    def report_refused(self):
         if not self.gone:
             self.gone = self.refused = True
             self.count(False)
@@ -460,7 +479,7 @@
             self.leave()
             if (
                 self.machine is not None
-            ):  # on its way to another process: that one is told
+            ):  # None while it is passed to another process, which gets the report
                 self.tell_lost(True)
 
     def tell_lost(self, reset):
@@ -469,7 +488,7 @@
             self.guard(self.machine.lost, reset)
         self.over = True
 
-    # What is sent
+    # Sending
 
     def send(self, *parts):
         if self.open and not self.finished:
@@ -488,7 +507,7 @@
                     data = data[:room]
                 self.on_way += len(data)
                 if self.host.net.links is not None:
-                    data = self.host.net.befall(self, data)
+                    data = self.host.net.apply_stream_faults(self, data)
                     if not data:
                         continue
             self.host.net.transmit(
@@ -537,7 +556,7 @@
         self.close(reset)
 
     def close(self, reset=False):
-        """Gone at this end; bytes that were not read, or that still come, make it a reset at the other."""
+        """Close this end; bytes that are unread or still arrive cause a reset at the peer."""
         if self.gone:
             return
         if reset or any(data for data in self.inbox):
@@ -561,7 +580,7 @@
             self.host.net.transmit(self, self.host, self.peer.host, self.peer.was_reset)
 
     def die(self):
-        """Its process is gone: no callback, only the reset."""
+        """Reset the peer as this end's process has ended; no callback is made."""
         if not self.gone:
             self.over = self.gone = True
             self.reset_peer()
@@ -599,7 +618,7 @@
 
     @property
     def ms_since_receive(self):
-        """ms since the last bytes came, read or not."""
+        """Time in ms since the last bytes arrived, whether read or not."""
         return self.transport.host.clock.now() - self.came
 
     @property
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -1,5 +1,7 @@
-"""The virtual world: simulated time, hosts and a network in memory, with the carrier and the clock that the
-proxy knows. Nothing in it reads the machine's clock; all chance comes from the seed."""
+"""The virtual world: simulated time, hosts and an in-memory network, behind the proxy's transport and clock interfaces.
+
+Nothing in it reads the machine's clock, and all random draws come from the seed.
+"""
 
 import random
 
@@ -17,10 +19,10 @@
 
 
 class VirtualWorld(Outside):
-    """Hosts on one network, and the proxies on them. Gives the scene its clock, hosts and proxies."""
+    """Hosts on a simulated network and the proxies on them; provides a scene with clock, hosts and proxies."""
 
     name = "virtual"
-    opening = 1000.0  # clients come from then on: the proxies have started
+    opening = 1000.0  # ms; clients connect from then on, when the proxies have started
 
     def __init__(self, seed, network, decisions=Balancer, proxy=Proxy):
         self.clock = VirtualClock()
@@ -62,7 +64,7 @@
         return seat
 
     def peers_told(self, name, zone_of, proxies, odd):
-        """What an instance is told of its peers. `zone_of`: name -> zone, of all."""
+        """Return the peer settings of an instance; `zone_of` maps the names of all instances to zones."""
         names = list(zone_of)
         listen = f"{name}.lab", PEERS_PORT
         layout = None
@@ -103,9 +105,9 @@
         )
 
     def slack(self, script):
-        """One way and back between the farthest, and the jitter that is seldom passed."""
+        """Return the longest round trip in ms, with jitter that is rarely exceeded."""
         net = script.network
-        # A way that a script makes worse delays what was sent in time: three losses in a row, if it loses.
+        # A path that a script degrades delays what was sent in time; a lossy one by up to three losses in a row.
         worse = max(
             (
                 2 * event.wait_ms + 7 * self.net.RESEND * (event.share > 0)
@@ -132,7 +134,7 @@
         return lambda: self.net.ways.remove(way)
 
     def settle(self):
-        pass  # here a proxy has started as soon as it is there
+        pass  # a proxy has started as soon as it exists
 
     def run(self, seconds):
         if self.net.links is not None:
@@ -147,7 +149,7 @@
             self.spent = {"datagrams_s": self.datagrams_s(lasting, seconds)}
 
     def sample(self):
-        pass  # what a process holds can't be seen here: it is no process
+        pass  # there is no process whose resources could be sampled
 
     def close(self):
         pass
