--- a/wheathill/handover/sender.py
+++ b/wheathill/handover/sender.py
@@ -144,7 +144,9 @@
         self.set_timer(self.limits.handover_batch_interval_ms, self.send_sessions)
 
     def _send_descriptors_held(self) -> None:
-        descriptor_count = self.connection.transport.sockets + self.limits.own_sockets
+        descriptor_count = (
+            self.connection.transport.sockets + self.limits.non_connection_sockets
+        )
         if descriptor_count != self._reported_descriptor_count:
             self._reported_descriptor_count = descriptor_count
             self.send_message(DescriptorsHeld(descriptor_count))
--- a/wheathill/lab/scripts/run.py
+++ b/wheathill/lab/scripts/run.py
@@ -42,10 +42,10 @@
         cold_server_judge = ColdServerJudge([], {}, 0.0, **scene.cold_rule())
         for event in record.events:
             cold_server_judge.observe(*event)
-        if cold_server_judge.over is not None:
+        if cold_server_judge.largest_excess is not None:
             self.figures["fleet"] = {
-                "largest_multiple": round(cold_server_judge.largest, 2),
-                "over_cold_bound": round(cold_server_judge.over, 2),
+                "largest_multiple": round(cold_server_judge.largest_multiple, 2),
+                "over_cold_bound": round(cold_server_judge.largest_excess, 2),
             }
         if scene.script.proxies.peers:
             from wheathill.lab.judging.fleet import convergence_times
