--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -1,5 +1,7 @@
-"""A fleet of zones in the virtual world: the control part of each proxy, without sessions, on simulated datagrams and
-streams, under scripted or random faults. What must hold is looked at from outside while it runs.
+"""A fleet of zones in the virtual world, under scripted or random faults.
+
+Each member is a proxy's peer service without sessions, on simulated datagrams and streams. The sum of the quotas is
+checked from outside while the fleet runs.
 """
 
 import random
@@ -20,11 +22,11 @@
     probe_idle_timeout_ms=1000.0,
 )
 NETWORK = {"same": 1.0, "cross": 5.0, "client": 1.0, "jitter": 0.2, "hop": 0.0}
-LOOK = 100.0  # ms between two looks at the shares
+QUOTA_CHECK_INTERVAL_MS = 100.0
 
 
 class Member(Sessionless):
-    """`told`: (server, phase) -> when its peers told it so, first."""
+    """A proxy without sessions. `told`: (server, phase) -> when its peers first reported that phase."""
 
     def __init__(self, clock):
         super().__init__({}, 4.0)
@@ -32,7 +34,7 @@
         self.told = {}
 
     def list(self, peers, name, draining, started):
-        """Its own list says so."""
+        """Apply an entry of the proxy's own endpoint list."""
         server = self.servers.setdefault(name, Server(name))
         entry = peers.record_list_entry(
             name, Phase.DRAINING if draining else Phase.READY, started
@@ -40,14 +42,21 @@
         server.started_ms = entry.process_start_ms
         server.listed_phase = entry.phase
 
-    def on_peer_update(self, server, phase, born):
+    def on_peer_update(self, server, phase, process_start_ms):
+        """Record a phase that peers have reported."""
         if server.listed_phase is not phase:
             server.listed_phase = phase
             self.told.setdefault((server.name, phase.value), self.clock.now())
 
 
 class Fleet:
-    """`zones`: {zone: (region, how many)}. A member is named ZONE-N; the first two of each zone are its seeds."""
+    """The members of all zones, on simulated hosts.
+
+    `zones` is {zone: (region, number of members)}. A member is named ZONE-N; the first two of each zone are its seeds.
+    `files` is the version of the layout in each member's configuration; `layouts` are by version. `largest` is the
+    largest sum of quotas seen; `over` has (when, sum) for each check where it exceeded one. `lines` are the log events
+    of all members.
+    """
 
     def __init__(
         self,
@@ -77,14 +86,9 @@
             name: zone for zone, names in self.names.items() for name in names
         }
         self.layouts = {1: self.layout(1)}
-        self.files = dict.fromkeys(
-            self.zone_of, 1
-        )  # name -> version of the layout in its file
+        self.files = dict.fromkeys(self.zone_of, 1)
         self.hosts, self.peers, self.proxies, self.starts = {}, {}, {}, {}
-        self.largest, self.over = (
-            0.0,
-            [],
-        )  # the largest sum of shares; (when, sum) where it passed the whole
+        self.largest, self.over = 0.0, []
         self.lines = []
         for name, zone in self.zone_of.items():
             host = self.hosts[name] = VirtualHost(self.net, name, zone)
@@ -94,11 +98,11 @@
             self.lose(loss)
 
     def layout(self, version, parts=None, was=None):
-        """`parts`, `was`: {zone: its part}; by the number of members where left out."""
-        whole = sum(count for _, count in self.zones.values())
+        """Return a layout; `parts` and `was` are {zone: its quota}, by default in proportion to the members."""
+        total = sum(count for _, count in self.zones.values())
         found = []
         for zone, (region, count) in self.zones.items():
-            part = parts[zone] if parts else count / whole
+            part = parts[zone] if parts else count / total
             seeds = tuple("%s:%d" % self.address(name) for name in self.names[zone][:2])
             found.append(
                 ZoneSettings(
@@ -109,9 +113,11 @@
 
     @staticmethod
     def address(name):
+        """Return a member's address."""
         return f"{name}.lab", PEERS_PORT
 
     def start(self, name):
+        """Start a member's process."""
         zone = self.zone_of[name]
         layout = self.layouts[self.files[name]]
         listen = self.address(name)
@@ -119,7 +125,7 @@
         host = self.hosts[name]
         host.begin()
         seeds = next(each.seeds for each in layout.zones if each.name == zone)
-        told = PeerSettings(
+        settings = PeerSettings(
             name=name,
             cluster="lab",
             listen=listen,
@@ -142,7 +148,7 @@
             self.lines.append((self.clock.now(), name, event, fields))
 
         peers = self.peers[name] = create_peer_service(
-            told,
+            settings,
             PeerEnvironment(
                 proxy, VirtualCarrier(host, LIMITS, raise_fault), host.clock, log
             ),
@@ -152,98 +158,109 @@
         host.clock.soon(peers.start)
 
     def start_all(self, within=1000.0):
+        """Start all members at random times within so many ms."""
         for name in self.zone_of:
             self.clock.after(self.random.uniform(0.0, within), self.start, name)
 
     def kill(self, name):
-        """Its machine says that the process is gone: connections to it are refused."""
+        """Kill a member's process; its host refuses connections from then on."""
         self.hosts[name].kill()
         self.net.mail.pop(name, None)
         self.peers.pop(name, None)
         self.proxies.pop(name, None)
 
     def pairs(self, ones):
+        """Return the links between some members and all others."""
         others = [name for name in self.zone_of if name not in ones]
         return self.ways.between(ones, others, one_way=False)
 
     def of_region(self, region):
+        """Return the names of a region's members."""
         return [
             name for name, zone in self.zone_of.items() if self.zones[zone][0] == region
         ]
 
     def cut(self, ones, on=True):
+        """Partition some members from all others, or end that."""
         self.ways.cut(self.pairs(dict.fromkeys(ones)), on)
 
     def lose(self, loss):
+        """Set the share of datagrams that is lost on every link."""
         names = list(self.zone_of)
         self.ways.change(self.ways.between(names, names, one_way=True), {"loss": loss})
 
     def trouble(self, seconds, restarts=1.0, cuts=True):
-        """Random faults, a second apart in the mean: processes that are killed and come back, some at once and some a while
-        later, whole zones among them; regions and parts of a zone that are cut off for a while."""
+        """Run for so many seconds with random faults, one second apart in the mean.
+
+        Processes or all processes of a zone are killed, and restarted at once or some time later; regions, zones and
+        parts of a zone are partitioned from all others for a while.
+        """
         end = self.clock.now() + seconds * 1000
-        chance = self.random
+        rng = self.random
         regions = list(dict.fromkeys(region for region, _ in self.zones.values()))
         while self.clock.now() < end:
-            self.run(chance.expovariate(1.0))
-            what = chance.random()
-            if what < 0.75:
-                zone = chance.choice(list(self.zones))
+            self.run(rng.expovariate(1.0))
+            fault = rng.random()
+            if fault < 0.75:
+                zone = rng.choice(list(self.zones))
                 names = (
-                    self.names[zone]
-                    if what < 0.1
-                    else chance.sample(self.names[zone], 1)
+                    self.names[zone] if fault < 0.1 else rng.sample(self.names[zone], 1)
                 )
                 for name in names:
                     if name in self.peers:
                         self.kill(name)
                         self.clock.after(
-                            chance.choice((50.0, 1500.0, 15_000.0))
-                            * chance.uniform(0.5, 1.5)
+                            rng.choice((50.0, 1500.0, 15_000.0))
+                            * rng.uniform(0.5, 1.5)
                             / restarts,
                             self.start,
                             name,
                         )
             elif cuts:
-                zone = chance.choice(list(self.zones))
+                zone = rng.choice(list(self.zones))
                 within = self.names[zone]
-                names = chance.choice(
+                names = rng.choice(
                     (
-                        self.of_region(chance.choice(regions)),
+                        self.of_region(rng.choice(regions)),
                         within,
-                        chance.sample(within, chance.randint(1, len(within))),
+                        rng.sample(within, rng.randint(1, len(within))),
                     )
                 )
                 self.cut(names)
-                self.clock.after(
-                    chance.uniform(500.0, 20_000.0), self.cut, names, False
-                )
+                self.clock.after(rng.uniform(500.0, 20_000.0), self.cut, names, False)
 
-    # Running and looking
+    # Running and observing
 
     def run(self, seconds):
+        """Let simulated time pass, and check the quotas."""
         end = self.clock.now() + seconds * 1000
         while self.clock.now() < end:
-            self.clock.run(min(end, self.clock.now() + LOOK))
-            self.look()
+            self.clock.run(min(end, self.clock.now() + QUOTA_CHECK_INTERVAL_MS))
+            self.check_quotas()
 
-    def look(self):
+    def check_quotas(self):
+        """Record the sum of the quotas that the members apply."""
         total = sum(peers.applied_quota or 0.0 for peers in self.peers.values())
         self.largest = max(self.largest, total)
         if total > 1.0 + 1e-9:
             self.over.append((self.clock.now(), total))
 
     def states(self, names=None):
+        """Return how many members report each (zone state, region state, fleet state)."""
         found = {}
         for name in [name for name in names or self.peers if name in self.peers]:
             peers = self.peers[name]
-            mine, directory = peers.zone_state(), peers.zone_directory
-            state = mine, directory.region_state(mine), directory.fleet_state(mine)
+            zone_state, directory = peers.zone_state(), peers.zone_directory
+            state = (
+                zone_state,
+                directory.region_state(zone_state),
+                directory.fleet_state(zone_state),
+            )
             found[state] = found.get(state, 0) + 1
         return found
 
     def until(self, holds, most):
-        """Seconds until `holds()`, None where that takes longer than `most`."""
+        """Run until `holds()`; return the seconds it took, None if it took more than `most`."""
         began = self.clock.now()
         while not holds():
             if self.clock.now() - began >= most * 1000:
@@ -252,10 +269,11 @@
         return (self.clock.now() - began) / 1000
 
     def all_agree(self):
+        """Whether all members report that zone, region and fleet have converged."""
         return list(self.states()) == [("agreed", "agreed", "agreed")]
 
     def change(self, server, at, draining=True, started=0.0):
-        """A drain is told to one, as by its list; all others know the server as ready."""
+        """Change a server's phase in one member's list, and return when; the others list the server as ready."""
         for name, peers in self.peers.items():
             proxy = self.proxies[name]
             if name != at and server not in proxy.servers:
@@ -265,16 +283,16 @@
         return self.clock.now()
 
     def in_force(self, server, since, names=None, draining=True):
-        """Seconds after `since`, of each that was told; who was not is missing."""
-        what = server, "draining" if draining else "ready"
+        """Return after how many seconds each member was told of a change, without those that were not."""
+        key = server, "draining" if draining else "ready"
         return [
-            (proxy.told[what] - since) / 1000
+            (proxy.told[key] - since) / 1000
             for name, proxy in self.proxies.items()
-            if what in proxy.told and (names is None or name in names)
+            if key in proxy.told and (names is None or name in names)
         ]
 
     def rates(self, seconds):
-        """Bytes and messages sent a second, of each, over the next seconds."""
+        """Return (bytes, datagrams) that each member sends per second, over the next seconds."""
         before = {
             name: (
                 peers.transport.metrics.bytes_sent,
