--- a/tests/exactness/cores.py
+++ b/tests/exactness/cores.py
@@ -72,20 +72,25 @@
     """Zones under restarts, cuts and loss, then a drain issued at one member."""
     fleet = Fleet(ZONES, seed, loss=0.02)
     fleet.start_all()
-    settled_s = fleet.until(fleet.all_agree, 60.0)
+    settled_s = fleet.run_until(fleet.has_converged, 60.0)
     rest = fleet.rates(5.0)
-    fleet.trouble(20.0)
-    fleet.cut(fleet.of_region("b"))
+    fleet.inject_random_faults(20.0)
+    fleet.cut(fleet.names_in_region("b"))
     fleet.run(5.0)
-    fleet.cut(fleet.of_region("b"), on=False)
-    agreed_s = fleet.until(fleet.all_agree, 90.0)
+    fleet.cut(fleet.names_in_region("b"), on=False)
+    agreed_s = fleet.run_until(fleet.has_converged, 90.0)
     issued_ms = fleet.change("s1", next(iter(fleet.peers)))
     fleet.run(10.0)
     return {
-        "shown": [settled_s, agreed_s, fleet.largest, len(fleet.over)],
+        "shown": [
+            settled_s,
+            agreed_s,
+            fleet.largest_quota_sum,
+            len(fleet.quota_overruns),
+        ],
         "rates": [list(rates) for rates in rest.values()],
         "after": [list(rates) for rates in fleet.rates(5.0).values()],
-        "in force": fleet.in_force("s1", issued_ms),
+        "in force": fleet.propagation_times_s("s1", issued_ms),
         "noted": [[line[0], line[1]] for line in fleet.lines],
     }
 
--- a/tests/test_zone_names.py
+++ b/tests/test_zone_names.py
@@ -14,7 +14,7 @@
     fleet = Fleet(ZONES, seed, loss=loss)
     fleet.start_all()
     fleet.run(3)
-    assert fleet.until(fleet.all_agree, 20) is not None
+    assert fleet.run_until(fleet.has_converged, 20) is not None
     return fleet
 
 
@@ -69,7 +69,7 @@
     since = fleet.change("g", new[0])
     fleet.run(6)
     assert (
-        len(fleet.in_force("g", since)) == len(new) - 1
+        len(fleet.propagation_times_s("g", since)) == len(new) - 1
     )  # the others don't know the zone that says so
     # Whoever is given the new file hears the new name, and what was told there.
     for name in [
@@ -77,9 +77,9 @@
         *(name for zone in ("a1", "a2", "b1") for name in fleet.names[zone]),
     ]:
         restart(fleet, name, 2, "d1" if name in old else None)
-    assert fleet.until(fleet.all_agree, 60) is not None
+    assert fleet.run_until(fleet.has_converged, 60) is not None
     assert (
-        fleet.until(
+        fleet.run_until(
             lambda: all(
                 peers.server_records.is_draining("g", 0.0)
                 for peers in fleet.peers.values()
@@ -89,9 +89,9 @@
         is not None
     )
     assert (
-        fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
+        fleet.run_until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
         is not None
-        and fleet.over == []
+        and fleet.quota_overruns == []
     )
 
 
@@ -106,12 +106,12 @@
         if zone != "d1":
             fleet.start(name)
     fleet.run(15)
-    assert fleet.over == []
+    assert fleet.quota_overruns == []
     for name in fleet.names["d1"]:
         fleet.files[name] = 2
         fleet.start(name)
     fleet.run(15)
-    assert fleet.largest == pytest.approx(1.0 + PARTS["c1"])
+    assert fleet.largest_quota_sum == pytest.approx(1.0 + PARTS["c1"])
 
 
 @pytest.mark.parametrize("seed, loss", [(1, 0.0), (2, 0.02), (3, 0.25)])
@@ -132,22 +132,22 @@
             for peers in fleet.peers.values()
         )
 
-    assert fleet.until(through, 60) is not None
+    assert fleet.run_until(through, 60) is not None
     for name in fleet.names["c1"]:
         restart(fleet, name, 2, "d1")
 
     def whole():
         return shares(fleet, fleet.zone_of) == pytest.approx(1.0)
 
-    assert fleet.until(whole, 60) is not None and shares(
+    assert fleet.run_until(whole, 60) is not None and shares(
         fleet, fleet.names["c1"]
     ) == pytest.approx(PARTS["c1"])
     last = {name: part for name, part in both.items() if name != "c1"}
     fleet.layouts[3] = renamed(fleet, 3, last, last)
     for name in list(fleet.zone_of):
         restart(fleet, name, 3)
-    assert fleet.until(lambda: fleet.all_agree() and whole(), 60) is not None
-    assert fleet.over == [], fleet.over[:3]
+    assert fleet.run_until(lambda: fleet.has_converged() and whole(), 60) is not None
+    assert fleet.quota_overruns == [], fleet.quota_overruns[:3]
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
@@ -165,14 +165,15 @@
         len(fleet.peers[name].membership.active_members()) == 4 for name in right
     )
     assert (
-        fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
+        fleet.run_until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
         is not None
     )
     assert shares(fleet, right) == pytest.approx(PARTS["a1"] * 4 / 5)
     since = fleet.change("g", wrong)
     fleet.run(6)
     assert (
-        len(fleet.in_force("g", since)) == 17 and max(fleet.in_force("g", since)) < 6.0
+        len(fleet.propagation_times_s("g", since)) == 17
+        and max(fleet.propagation_times_s("g", since)) < 6.0
     )
     # A cut of the region where it stands parts it from its zone, and not from its neighbours: it is cut off.
     region = [*fleet.names["a1"], *fleet.names["a2"]]
@@ -184,13 +185,13 @@
     }
     fleet.cut(region, False)
     assert (
-        fleet.until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
+        fleet.run_until(lambda: shares(fleet, met) == pytest.approx(PARTS["b1"]), 30)
         is not None
     )
-    assert fleet.over == [], fleet.over[:3]
+    assert fleet.quota_overruns == [], fleet.quota_overruns[:3]
     # With its file put right it leaves the zone that it was never in, which knows so though its address answers.
     restart(fleet, wrong, 1, "a1")
-    assert fleet.until(fleet.all_agree, 30) is not None, fleet.states()
+    assert fleet.run_until(fleet.has_converged, 30) is not None, fleet.states()
     fleet.run(5)
     assert all(
         len(fleet.peers[name].membership.active_members()) == 5
@@ -198,7 +199,7 @@
         for name in fleet.names[zone]
     )
     assert (
-        fleet.until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
+        fleet.run_until(lambda: shares(fleet, fleet.zone_of) == pytest.approx(1.0), 30)
         is not None
     )
-    assert fleet.over == [], fleet.over[:3]
+    assert fleet.quota_overruns == [], fleet.quota_overruns[:3]
--- a/tests/test_zones.py
+++ b/tests/test_zones.py
@@ -515,11 +515,11 @@
 def test_all_agree_and_a_change_is_in_force_everywhere(loss):
     fleet = small(1, loss=loss)
     fleet.run(2)
-    assert fleet.until(fleet.all_agree, 20) is not None
-    assert abs(fleet.largest - 1.0) < 1e-9 and fleet.over == []
+    assert fleet.run_until(fleet.has_converged, 20) is not None
+    assert abs(fleet.largest_quota_sum - 1.0) < 1e-9 and fleet.quota_overruns == []
     since = fleet.change("g1", "b1-2")
     fleet.run(6)
-    times = fleet.in_force("g1", since)
+    times = fleet.propagation_times_s("g1", since)
     assert (
         len(times) == 17 and max(times) < 6.0
     )  # all but the one that was told by its list
@@ -607,7 +607,7 @@
 def test_a_region_that_is_cut_off_goes_on_as_a_region_and_both_sides_meet_again():
     fleet = small(2, loss=0.1)
     fleet.run(5)
-    region = fleet.of_region("a")
+    region = fleet.names_in_region("a")
     rest = [name for name in fleet.peers if name not in region]
     before = {name: peers.applied_quota for name, peers in fleet.peers.items()}
     fleet.cut(region)
@@ -620,12 +620,12 @@
     assert {name: peers.applied_quota for name, peers in fleet.peers.items()} == before
     inside, outside = fleet.change("in", region[0]), fleet.change("out", rest[0])
     fleet.run(6)
-    assert len(fleet.in_force("in", inside, region)) == len(
+    assert len(fleet.propagation_times_s("in", inside, region)) == len(
         region
-    ) - 1 and not fleet.in_force("in", inside, rest)
-    assert len(fleet.in_force("out", outside, rest)) == len(
+    ) - 1 and not fleet.propagation_times_s("in", inside, rest)
+    assert len(fleet.propagation_times_s("out", outside, rest)) == len(
         rest
-    ) - 1 and not fleet.in_force("out", outside, region)
+    ) - 1 and not fleet.propagation_times_s("out", outside, region)
     assert all(
         peers.accepts_evidence_from(other)
         for other in region[:4]
@@ -634,9 +634,12 @@
     fleet.cut(region, False)
     healed = fleet.clock.now()
     fleet.run(6)
-    assert len(fleet.in_force("in", healed, rest)) == len(rest)
-    assert len(fleet.in_force("out", healed, region)) == len(region)
-    assert fleet.until(fleet.all_agree, 20) is not None and fleet.over == []
+    assert len(fleet.propagation_times_s("in", healed, rest)) == len(rest)
+    assert len(fleet.propagation_times_s("out", healed, region)) == len(region)
+    assert (
+        fleet.run_until(fleet.has_converged, 20) is not None
+        and fleet.quota_overruns == []
+    )
 
 
 def test_a_whole_zone_restarted_knows_what_was_told_before():
@@ -657,7 +660,10 @@
         fleet.peers[name].server_records.is_draining("g", 0.0)
         for name in fleet.names["a1"]
     )
-    assert fleet.until(fleet.all_agree, 20) is not None and fleet.over == []
+    assert (
+        fleet.run_until(fleet.has_converged, 20) is not None
+        and fleet.quota_overruns == []
+    )
 
 
 @pytest.mark.parametrize("seed", range(3))
@@ -679,7 +685,7 @@
             == 1
         )
 
-    took = fleet.until(alike, 60)
+    took = fleet.run_until(alike, 60)
     assert took is not None and took < 12, took
 
 
@@ -695,7 +701,10 @@
     }
     assert len(sets) == 2
     fleet.cut(some, False)
-    assert fleet.until(fleet.all_agree, 30) is not None and fleet.over == []
+    assert (
+        fleet.run_until(fleet.has_converged, 30) is not None
+        and fleet.quota_overruns == []
+    )
 
 
 def test_one_zone_far_larger_than_the_rest():
@@ -704,10 +713,13 @@
     )
     fleet.start_all()
     fleet.run(4)
-    assert fleet.until(fleet.all_agree, 60) is not None and fleet.over == []
+    assert (
+        fleet.run_until(fleet.has_converged, 60) is not None
+        and fleet.quota_overruns == []
+    )
     since = fleet.change("g", "z-0")
     fleet.run(6)
-    assert len(fleet.in_force("g", since)) == 64
+    assert len(fleet.propagation_times_s("g", since)) == 64
     rates = fleet.rates(10)
     assert max(rates[name][0] for name in ("x-0", "y-0", "z-0")) < 3000
 
@@ -718,7 +730,7 @@
         fleet = Fleet({f"z{place}": (f"r{place}", 6) for place in range(count)}, 6)
         fleet.start_all()
         fleet.run(30)
-        assert fleet.all_agree()
+        assert fleet.has_converged()
         rates = fleet.rates(20)
         ordinary = [
             rate
@@ -734,7 +746,7 @@
     """Processes killed and started, zones lost, regions and parts of zones cut off, and a part moved meanwhile."""
     fleet = small(seed, loss=(0.0, 0.05, 0.25)[seed % 3])
     fleet.run(3)
-    fleet.trouble(20)
+    fleet.inject_random_faults(20)
     parts = dict(zip(fleet.zones, (0.1, 0.4, 0.2, 0.3)))
     was = {zone.name: zone.quota for zone in fleet.layouts[1].zones}
     fleet.layouts[2] = fleet.layout(2, parts, was)
@@ -748,13 +760,13 @@
             fleet.kill(name)
             fleet.clock.after(200.0, fleet.start, name)
         if place % 3 == 0:
-            fleet.trouble(1)
-    fleet.trouble(10)
+            fleet.inject_random_faults(1)
+    fleet.inject_random_faults(10)
     fleet.run(40)  # cuts are over by then, and all have come back
-    assert fleet.over == [], fleet.over[:3]
-    assert len(fleet.peers) == 18 and fleet.until(fleet.all_agree, 30) is not None, (
-        fleet.states()
-    )
+    assert fleet.quota_overruns == [], fleet.quota_overruns[:3]
+    assert (
+        len(fleet.peers) == 18 and fleet.run_until(fleet.has_converged, 30) is not None
+    ), fleet.states()
     for name, peers in fleet.peers.items():
         assert abs(peers.zone_quota.quota() - parts[fleet.zone_of[name]]) < 1e-9
     assert abs(sum(peers.applied_quota for peers in fleet.peers.values()) - 1.0) < 1e-9
--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -53,8 +53,8 @@
     """The members of all zones, on simulated hosts.
 
     `zones` is {zone: (region, number of members)}. A member is named ZONE-N; the first two of each zone are its seeds.
-    `files` is the version of the layout in each member's configuration; `layouts` are by version. `largest` is the
-    largest sum of quotas seen; `over` has (when, sum) for each check where it exceeded one. `lines` are the log events
+    `files` is the version of the layout in each member's configuration; `layouts` are by version. `largest_quota_sum` is the
+    largest sum of quotas seen; `quota_overruns` has (when, sum) for each check where it exceeded one. `lines` are the log events
     of all members.
     """
 
@@ -88,7 +88,7 @@
         self.layouts = {1: self.layout(1)}
         self.files = dict.fromkeys(self.zone_of, 1)
         self.hosts, self.peers, self.proxies, self.starts = {}, {}, {}, {}
-        self.largest, self.over = 0.0, []
+        self.largest_quota_sum, self.quota_overruns = 0.0, []
         self.lines = []
         for name, zone in self.zone_of.items():
             host = self.hosts[name] = VirtualHost(self.net, name, zone)
@@ -174,7 +174,7 @@
         others = [name for name in self.zone_of if name not in ones]
         return self.ways.between(ones, others, one_way=False)
 
-    def of_region(self, region):
+    def names_in_region(self, region):
         """Return the names of a region's members."""
         return [
             name for name, zone in self.zone_of.items() if self.zones[zone][0] == region
@@ -189,7 +189,7 @@
         names = list(self.zone_of)
         self.ways.change(self.ways.between(names, names, one_way=True), {"loss": loss})
 
-    def trouble(self, seconds, restarts=1.0, cuts=True):
+    def inject_random_faults(self, seconds, restarts=1.0, cuts=True):
         """Run for so many seconds with random faults, one second apart in the mean.
 
         Processes or all processes of a zone are killed, and restarted at once or some time later; regions, zones and
@@ -221,7 +221,7 @@
                 within = self.names[zone]
                 names = rng.choice(
                     (
-                        self.of_region(rng.choice(regions)),
+                        self.names_in_region(rng.choice(regions)),
                         within,
                         rng.sample(within, rng.randint(1, len(within))),
                     )
@@ -241,9 +241,9 @@
     def check_quotas(self):
         """Record the sum of the quotas that the members apply."""
         total = sum(peers.applied_quota or 0.0 for peers in self.peers.values())
-        self.largest = max(self.largest, total)
+        self.largest_quota_sum = max(self.largest_quota_sum, total)
         if total > 1.0 + 1e-9:
-            self.over.append((self.clock.now(), total))
+            self.quota_overruns.append((self.clock.now(), total))
 
     def states(self, names=None):
         """Return how many members report each (zone state, region state, fleet state)."""
@@ -259,7 +259,7 @@
             found[state] = found.get(state, 0) + 1
         return found
 
-    def until(self, holds, most):
+    def run_until(self, holds, most):
         """Run until `holds()`; return the seconds it took, None if it took more than `most`."""
         began = self.clock.now()
         while not holds():
@@ -268,7 +268,7 @@
             self.run(0.1)
         return (self.clock.now() - began) / 1000
 
-    def all_agree(self):
+    def has_converged(self):
         """Whether all members report that zone, region and fleet have converged."""
         return list(self.states()) == [("agreed", "agreed", "agreed")]
 
@@ -282,7 +282,7 @@
         self.proxies[at].list(self.peers[at], server, draining, started)
         return self.clock.now()
 
-    def in_force(self, server, since, names=None, draining=True):
+    def propagation_times_s(self, server, since, names=None, draining=True):
         """Return after how many seconds each member was told of a change, without those that were not."""
         key = server, "draining" if draining else "ready"
         return [
