--- a/wheathill/lab/cores/membership_cluster.py
+++ b/wheathill/lab/cores/membership_cluster.py
@@ -1,7 +1,7 @@
 """Clusters in the virtual world: the real membership on simulated datagrams.
 
-They measure how long it takes until a death is known, who is declared dead without
-being so, and what that costs in messages.
+They measure how long it takes until a death is known, which members are wrongly declared
+dead, and how many messages that takes.
 """
 
 import random
@@ -27,7 +27,7 @@
     encode_message,
 )
 
-# Of any instance: name, address and generation are replaced by its own.
+# Each instance replaces name, address and generation by its own.
 DEFAULT_CONFIG = MembershipConfig(
     name="",
     address="",
@@ -44,24 +44,24 @@
     max_dial_timeout_ms=1000.0,
     probe_idle_timeout_ms=1000.0,
 )
-# The datagrams' own faults are those of `DatagramFaults`.
+# Faults of datagrams are decided by `DatagramFaults`.
 NETWORK = {"same": 1.0, "cross": 1.0, "client": 1.0, "jitter": 0.0, "hop": 0.0}
 
 
 class SimulatedInstance:
-    """One process on one host: what membership asks for, in simulated time.
+    """One process on one host: the effects of its membership, in simulated time.
 
     Attributes:
-        host: Where it runs.
-        membership: The real one.
-        sent: Messages so far.
-        fallback_probes: Those that it began so far.
+        host: The host of the process.
+        membership: Its membership, the same code as in a proxy.
+        sent: Number of messages sent.
+        fallback_probes: Number of fallback probes started.
     """
 
     def __init__(
         self, cluster: "MembershipCluster", host: VirtualHost, start: int
     ) -> None:
-        """Make the process of `host` that is its `start`-th."""
+        """Create the `start`-th process of `host`."""
         self.host = host
         self._cluster = cluster
         self._clock = host.clock
@@ -84,7 +84,7 @@
         self._endpoint.send(address, data)
 
     def start_fallback_probe(self, probe: FallbackProbe) -> None:
-        """Probe in simulated time."""
+        """Start a fallback probe in simulated time."""
 
         def on_result(result: ProbeResult) -> None:
             self.membership.on_fallback_probe_result(self._clock.now(), probe, result)
@@ -103,7 +103,7 @@
         member: Member,
         previous_state: MemberState | None,
     ) -> None:
-        """Let the cluster judge the change."""
+        """Report the change to the cluster."""
         self._cluster.on_member_changed(self, member)
 
     def log(self, text: str) -> None:
@@ -129,20 +129,20 @@
 
 
 class MembershipCluster:
-    """Some instances, the first of which is the seed of all.
+    """Several instances; the first is the seed of all.
 
     Attributes:
-        config: Of all instances, but for name, address and generation.
-        claims: Host name -> another name than its own, that its process goes by.
-        faults: Of the datagrams.
-        hosts: By name.
+        config: Of all instances, except name, address and generation.
+        claims: Host name -> the different name that its process uses.
+        faults: Faults of the datagrams.
+        hosts: Hosts by name.
         instances: The last process of each host, by the host's name.
-        lines: The log lines of all.
-        ended_ms: Host name -> since when its process has really ended.
+        lines: The log lines of all instances.
+        ended_ms: Host name -> when its process ended.
         paused: Names of the hosts whose process is stopped, which is no death.
         deaths_found_ms: Host that has ended -> {instance: when it declared it dead}.
-        false_deaths: Those that were declared.
-        false_suspicions: How many there were.
+        false_deaths: Running members that were declared dead.
+        false_suspicions: Number of suspicions of running members.
     """
 
     def __init__(
@@ -154,7 +154,7 @@
         faults: dict[str, float] | None = None,
         **config: Any,  # noqa: ANN401 - of `MembershipConfig`
     ) -> None:
-        """Start `count` instances; `faults` and `config` differ from what is usual."""
+        """Start `count` instances; `faults` and `config` override the defaults."""
         # Only here, so that what reads this module's names needs no encoder.
         import msgspec
 
@@ -224,7 +224,7 @@
         self.paused.add(name)
 
     def resume(self, name: str) -> None:
-        """Let a stopped process go on."""
+        """Resume a stopped process."""
         self.hosts[name].resume()
         self.paused.remove(name)
 
@@ -233,7 +233,7 @@
         self.clock.run(self.clock.now() + seconds * 1000)
 
     def on_member_changed(self, observer: SimulatedInstance, member: Member) -> None:
-        """Judge what a running instance now holds a member to be."""
+        """Compare the state that a running instance now holds with the truth."""
         name = observer.host.name
         if name in self.ended_ms or name in self.paused:
             return
@@ -301,12 +301,12 @@
     """How well deaths were detected in clusters of one size at one loss.
 
     Attributes:
-        instances: In each cluster.
+        instances: Number in each cluster.
         loss: Share of the datagrams that were lost.
         first_ms: Median time from a death until the first instance knew it.
         all_ms: Median time until all knew it, infinite where some never did.
-        false_deaths: Declared in all clusters.
-        false_suspicions: In all clusters.
+        false_deaths: Number in all clusters.
+        false_suspicions: Number in all clusters.
         instance_hours: Simulated time in which these were counted.
         messages: Median of the messages that an instance sends a second.
     """
--- a/wheathill/lab/cores/store_cluster.py
+++ b/wheathill/lab/cores/store_cluster.py
@@ -1,7 +1,7 @@
 """Members with replicas of the store in the virtual environment, under random faults.
 
-Whatever happens, they must converge to the same digest. Each member has a disk: what
-its replica wrote, of which a restart finds what was synced. A member may be killed,
+After all faults they must converge to the same digest. Each member has a disk with what
+its replica wrote; a restart finds what was synced. A member may be killed,
 paused, partitioned in one direction or both, restarted from an old copy of its disk, or
 kept away for longer than tombstones live.
 """
@@ -35,7 +35,7 @@
     max_dial_timeout_ms=1000.0,
     probe_idle_timeout_ms=1000.0,
 )
-# All latencies are those of the faults, none of the environment's own.
+# All latencies come from `DatagramFaults`, none from the environment.
 HOP_LATENCIES_MS = {
     "same": 1.0,
     "cross": 1.0,
@@ -66,7 +66,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoggedVectors:
-    """What the changes before it bring a replica to."""
+    """The vectors of a replica after the changes before it."""
 
     version_vector: VersionVector
     collected_vector: VersionVector
@@ -94,7 +94,7 @@
         )
 
     def drop_unsynced(self) -> None:
-        """Lose what a kill loses."""
+        """Drop the records that a kill loses."""
         del self.records[self.synced_count :]
 
 
@@ -256,7 +256,8 @@
         names = list(self.hosts)
         fault = self.rng.randrange(len(FAULTS))
         FAULTS[fault](self, self.rng.choice(names))
-        # Who is away for long does not count: tombstones go without it.
+        # Absent members may be left out, as in a long absence: tombstones are collected
+        # without waiting for them.
         without_absent = self.rng.random() < 0.5
         self.collection_members = (
             [name for name in names if name in self.members]
