--- a/wheathill/lab/worlds/network.py
+++ b/wheathill/lab/worlds/network.py
@@ -25,18 +25,23 @@
 
     @property
     def where(self):
+        """The address that this host listens on."""
         return f"{self.name}.lab", 9000
 
     def address(self, proxy=None):
+        """Return the address that is given to proxies."""
         return "%s:%d" % self.where
 
     def listen(self, take):
+        """Accept connections; `take` is called with each one."""
         self.carrier.listen(lambda wire: take(wire, None), self.where, lambda: True)
 
     def tap(self, machine, wire, peer=None):
+        """Return a tap between a connection and its state machine."""
         return VirtualTap(self, machine, wire)
 
     def dial(self, machine, address, peer=None):
+        """Connect a state machine to an address."""
         tap = self.tap(machine, None)
         tap.connection = self.carrier.connect(tap, address)
 
@@ -77,6 +82,7 @@
 
     @property
     def came(self):
+        """When the peer sent the first segment that stalled, if any did."""
         return self.connection.left
 
 
@@ -96,18 +102,22 @@
 
     @property
     def waiting(self):
+        """Whether connections are in the backlog."""
         return bool(self.backlog)
 
     def came(self, wire):
+        """Add a new connection to the backlog."""
         self.backlog.append(wire)
         self.look()
 
     def look(self, wait=0.0):
+        """Schedule an accept after a delay in ms, unless one is due."""
         if not self.due:
             self.due = True
             self.host.clock.after(wait, self.accept)
 
     def accept(self):
+        """Accept a batch of connections, and schedule the next one if some are left."""
         self.due = False
         for _ in range(self.carrier.limits.accepts_per_turn):
             if not self.backlog:
@@ -121,6 +131,7 @@
             self.look()
 
     def close(self):
+        """Stop listening, and reset the connections in the backlog."""
         self.host.doors.pop(self.address, None)
         if self.host.net.doors.get(self.address) is self:
             del self.host.net.doors[self.address]
@@ -140,12 +151,15 @@
 
     @property
     def free(self):
+        """The number of descriptors left beside the reserved ones."""
         return self.limits.max_sockets - self.limits.reserved_sockets - self.sockets
 
     def listen(self, make_machine, address, room):
+        """Listen at an address."""
         return Door(self, make_machine, tuple(address), room)
 
     def connect(self, machine, address, source=None):
+        """Start a connection; its outcome is reported to the state machine."""
         wire = VirtualWire(self, machine)
         wire.count(True)
         self.host.net.transmit(
@@ -154,6 +168,7 @@
         return wire
 
     def bind_datagram_socket(self, machine, address):
+        """Return a datagram socket bound to an address."""
         return VirtualDatagrams(self, machine, tuple(address))
 
 
@@ -167,11 +182,13 @@
         self.host.net.hosts_by_address[address] = self.host
 
     def send(self, data, address):
+        """Send a datagram; it is dropped if nobody has the address."""
         other = self.host.net.hosts_by_address.get(tuple(address))
         if other is not None and not self.host.silent:
             self.host.net.links.pass_on(self.host.name, other.name, bytes(data))
 
     def close(self):
+        """Close the socket."""
         if self.host.net.mail.get(self.host.name) is self:
             del self.host.net.mail[self.host.name]
 
@@ -185,6 +202,7 @@
         self.addresses = {}  # name -> source address of its datagrams, kept after its process ended
 
     def arrive(self, one, other, data):
+        """Deliver a datagram to its destination, if that still has a socket."""
         end = self.net.mail.get(other)
         if end is not None and not end.host.silent:
             end.host.gate(
@@ -192,6 +210,7 @@
             )
 
     def changed(self):
+        """Retransmit stalled segments after a fault began or ended."""
         self.net.retransmit_stalled()
 
 
@@ -264,12 +283,14 @@
         return more
 
     def retransmission_delay(self, lost, resend):
+        """Return the delay in ms that losses add to one segment."""
         more, again = 0.0, resend
         while lost and self.random() < lost and again < 60_000.0:
             more, again = more + again, 2 * again
         return more
 
     def blocked(self, one, other):
+        """Return whether nothing gets from one host to another."""
         if (
             one.silent
             or other.silent
@@ -341,11 +362,13 @@
                 self.transmit(wire, one, to, call, *args)
 
     def cut(self, one, other, both=True):
+        """Cut the path between two hosts, in one direction or both."""
         self.cuts.append((one, other))
         if both:
             self.cuts.append((other, one))
 
     def mend(self, one, other):
+        """Restore the path between two hosts."""
         self.cuts = [
             cut for cut in self.cuts if cut not in ((one, other), (other, one))
         ]
@@ -354,6 +377,7 @@
     # The two steps of the TCP handshake
 
     def syn(self, wire, address):
+        """Handle a SYN at the listening host."""
         door = self.doors.get(address)
         if wire.gone:
             return
@@ -407,15 +431,18 @@
         self.waiting = 0  # stalled segments
 
     def count(self, on):
+        """Count or release the descriptor of this end."""
         self.transport.sockets += on - self.holds_descriptor
         self.holds_descriptor = on
 
     # Receiving
 
     def came_up(self):
+        """Handle the answer to the SYN."""
         self.host.gate(self.life, self.connected)
 
     def connected(self):
+        """Report an established connection to the state machine."""
         if self.gone:
             return
         self.up = True
@@ -425,6 +452,7 @@
         self.guard(self.machine.connected)
 
     def accepted(self, make_machine):
+        """Attach a state machine to an accepted connection."""
         self.machine = make_machine(self)
         self.count(True)
         self.guard(self.machine.connected)
@@ -432,15 +460,18 @@
             self.host.clock.soon(self.read)
 
     def on_refused(self):
+        """Handle a refused SYN."""
         self.host.gate(self.life, self.report_refused)
 
     def report_refused(self):
+        """Report a refused connection to the state machine."""
         if not self.gone:
             self.gone = self.refused = True
             self.count(False)
-            self.tell_lost(False)
+            self.report_lost(False)
 
     def arrive(self, data):
+        """Receive bytes, or None for the end of the stream."""
         if self.gone:
             return self.reset_peer()
         self.came = self.host.net.clock.time
@@ -449,6 +480,7 @@
             self.host.gate(self.life, self.read)
 
     def read(self):
+        """Pass received bytes to the state machine until it pauses."""
         while self.inbox and not self.held and not self.gone:
             data = self.inbox.popleft()
             if data is None:
@@ -462,6 +494,7 @@
                     self.guard(self.machine.received, memoryview(data))
 
     def eof(self):
+        """Handle the end of the stream."""
         if not self.ended and not self.is_closing:
             self.ended = True
             self.guard(self.machine.ended)
@@ -469,20 +502,23 @@
         if self.finished and not self.gone:
             self.close()
             if not self.over:
-                self.host.clock.soon(self.tell_lost, False)
+                self.host.clock.soon(self.report_lost, False)
 
     def was_reset(self):
-        self.host.gate(self.life, self.take_reset)
+        """Handle a reset by the peer."""
+        self.host.gate(self.life, self.on_reset)
 
-    def take_reset(self):
+    def on_reset(self):
+        """Close this end after a reset, and report it."""
         if not self.gone:
             self.leave()
             if (
                 self.machine is not None
             ):  # None while it is passed to another process, which gets the report
-                self.tell_lost(True)
+                self.report_lost(True)
 
-    def tell_lost(self, reset):
+    def report_lost(self, reset):
+        """Report the loss of the connection once."""
         if not self.over and not self.is_closing:
             self.over = True
             self.guard(self.machine.lost, reset)
@@ -491,11 +527,13 @@
     # Sending
 
     def send(self, *parts):
+        """Queue bytes and send what the window allows."""
         if self.open and not self.finished:
             self.unsent.append(b"".join(parts))
             self.pump()
 
     def pump(self):
+        """Send queued bytes while the window has room."""
         if self.gone:
             return
         while self.unsent and (self.unsent[0] is None or self.on_way < self.WINDOW):
@@ -520,17 +558,19 @@
                 self.guard(self.machine.blocked, full)
 
     def send_eof(self):
+        """End the outgoing stream after the queued bytes."""
         if self.open and not self.finished:
             self.finished = True
             if self.ended:
                 self.close()
                 if not self.over:
-                    self.host.clock.soon(self.tell_lost, False)
+                    self.host.clock.soon(self.report_lost, False)
             else:
                 self.unsent.append(None)
                 self.pump()
 
     def close_gracefully(self):
+        """End the outgoing stream, and close after the linger time."""
         if not self.open:
             return self.abort()
         self.set_paused(False)
@@ -544,6 +584,7 @@
         self.host.clock.after(self.transport.limits.linger_ms, self.close)
 
     def abort(self, reset=False):
+        """Close without further callbacks."""
         if self.over:
             return
         self.over = True
@@ -568,6 +609,7 @@
         self.leave()
 
     def leave(self):
+        """Release all that this end holds."""
         self.gone = True
         self.inbox.clear()
         self.unsent.clear()
@@ -576,6 +618,7 @@
         self.count(False)
 
     def reset_peer(self):
+        """Send a reset to the peer."""
         if self.peer is not None:
             self.host.net.transmit(self, self.host, self.peer.host, self.peer.was_reset)
 
@@ -586,6 +629,7 @@
             self.reset_peer()
 
     def set_paused(self, on):
+        """Pause or resume reading."""
         if self.open and not self.gone:
             self.held = on
             if not on and self.inbox:
@@ -593,6 +637,7 @@
 
     @property
     def quiet(self):
+        """Whether the connection is established and nothing is pending."""
         return (
             self.open
             and not self.gone
@@ -604,16 +649,19 @@
         )
 
     def duplicate(self):
+        """Duplicate the descriptor for another process."""
         self.copied = True
         self.transport.sockets += 1
         return self
 
     @property
     def was_established(self):
+        """Whether the connection was ever established."""
         return self.up
 
     @property
     def open(self):
+        """Whether the connection is usable by its state machine."""
         return self.up and not self.over and not self.is_closing
 
     @property
@@ -623,12 +671,15 @@
 
     @property
     def has_unread_bytes(self):
+        """Whether received bytes are unread."""
         return bool(self.inbox)
 
     @property
     def unsent_bytes(self):
+        """The number of bytes queued and not sent."""
         return sum(len(data) for data in self.unsent if data)
 
     @property
     def drained(self):
+        """Whether all queued bytes were sent."""
         return not self.gone and not self.unsent
--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -41,9 +41,11 @@
         self.spent = {}
 
     def wall(self):
+        """Return the simulated wall clock as Unix time in ms."""
         return EPOCH + self.clock.time
 
     def host(self, name, zone, limits, peers=None):
+        """Create a host on the network."""
         host = VirtualHost(self.net, name, zone)
         host.carrier = VirtualCarrier(host, limits, raise_fault)
         self.net.hosts_by_address[host.where] = host
@@ -51,9 +53,11 @@
 
     @staticmethod
     def proxy_address(name):
+        """Return the address of a proxy by name."""
         return f"{name}.lab:9000"
 
     def proxy(self, name, zone, values, log, held=False, told=None, odd=None):
+        """Create the place of a proxy, which is not started yet."""
         seat = self.seats[name] = (HeldSeat if held else Seat)(
             self, name, zone, values, log
         )
@@ -123,20 +127,25 @@
         )
 
     def cut(self, one, other, both):
+        """Cut the path between two hosts."""
         self.net.cut(one, other, both)
 
     def mend(self, one, other):
+        """Restore the path between two hosts."""
         self.net.mend(one, other)
 
     def worse(self, one, other, wait, lost):
+        """Degrade a path; returns a function that restores it."""
         way = one, other, wait, lost
         self.net.ways.append(way)
         return lambda: self.net.ways.remove(way)
 
     def settle(self):
+        """Wait until the proxies have started."""
         pass  # a proxy has started as soon as it exists
 
     def run(self, seconds):
+        """Run the world for a simulated time in seconds."""
         if self.net.links is not None:
             self.watch()
         self.clock.run(seconds * 1000)
@@ -149,7 +158,9 @@
             self.spent = {"datagrams_s": self.datagrams_s(lasting, seconds)}
 
     def sample(self):
+        """Sample the resources of the processes."""
         pass  # there is no process whose resources could be sampled
 
     def close(self):
+        """Release the resources of the world."""
         pass
--- a/wheathill/net/update_handling.py
+++ b/wheathill/net/update_handling.py
@@ -1,4 +1,4 @@
-"""What a proxy is told: configuration, endpoint list, and servers in maintenance."""
+"""Updates to a proxy: configuration, endpoint list, and servers in maintenance."""
 
 import math
 from itertools import islice
@@ -14,7 +14,7 @@
 
 
 class UpdateHandlingMixin:
-    """The part of `proxy.Proxy` that applies what the proxy is told.
+    """The part of `proxy.Proxy` that applies updates to it.
 
     The state that both mixins share is in `Proxy`.
     """
