--- a/tests/test_fleet_judges.py
+++ b/tests/test_fleet_judges.py
@@ -93,7 +93,11 @@
 @pytest.fixture
 def zones():
     told = Told(
-        ZoneStateJudge, zone_of=ZONE_OF, agree=5000.0, apart=8000.0, told=1000.0
+        ZoneStateJudge,
+        zone_of=ZONE_OF,
+        agreement_ms=5000.0,
+        isolation_known_ms=8000.0,
+        propagation_ms=1000.0,
     )
 
     def says(name, region, fleet="in doubt"):
@@ -201,7 +205,12 @@
 
 @pytest.fixture
 def views():
-    told = Told(MembershipViewJudge, agree=5000.0, false=2000.0, known=8000.0)
+    told = Told(
+        MembershipViewJudge,
+        agreement_ms=5000.0,
+        false_death_ms=2000.0,
+        death_known_ms=8000.0,
+    )
 
     def says(name, digest="same", **held):
         told.see(
@@ -345,7 +354,7 @@
 
 @pytest.fixture
 def drains():
-    told = Told(DrainPropagationJudge, grace=500.0, within=1000.0)
+    told = Told(DrainPropagationJudge, grace_ms=500.0, propagation_ms=1000.0)
     sessions = iter(range(100))
 
     def dials(name):
@@ -404,7 +413,7 @@
 
 
 def test_a_late_list_binds_its_own_proxy_until_it_says_otherwise():
-    told = Told(DrainJudge, grace=500.0, gone_binds=True)
+    told = Told(DrainJudge, grace_ms=500.0, is_gone_binding=True)
 
     def dials(sess):
         told.see("open", sess=sess, proxy="a", mid=False)
@@ -425,7 +434,9 @@
 @pytest.fixture
 def names():
     told = Told(
-        IsolationJudge, odd=[DivergentInstance(on="d", claims="a")], within=5000.0
+        IsolationJudge,
+        misconfigured=[DivergentInstance(on="d", claims="a")],
+        agreement_ms=5000.0,
     )
 
     def says(name, held, alone=False):
@@ -494,7 +505,7 @@
             state="dead",
             peer="d",
         )
-    assert found[0].found["first"] == [2000] and found[0].found["all"] == [2250]
+    assert found[0].times_ms["first"] == [2000] and found[0].times_ms["all"] == [2250]
 
 
 # Rule 5
@@ -506,7 +517,7 @@
         lambda *args, **limits: RetryBudgetJudge(*args, **limits),
         free=1,
         share=0.0,
-        span=10_000.0,
+        span_ms=10_000.0,
     )
 
     def dial_twice(sess):
