--- a/wheathill/lab/worlds/virtual.py
+++ b/wheathill/lab/worlds/virtual.py
@@ -1,5 +1,7 @@
-"""The virtual world: simulated time, hosts and a network in memory, with the carrier and the clock that the
-proxy knows. Nothing in it reads the machine's clock; all chance comes from the seed."""
+"""The virtual world: simulated time, hosts and an in-memory network, behind the proxy's transport and clock interfaces.
+
+Nothing in it reads the machine's clock, and all random draws come from the seed.
+"""
 
 import random
 
@@ -17,10 +19,10 @@
 
 
 class VirtualWorld(Outside):
-    """Hosts on one network, and the proxies on them. Gives the scene its clock, hosts and proxies."""
+    """Hosts on a simulated network and the proxies on them; provides a scene with clock, hosts and proxies."""
 
     name = "virtual"
-    opening = 1000.0  # clients come from then on: the proxies have started
+    opening = 1000.0  # ms; clients connect from then on, when the proxies have started
 
     def __init__(self, seed, network, decisions=Balancer, proxy=Proxy):
         self.clock = VirtualClock()
@@ -39,9 +41,11 @@
         self.spent = {}
 
     def wall(self):
+        """Return the simulated wall clock as Unix time in ms."""
         return EPOCH + self.clock.time
 
     def host(self, name, zone, limits, peers=None):
+        """Create a host on the network."""
         host = VirtualHost(self.net, name, zone)
         host.carrier = VirtualCarrier(host, limits, raise_fault)
         self.net.hosts_by_address[host.where] = host
@@ -49,9 +53,11 @@
 
     @staticmethod
     def proxy_address(name):
+        """Return the address of a proxy by name."""
         return f"{name}.lab:9000"
 
     def proxy(self, name, zone, values, log, held=False, told=None, odd=None):
+        """Create the place of a proxy, which is not started yet."""
         seat = self.seats[name] = (HeldSeat if held else Seat)(
             self, name, zone, values, log
         )
@@ -62,7 +68,7 @@
         return seat
 
     def peers_told(self, name, zone_of, proxies, odd):
-        """What an instance is told of its peers. `zone_of`: name -> zone, of all."""
+        """Return the peer settings of an instance; `zone_of` maps the names of all instances to zones."""
         names = list(zone_of)
         listen = f"{name}.lab", PEERS_PORT
         layout = None
@@ -103,9 +109,9 @@
         )
 
     def slack(self, script):
-        """One way and back between the farthest, and the jitter that is seldom passed."""
+        """Return the longest round trip in ms, with jitter that is rarely exceeded."""
         net = script.network
-        # A way that a script makes worse delays what was sent in time: three losses in a row, if it loses.
+        # A path that a script degrades delays what was sent in time; a lossy one by up to three losses in a row.
         worse = max(
             (
                 2 * event.wait_ms + 7 * self.net.RESEND * (event.share > 0)
@@ -121,20 +127,25 @@
         )
 
     def cut(self, one, other, both):
+        """Cut the path between two hosts."""
         self.net.cut(one, other, both)
 
     def mend(self, one, other):
+        """Restore the path between two hosts."""
         self.net.mend(one, other)
 
     def worse(self, one, other, wait, lost):
+        """Degrade a path; returns a function that restores it."""
         way = one, other, wait, lost
         self.net.ways.append(way)
         return lambda: self.net.ways.remove(way)
 
     def settle(self):
-        pass  # here a proxy has started as soon as it is there
+        """Wait until the proxies have started."""
+        pass  # a proxy has started as soon as it exists
 
     def run(self, seconds):
+        """Run the world for a simulated time in seconds."""
         if self.net.links is not None:
             self.watch()
         self.clock.run(seconds * 1000)
@@ -147,7 +158,9 @@
             self.spent = {"datagrams_s": self.datagrams_s(lasting, seconds)}
 
     def sample(self):
-        pass  # what a process holds can't be seen here: it is no process
+        """Sample the resources of the processes."""
+        pass  # there is no process whose resources could be sampled
 
     def close(self):
+        """Release the resources of the world."""
         pass
