--- a/wheathill/lab/cores/fleets.py
+++ b/wheathill/lab/cores/fleets.py
@@ -53,9 +53,9 @@
     """The members of all zones, on simulated hosts.
 
     `zones` is {zone: (region, number of members)}. A member is named ZONE-N; the first two of each zone are its seeds.
-    `files` is the version of the layout in each member's configuration; `layouts` are by version. `largest_quota_sum` is the
-    largest sum of quotas seen; `quota_overruns` has (when, sum) for each check where it exceeded one. `lines` are the log events
-    of all members.
+    `files` is the version of the layout in each member's configuration; `layouts` are by version. `lines` are the log
+    events of all members. `largest_quota_sum` is the largest sum of quotas seen; `quota_overruns` has (when, sum) for
+    each check where the sum exceeded one.
     """
 
     def __init__(
--- a/wheathill/lab/judging/fleet.py
+++ b/wheathill/lab/judging/fleet.py
@@ -566,8 +566,8 @@
 class IsolationJudge(Judge):
     """Checks that misconfigured proxies stay isolated.
 
-    One with another cluster, key or protocol version, or with another proxy's name, does not become a member; the others
-    report that they drop its messages, and no other proxy is affected.
+    One with another cluster, key or protocol version, or with another proxy's name, does not become a member; the
+    others report that they drop its messages, and no other proxy is affected.
     """
 
     rule = "apart"
--- a/wheathill/lab/judging/judges.py
+++ b/wheathill/lab/judging/judges.py
@@ -241,8 +241,8 @@
 class DuplicateEffectJudge(Judge):
     """Rule 2: no retry of the proxy's makes a session take effect twice.
 
-    `retry_rules`: listener -> (repeat, scope, window in ms). Only the proxy's own retries count: a client that tries again
-    after a failure does so at its own risk. A non-idempotent ("once-only") session may be retried only where each
+    `retry_rules`: listener -> (repeat, scope, window in ms). Only the proxy's own retries count: a client that tries
+    again after a failure does so at its own risk. A non-idempotent ("once-only") session may be retried only where each
     earlier attempt was answered BUSY or never reached a server, whether or not it really ran.
     """
 
