--- a/wheathill/lab/cast/__init__.py
+++ b/wheathill/lab/cast/__init__.py
@@ -1,1 +1,1 @@
-"""Who lives in a world beside the proxies: stand-ins for gateways, their session store, discovery, clients, operators."""
+"""Simulated surroundings of the proxies: gateways, session store, discovery, clients and operators."""
--- a/wheathill/lab/cast/front.py
+++ b/wheathill/lab/cast/front.py
@@ -1,60 +1,89 @@
-"""A stand-in for the front: deals clients' connections out to the proxies of a zone. It takes a proxy in once
-that has answered PING with PONG, and notices only after a while that one has died."""
+"""Simulated front: the load balancer that spreads client connections over the proxies of a zone.
+
+It starts to use a proxy once that has answered PING with PONG, and notices only after a
+delay that one has died.
+"""
 
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.protocol_machine import ProtocolMachine
 
+PING_TIMEOUT_MS = 500.0
+
 
 class Front:
-    def __init__(self, host, limits, record, notice, ask_every, shares, chance):
-        """`shares`: name -> what it gets beside the others, where they are not dealt to in turn."""
+    """Spreads client connections over the proxies, in turn or by shares.
+
+    Args:
+        host: the host to connect from.
+        limits: size and time limits of the connections.
+        record: the record of the run.
+        notice_ms: the delay after which the death of a proxy is noticed.
+        ping_interval_ms: the delay after which a proxy is asked again.
+        shares: proxy name -> relative share of the connections; false to use the
+            proxies in turn.
+        chance: random source of the choice by shares.
+
+    Attributes:
+        proxies: name -> (zone, address) of each proxy that was added.
+        in_use: name of each proxy that gets connections -> number of the admission.
+        admissions: how often a proxy was taken into use.
+        turn: counter that selects the next proxy.
+    """
+
+    def __init__(
+        self, host, limits, record, notice_ms, ping_interval_ms, shares, chance
+    ):
         self.host = host
         self.limits = limits
         self.clock = host.clock
         self.record = record
-        self.notice = notice
-        self.ask_every = ask_every
+        self.notice_ms = notice_ms
+        self.ping_interval_ms = ping_interval_ms
         self.shares, self.chance = shares, chance
-        self.proxies = {}  # name -> (zone, address)
-        self.taking = {}  # those that are dealt to -> which of their starts
-        self.starts = 0
+        self.proxies = {}
+        self.in_use = {}
+        self.admissions = 0
         self.turn = 0
 
     def add(self, name, zone, address):
-        """A proxy that has started: asked until it answers."""
+        """Add a proxy that has started; it is pinged until it answers."""
         self.proxies[name] = zone, address
-        self.ask(name)
+        self._ping(name)
 
-    def ask(self, name):
-        Asker(self, name, self.limits, self.clock).start(
+    def _ping(self, name):
+        Ping(self, name, self.limits, self.clock).start(
             self.host, self.proxies[name][1]
         )
 
-    def answered(self, name, well):
-        if well:
-            if name not in self.taking:
-                self.starts += 1
-                self.taking[name] = self.starts
+    def on_ping_result(self, name, succeeded):
+        """Use the proxy if it has answered the ping, else ping it again later."""
+        if succeeded:
+            if name not in self.in_use:
+                self.admissions += 1
+                self.in_use[name] = self.admissions
                 self.record.note("front takes", proxy=name)
         else:
-            self.clock.after(self.ask_every, self.ask, name)
+            self.clock.after(self.ping_interval_ms, self._ping, name)
 
     def died(self, name):
-        """Told of a death at once by who stages it; it acts on it late."""
-        if name in self.taking:
-            self.clock.after(self.notice, self.drop, name, self.taking[name])
-
-    def drop(self, name, start=None):
-        """Unless it has started anew meanwhile."""
-        if name in self.taking and start in (None, self.taking[name]):
-            del self.taking[name]
+        """Drop a proxy that has died just now, after the delay of noticing it."""
+        if name in self.in_use:
+            self.clock.after(self.notice_ms, self.drop, name, self.in_use[name])
+
+    def drop(self, name, admission=None):
+        """Stop using a proxy, unless it has been taken into use anew since `admission`."""
+        if name in self.in_use and admission in (None, self.in_use[name]):
+            del self.in_use[name]
             self.record.note("front drops", proxy=name)
 
     def pick(self, zone):
-        """(proxy, its address), dealt in turn or by shares within the zone, or in any zone when it has none; None if no
-        proxy is there at all."""
-        names = [name for name in self.taking if self.proxies[name][0] == zone] or list(
-            self.taking
+        """Return the proxy for a connection and its address.
+
+        The proxy is one of the zone, or of any zone if that has none in use; None if no
+        proxy is in use at all.
+        """
+        names = [name for name in self.in_use if self.proxies[name][0] == zone] or list(
+            self.in_use
         )
         if not names:
             return None
@@ -66,8 +95,8 @@
         return name, self.proxies[name][1]
 
 
-class Asker(ProtocolMachine):
-    """One PING."""
+class Ping(ProtocolMachine):
+    """One connection that sends PING to a proxy."""
 
     def __init__(self, front, name, limits, clock):
         super().__init__(front, limits, clock)
@@ -75,30 +104,36 @@
         self.name = name
 
     def start(self, host, address):
+        """Connect to the proxy."""
         host.dial(self, address)
-        self.set_timer(500.0, self.over, False)
+        self.set_timer(PING_TIMEOUT_MS, self._finish, False)
 
     def connected(self):
+        """Send PING."""
         self.connection.send(b"PING", CRLF)
 
     def received(self, data):
+        """Check the answer."""
         self.lines.feed(data)
         line = self.lines.next_line()
         if line is not None:
-            self.over(line == b"PONG")
+            self._finish(line == b"PONG")
 
-    def over(self, well):
+    def _finish(self, succeeded):
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
             self.connection.abort()
-            self.front.answered(self.name, well)
+            self.front.on_ping_result(self.name, succeeded)
 
     def ended(self):
-        self.over(False)
+        """Count a closed connection as no answer."""
+        self._finish(False)
 
     def lost(self, reset):
-        self.over(False)
+        """Count a lost connection as no answer."""
+        self._finish(False)
 
     def fault(self):
-        self.over(False)
+        """Count an exception as no answer."""
+        self._finish(False)
--- a/wheathill/lab/cast/store.py
+++ b/wheathill/lab/cast/store.py
@@ -1,9 +1,23 @@
-"""The session store that every set-up calls: a few calls at a time, a queue with a bound, and slow spells."""
+"""Simulated session store that gateways call whenever they set up a session.
+
+It serves a limited number of calls at a time, has a bounded queue and can be slowed down.
+"""
 
 from collections import deque
 
 
 class Store:
+    """Session store with limited concurrency and a bounded queue.
+
+    Attributes:
+        at_once: the calls that are served concurrently.
+        call_ms: the mean duration of a call.
+        queue: the most calls that may wait.
+        slower: factor on the duration of calls, 1 for normal speed.
+        busy: the calls that are being served.
+        waiting: callbacks of the calls in the queue.
+    """
+
     def __init__(self, clock, chance, record, *, at_once, call_ms, queue):
         self.clock = clock
         self.expovariate = chance.expovariate
@@ -15,24 +29,27 @@
         self.busy = 0
         self.waiting = deque()
 
-    def call(self, done):
-        """`done` is called with whether it went well; when it is full, at once with False."""
+    def call(self, on_result):
+        """Call `on_result` with whether the call succeeded.
+
+        If the queue is full, the call fails at once.
+        """
         if self.busy < self.at_once:
-            self.serve(done)
+            self._serve(on_result)
         elif len(self.waiting) < self.queue:
-            self.waiting.append(done)
+            self.waiting.append(on_result)
         else:
             self.record.counts["store full"] += 1
-            self.clock.soon(done, False)
+            self.clock.soon(on_result, False)
 
-    def serve(self, done):
+    def _serve(self, on_result):
         self.busy += 1
         self.record.counts["store calls"] += 1
-        work = self.call_ms * self.slower * (0.5 + 0.5 * self.expovariate(1.0))
-        self.clock.after(work, self.served, done)
+        duration_ms = self.call_ms * self.slower * (0.5 + 0.5 * self.expovariate(1.0))
+        self.clock.after(duration_ms, self._complete, on_result)
 
-    def served(self, done):
+    def _complete(self, on_result):
         self.busy -= 1
         if self.waiting:
-            self.serve(self.waiting.popleft())
-        done(True)
+            self._serve(self.waiting.popleft())
+        on_result(True)
