--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -723,12 +723,12 @@
 
     def do_list_unreachable(self, event, on):
         for agent in self.agents_of(on):
-            agent.reach(False)
-        return lambda: [agent.reach(True) for agent in self.agents_of(on)]
+            agent.set_reachable(False)
+        return lambda: [agent.set_reachable(True) for agent in self.agents_of(on)]
 
     def do_list_torn(self, event, on):
         for agent in self.agents_of(on):
-            agent.tear_off()
+            agent.reset_watches()
 
     def do_list_restarted(self, event, on):
         for agent in self.agents_of(on):
