--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -1,14 +1,52 @@
-"""Stand-ins for clients: each opens a session, lives on it, and comes again, patient or not."""
+"""Simulated clients: each opens a session, sends messages on it and returns later.
+
+How patiently they retry and return depends on their crowd.
+"""
 
 import math
 
 from wheathill.net.line_buffer import CRLF
 from wheathill.net.protocol_machine import ProtocolMachine
 
+NO_PROXY_RETRY_MS = 200.0  # the wait if the front has no proxy
+IMMEDIATE_RETRY_MS = 5.0
+MAX_RETURN_DELAY_MS = 200.0  # after a session was moved or lost
+MAX_LEAVE_DELAY_MS = 40.0  # for clients that leave on their own after connecting
+CLOSE_TIMEOUT_MS = 2000.0  # from the end of sending to the abort
+
 
 class Crowd:
-    """Clients of one kind: same listener, desk and habits. Times in ms; `life`, `rest` and `think` are
-    means."""
+    """Clients of one kind: they share a listener, a tenant and their behaviour.
+
+    Times are in milliseconds.
+
+    Args:
+        host: the host to connect from.
+        limits: size and time limits of the connections.
+        chance: random source.
+        record: the record of the run.
+        front: chooses the proxy of each connection.
+        listener: the listener as in the script.
+        runs: whether the proxy of a name runs.
+        session_loads: session -> its load relative to the mean; entries are added.
+        name: the name of the crowd, which the names of its clients start with.
+        zone: the zone of the clients.
+        desk: the tenant of the clients, if any.
+        groups: the groups that the clients are spread over; 0 for none.
+        life: the mean duration of a session.
+        rest: the mean time between two sessions of a client.
+        think: the mean time between two messages of a session.
+        gives_up: the time after which a client stops waiting for the handshake.
+        retry: whether clients retry "never", "at once" or after `wait`.
+        wait: the mean wait before a retry.
+        honours: the share of rejections whose retry time a client follows.
+        tries: the most attempts per intention.
+        silence: the time after which a message counts as unanswered.
+        returns: whether clients return after a session was moved or lost.
+        leaves: the share of connections that a client leaves soon after connecting.
+        mid_flow: whether packets of a session may arrive through another proxy.
+        load_sigma: sigma of the log-normal load of a session; 0 for equal loads.
+    """
 
     def __init__(
         self,
@@ -46,8 +84,8 @@
             chance.uniform,
             chance.random,
         )
-        self.listener = listener  # as the script has it
-        self.runs = runs  # whether the proxy of a name runs
+        self.listener = listener
+        self.runs = runs
         self.session_loads, self.load_sigma, self.normal = (
             session_loads,
             load_sigma,
@@ -62,8 +100,9 @@
         self.stopping = False
 
     def add(self, count, within):
+        """Add `count` clients that start at random times within `within` ms."""
         for number in range(count):
-            client = Person(
+            client = Client(
                 self,
                 f"{self.name}{number}",
                 f"{self.name}g{number % self.groups}" if self.groups else None,
@@ -72,121 +111,160 @@
             self.clock.after(self.uniform(0.0, within), client.begin)
 
     def herd(self, share, within):
-        """So many lose their connection at once and come back within a time."""
+        """Drop the connections of a share of the clients, which return within `within` ms."""
         for client in self.clients[: round(len(self.clients) * share)]:
             client.drop()
             self.clock.after(self.uniform(0.0, within), client.begin, True)
 
 
-class Person:
-    """One client over all its sessions. What it means to do keeps its number through repeats."""
+class Client:
+    """One client over all its sessions.
+
+    Attributes:
+        connection: the current `ClientConnection`, if any.
+        connections: how many connections the client has started.
+        intention: number of the session that the client wants; retries keep it.
+        attempts: the attempts for this intention so far.
+        next_start: the timer of the next connection, if any.
+    """
 
     def __init__(self, crowd, name, group):
         self.crowd = crowd
         self.name = name
         self.group = group
-        self.visit = None
-        self.visits = 0
+        self.connection = None
+        self.connections = 0
         self.intention = 0
-        self.tried = 0
-        self.due = None  # the alarm for its next visit
+        self.attempts = 0
+        self.next_start = None
 
     def begin(self, again=False):
-        if self.visit is None:
+        """Open a new session, unless a connection exists."""
+        if self.connection is None:
             self.intention += 1
-            self.tried = 0
-            self.go(again=again)
+            self.attempts = 0
+            self._connect(again=again)
 
-    def go(self, repeat=False, again=False, mid=None):
+    def _connect(self, repeat=False, again=False, mid=None):
         crowd = self.crowd
-        self.due = None
-        if crowd.stopping or self.visit is not None:
+        self.next_start = None
+        if crowd.stopping or self.connection is not None:
             return
-        found = crowd.front.pick(crowd.zone)
-        if found is None:
-            self.later(200.0, repeat, again, mid)
+        picked = crowd.front.pick(crowd.zone)
+        if picked is None:
+            self._connect_later(NO_PROXY_RETRY_MS, repeat, again, mid)
             return
-        self.tried += 1
-        self.visits += 1
-        name = mid or f"{self.name}v{self.visits}"
-        self.visit = Visit(self, name, found[0], repeat, again, mid is not None)
-        self.visit.start(found[1])
+        self.attempts += 1
+        self.connections += 1
+        name = mid or f"{self.name}v{self.connections}"
+        self.connection = ClientConnection(
+            self, name, picked[0], repeat, again, mid is not None
+        )
+        self.connection.start(picked[1])
 
-    def later(self, wait, repeat=False, again=False, mid=None):
-        if self.due is not None:
-            self.due.cancel()
-        self.due = self.crowd.clock.after(wait, self.go, repeat, again, mid)
+    def _connect_later(self, delay_ms, repeat=False, again=False, mid=None):
+        if self.next_start is not None:
+            self.next_start.cancel()
+        self.next_start = self.crowd.clock.after(
+            delay_ms, self._connect, repeat, again, mid
+        )
 
     def drop(self):
-        if self.due is not None:
-            self.due.cancel()
-            self.due = None
-        if self.visit is not None:
-            self.visit.leave("dropped")
-
-    # How a visit ended
-
-    def over(self, how, come_back_after=None, mid=None):
+        """Cancel the next connection and reset the current one."""
+        if self.next_start is not None:
+            self.next_start.cancel()
+            self.next_start = None
+        if self.connection is not None:
+            self.connection.leave("dropped")
+
+    def on_connection_over(self, how, retry_after_ms=None, mid=None):
+        """Schedule the next connection, depending on how the last one ended.
+
+        Args:
+            how: "lived", "moved", "cut", "refused", "failed" or "gave up".
+            retry_after_ms: the retry time that a rejection has named, if any.
+            mid: the session to continue through another proxy, if any.
+        """
         crowd = self.crowd
-        self.visit = None
+        self.connection = None
         if crowd.stopping:
             return
         if how == "lived":
             self.intention += 1
-            self.tried = 0
-            self.later(crowd.expovariate(1.0) * crowd.rest)
+            self.attempts = 0
+            self._connect_later(crowd.expovariate(1.0) * crowd.rest)
         elif how in ("moved", "cut"):
             if crowd.returns:
                 self.intention += 1
-                self.tried = 0
-                self.later(crowd.uniform(0.0, 200.0), again=True, mid=mid)
+                self.attempts = 0
+                self._connect_later(
+                    crowd.uniform(0.0, MAX_RETURN_DELAY_MS), again=True, mid=mid
+                )
         elif how in ("refused", "failed", "gave up"):
-            if crowd.retry == "never" or self.tried >= crowd.tries:
+            if crowd.retry == "never" or self.attempts >= crowd.tries:
                 self.intention += 1
-                self.tried = 0
-                self.later(crowd.expovariate(1.0) * crowd.rest + crowd.wait)
-            elif come_back_after is not None and crowd.random() < crowd.honours:
-                self.later(come_back_after * crowd.uniform(1.0, 1.2), repeat=True)
+                self.attempts = 0
+                self._connect_later(crowd.expovariate(1.0) * crowd.rest + crowd.wait)
+            elif retry_after_ms is not None and crowd.random() < crowd.honours:
+                self._connect_later(
+                    retry_after_ms * crowd.uniform(1.0, 1.2), repeat=True
+                )
             elif crowd.retry == "at once":
-                self.later(5.0, repeat=True)
+                self._connect_later(IMMEDIATE_RETRY_MS, repeat=True)
             else:
-                self.later(crowd.wait * crowd.uniform(0.5, 1.5), repeat=True)
-
-
-class Visit(ProtocolMachine):
-    """One connection of a client: a session from its line to its end."""
-
-    def __init__(self, person, name, proxy, repeat, again, mid):
-        crowd = person.crowd
-        super().__init__(person, crowd.limits, crowd.clock)
-        self.person, self.crowd, self.record = person, crowd, crowd.record
+                self._connect_later(crowd.wait * crowd.uniform(0.5, 1.5), repeat=True)
+
+
+class ClientConnection(ProtocolMachine):
+    """One connection of a client, with one session from its request to its end.
+
+    Attributes:
+        name: the id of the session.
+        proxy: the name of the proxy.
+        repeat: whether this is a retry.
+        again: whether the client returns after a session was moved, lost or dropped.
+        mid: whether this continues a session that went through another proxy.
+        opened_ms: when the request was sent, if it was.
+        up: whether the session is established.
+        over: whether the client expects nothing more.
+        final: whether the final answer has arrived; further lines are a fault.
+        end_timer: the timer that ends the session.
+        sent_ms: when the message that waits for an answer was sent, if any.
+    """
+
+    def __init__(self, client, name, proxy, repeat, again, mid):
+        crowd = client.crowd
+        super().__init__(client, crowd.limits, crowd.clock)
+        self.client, self.crowd, self.record = client, crowd, crowd.record
         self.name, self.proxy = name, proxy
         self.repeat, self.again, self.mid = repeat, again, mid
-        self.opened = None
+        self.opened_ms = None
         self.up = False
         self.over = False
-        self.final = False  # nothing may follow
-        self.lives = None  # the alarm that ends it
-        self.asked = None  # when the line that waits for its answer was sent
+        self.final = False
+        self.end_timer = None
+        self.sent_ms = None
 
     def start(self, address):
+        """Connect to the proxy."""
         self.crowd.host.dial(self, address, (self.proxy, self.crowd.zone))
-        self.set_timer(self.crowd.gives_up, self.give_up)
+        self.set_timer(self.crowd.gives_up, self._give_up)
 
     def connected(self):
+        """Send the request."""
         crowd = self.crowd
         values = [f"c={crowd.listener.name}", f"d={crowd.listener.dial_timeout_ms:.0f}"]
         for key, value in (
             ("t", crowd.desk),
-            ("g", self.person.group),
+            ("g", self.client.group),
             ("r", self.repeat and "1"),
             ("again", self.again and "1"),
             ("mid", self.mid and "1"),
         ):
             if value:
                 values.append(f"{key}={value}")
-        self.opened = self.clock.now()
-        # Known to its server alone: its load is written on no line.
+        self.opened_ms = self.clock.now()
+        # The request does not carry the load: only the server knows it.
         if not self.mid:
             sigma = crowd.load_sigma
             crowd.session_loads[self.name] = (
@@ -201,53 +279,56 @@
             desk=crowd.desk,
             deadline=crowd.listener.dial_timeout_ms,
             mid=self.mid,
-            effect=f"{self.person.name}/{self.person.intention}",
+            effect=f"{self.client.name}/{self.client.intention}",
         )
         self.connection.send(
             b"OPEN ",
             self.name.encode(),
             b" ",
-            self.person.name.encode(),
+            self.client.name.encode(),
             b" ",
             ",".join(values).encode(),
             CRLF,
         )
         if crowd.leaves and crowd.random() < crowd.leaves:
             self.clock.after(
-                crowd.uniform(0.0, 40.0), self.change_mind, crowd.random() < 0.5
+                crowd.uniform(0.0, MAX_LEAVE_DELAY_MS),
+                self._change_mind,
+                crowd.random() < 0.5,
             )
 
     def last_byte_left(self):
-        """Of a line that was held: its time counts from here."""
+        """Record when the end of a delayed request was sent: its time counts from here."""
         self.record.note("line out", sess=self.name)
 
-    def change_mind(self, politely):
-        """Closes, whatever state it is in: by the end of its sending, or by a reset."""
+    def _change_mind(self, gracefully):
+        """Close in any state, by the end of the stream or by a reset."""
         if self.over:
             return
-        if not politely:
+        if not gracefully:
             self.leave("changed its mind")
-            return self.person.over("gave up")
+            return self.client.on_connection_over("gave up")
         self.record.note("left", sess=self.name, how="changed its mind")
-        self.quit()
+        self._stop()
         self.connection.send_eof()
-        self.set_timer(2000.0, self.connection.abort)
-        self.person.over("gave up")
+        self.set_timer(CLOSE_TIMEOUT_MS, self.connection.abort)
+        self.client.on_connection_over("gave up")
 
     def received(self, data):
+        """Process each line; lines after the final answer are recorded as a fault."""
         self.lines.feed(data)
         while (line := self.lines.next_line()) is not None:
             if not self.over:
-                self.line(line)
+                self._process_line(line)
             elif self.final:
                 self.record.note(
                     "extra", sess=self.name, what=line[:40].decode("ascii", "replace")
                 )
 
-    def line(self, line):
+    def _process_line(self, line):
         word, _, rest = line.partition(b" ")
         if self.up:
-            self.up_line(word)
+            self._process_session_line(word)
             return
         now = self.clock.now()
         text = rest.decode("ascii", "replace")
@@ -256,103 +337,114 @@
         )
         if word == b"UP":
             self.up = True
-            self.record.handshake(now - self.opened)
-            self.lives = self.clock.after(
-                self.crowd.expovariate(1.0) * self.crowd.life, self.live_out
+            self.record.handshake(now - self.opened_ms)
+            self.end_timer = self.clock.after(
+                self.crowd.expovariate(1.0) * self.crowd.life, self._end_session
+            )
+            self.set_timer(
+                self.crowd.expovariate(1.0) * self.crowd.think, self._send_message
             )
-            self.set_timer(self.crowd.expovariate(1.0) * self.crowd.think, self.say)
         elif word == b"BUSY":
-            self.end("refused", float(text) if text else None)
+            self._finish("refused", float(text) if text else None)
         else:
-            self.end("failed")
+            self._finish("failed")
 
-    def up_line(self, word):
+    def _process_session_line(self, word):
         if word == b"MOVE":
             self.record.note("moved", sess=self.name)
-            self.end("moved")
+            self._finish("moved")
         elif word == b"BYE":
-            self.end("lived")
-        elif self.asked is not None and word != b"LOAD":
+            self._finish("lived")
+        elif self.sent_ms is not None and word != b"LOAD":
             self.record.message(
-                self.clock.now() - self.asked, self.crowd.listener.message_target_ms
+                self.clock.now() - self.sent_ms, self.crowd.listener.message_target_ms
+            )
+            self.sent_ms = None
+            self.set_timer(
+                self.crowd.expovariate(1.0) * self.crowd.think, self._send_message
             )
-            self.asked = None
-            self.set_timer(self.crowd.expovariate(1.0) * self.crowd.think, self.say)
 
-    def say(self):
-        self.asked = self.clock.now()
+    def _send_message(self):
+        self.sent_ms = self.clock.now()
         self.connection.send(b"SAY", CRLF)
-        self.set_timer(self.crowd.silence, self.unanswered)
+        self.set_timer(self.crowd.silence, self._on_unanswered)
 
-    def unanswered(self):
-        """Nobody will answer any more, and nobody has said so."""
+    def _on_unanswered(self):
+        """Reset a session on which neither an answer nor an end has arrived."""
         self.record.note("unanswered", sess=self.name, waited=self.crowd.silence)
         self.leave("unanswered")
-        self.person.over("cut")
+        self.client.on_connection_over("cut")
 
-    def live_out(self):
+    def _end_session(self):
         self.record.note("left", sess=self.name, how="lived")
         self.over = True
         self.timer.cancel()
         self.connection.send_eof()
-        self.set_timer(2000.0, self.connection.abort)
-        self.person.over("lived")
+        self.set_timer(CLOSE_TIMEOUT_MS, self.connection.abort)
+        self.client.on_connection_over("lived")
 
-    def give_up(self):
+    def _give_up(self):
         self.leave("gave up")
-        self.person.over("gave up")
+        self.client.on_connection_over("gave up")
 
     def leave(self, how):
-        """Gone without a word."""
+        """Reset the connection."""
         self.record.note("left", sess=self.name, how=how)
-        self.quit()
+        self._stop()
         self.connection.abort(reset=True)
 
-    def quit(self):
+    def _stop(self):
         self.over = True
-        if self.lives:
-            self.lives.cancel()
+        if self.end_timer:
+            self.end_timer.cancel()
         self.timer.cancel()
-        if self.person.visit is self:
-            self.person.visit = None
+        if self.client.connection is self:
+            self.client.connection = None
 
-    def end(self, how, come_back_after=None):
-        self.quit()
+    def _finish(self, how, retry_after_ms=None):
+        self._stop()
         self.final = True
         self.connection.send_eof()
-        self.set_timer(2000.0, self.connection.abort)
-        self.person.over(how, come_back_after)
+        self.set_timer(CLOSE_TIMEOUT_MS, self.connection.abort)
+        self.client.on_connection_over(how, retry_after_ms)
 
     def ended(self):
-        self.closed("ended")
+        """Handle the end of the stream."""
+        self._on_closed("ended")
 
     def lost(self, reset):
-        self.closed(
-            "reset" if reset else "ended" if self.opened is not None else "not reached"
+        """Handle the loss of the connection, or that it was never established."""
+        self._on_closed(
+            "reset"
+            if reset
+            else "ended"
+            if self.opened_ms is not None
+            else "not reached"
         )
 
-    def closed(self, how):
+    def _on_closed(self, how):
         if self.over:
             self.timer.cancel()
             return self.connection.abort()
-        self.quit()
+        self._stop()
         self.connection.abort()
-        if self.opened is None:
-            # Never came up: the front will notice; nothing was asked.
+        if self.opened_ms is None:
+            # Never established, so nothing was requested; the front drops the proxy later.
             self.record.counts["not reached"] += 1
             return (
-                self.person.over("cut", mid=self.name)
+                self.client.on_connection_over("cut", mid=self.name)
                 if self.mid
-                else self.person.over("failed")
+                else self.client.on_connection_over("failed")
             )
         self.record.note("cut" if self.up else "broken", sess=self.name, how=how)
-        # The front sends the packets through another proxy only where this one is gone.
+        # The front sends the packets through another proxy only if this one is gone.
         mid = (
             self.name
             if self.up and self.crowd.mid_flow and not self.crowd.runs(self.proxy)
             else None
         )
-        self.person.over("cut" if self.up else "failed", mid=mid)
+        self.client.on_connection_over("cut" if self.up else "failed", mid=mid)
 
     def fault(self):
-        self.closed("fault")
+        """Handle an exception as a lost connection."""
+        self._on_closed("fault")
