--- a/wheathill/lab/scripts/language.py
+++ b/wheathill/lab/scripts/language.py
@@ -13,13 +13,13 @@
 from wheathill.config.operator_tables import ListenerTable
 from wheathill.config.tables import (
     Count,
-    Ms,
+    Fraction,
     Name,
-    Price,
+    NonNegativeMs,
+    PositiveMs,
     Seconds,
-    Share,
     Table,
-    Wait,
+    Weight,
 )
 
 Factor = Annotated[float, Meta(gt=0, le=1000)]
@@ -87,23 +87,23 @@
 class Rules(Table):
     """Limits of the judges' rules, and the matching settings of the proxies."""
 
-    drain_grace_ms: Wait = 500.0
+    drain_grace_ms: NonNegativeMs = 500.0
     cold_multiple: Factor = 4.0
-    cold_window_ms: Ms = 1000.0
+    cold_window_ms: PositiveMs = 1000.0
     further_dials_s: Seconds = 0.0
     further_dials_free: Count = 0
-    further_dials_share: Share = 0.0
+    further_dials_share: Fraction = 0.0
     only_draining_binds: bool = False
 
 
 class Network(Table):
     """One-way delays between zones and to the clients."""
 
-    same_ms: Wait = 0.25
-    cross_ms: Wait = 4.0
-    client_ms: Wait = 0.7
-    jitter: Price = 0.2
-    hop_ms: Wait = 0.2  # virtual only: cost of a delivery besides the delay, as measured on loopback
+    same_ms: NonNegativeMs = 0.25
+    cross_ms: NonNegativeMs = 4.0
+    client_ms: NonNegativeMs = 0.7
+    jitter: Weight = 0.2
+    hop_ms: NonNegativeMs = 0.2  # virtual only: cost of a delivery besides the delay, as measured on loopback
 
 
 class GatewayGroup(Table):
@@ -116,16 +116,16 @@
     cores: PositiveCount = 2
     speed: Factor = 1.0
     queue: Count = 64
-    setup_ms: Ms = 8.0
-    line_ms: Ms = 4.0
-    probe_ms: Ms = 0.25
+    setup_ms: PositiveMs = 8.0
+    line_ms: PositiveMs = 4.0
+    probe_ms: PositiveMs = 0.25
     holds: PositiveCount = 200
     warm_from: Annotated[float, Meta(gt=0, le=1)] = 0.2
     warm_s: Seconds = 15.0
     falls_over: Factor = 4.0
-    fall_window_ms: Ms = 1000.0
+    fall_window_ms: PositiveMs = 1000.0
     falls_at: Factor = 2.5
-    report_ms: Ms = 200.0
+    report_ms: PositiveMs = 200.0
     tells_load: bool = False  # reports the load of each connection on a line after UP
     weight: Factor = 1.0
     weight_error: FactorRange | None = (
@@ -137,15 +137,15 @@
     """The store that gateways call when they set up a session."""
 
     at_once: PositiveCount = 8
-    call_ms: Ms = 10.0
+    call_ms: PositiveMs = 10.0
     queue: Count = 400
 
 
 class DiscoveryTable(Table):
     """Delays with which discovery learns of changes and of dead servers."""
 
-    late_ms: Wait = 1500.0
-    finds_dead_ms: Wait = 4000.0
+    late_ms: NonNegativeMs = 1500.0
+    finds_dead_ms: NonNegativeMs = 4000.0
 
 
 class Proxies(Table):
@@ -155,8 +155,8 @@
     sockets: Annotated[int, Meta(ge=64, le=65_536)] = 4096
     memory_mb: Annotated[float, Meta(ge=16)] = 192.0
     dials: Annotated[int, Meta(ge=1, le=100)] = 3
-    connect_ms: Ms = 500.0
-    longest_wait_ms: Wait = 1500.0
+    connect_ms: PositiveMs = 500.0
+    longest_wait_ms: NonNegativeMs = 1500.0
     probes: bool = True
     weights: Literal["registered", "off"] = "registered"
     packets_pass: bool = False
@@ -197,20 +197,22 @@
 class FleetLimits(Table):
     """Limits of the judges of instances that know their peers, in ms."""
 
-    agree_ms: Ms = 5000.0  # from the end of the last fault until all views are equal
-    false_ms: Ms = (
+    agree_ms: PositiveMs = (
+        5000.0  # from the end of the last fault until all views are equal
+    )
+    false_ms: PositiveMs = (
         2000.0  # longest time for which a live or paused instance is considered dead
     )
-    told_ms: Ms = 1000.0  # until all reachable proxies know of a drain
-    known_ms: Ms = 8000.0  # until all reachable proxies know of a death
-    apart_ms: Ms = 8000.0  # until an isolated zone reports that it is cut off
+    told_ms: PositiveMs = 1000.0  # until all reachable proxies know of a drain
+    known_ms: PositiveMs = 8000.0  # until all reachable proxies know of a death
+    apart_ms: PositiveMs = 8000.0  # until an isolated zone reports that it is cut off
 
 
 class FrontTable(Table):
     """The front that spreads connections over the proxies."""
 
-    notice_ms: Wait = 1500.0
-    ask_ms: Ms = 100.0
+    notice_ms: NonNegativeMs = 1500.0
+    ask_ms: PositiveMs = 100.0
     shares: FactorRange | None = (
         None  # range of each proxy's random weight among those of its zone; None: equal weights
     )
@@ -231,14 +233,14 @@
     within_s: Seconds = 3.0
     life_s: Annotated[float, Meta(gt=0)] = 20.0
     rest_s: Seconds = 1.0
-    think_ms: Ms = 2000.0
-    gives_up_ms: Ms | None = None
+    think_ms: PositiveMs = 2000.0
+    gives_up_ms: PositiveMs | None = None
     retry: Literal["at once", "wait", "never"] = "wait"
-    wait_ms: Ms = 500.0
-    honours: Share = 1.0
+    wait_ms: PositiveMs = 500.0
+    honours: Fraction = 1.0
     tries: PositiveCount = 5
     returns: bool = True
-    leaves: Share = 0.0
+    leaves: Fraction = 0.0
     load_sigma: Annotated[float, Meta(ge=0, le=3)] = (
         0.0  # standard deviation of the logarithm of a session's load, whose mean is 1
     )
@@ -254,21 +256,21 @@
     with_: Name | None = field(default=None, name="with")
     for_s: Annotated[float, Meta(gt=0)] | None = None
     factor: Factor | None = None
-    share: Share = 0.5
+    share: Fraction = 0.5
     within_s: Seconds = 2.0
     one_way: bool = False
     word: Literal["OPEN", "UP", "BUSY", "DONE"] = "UP"
     bytes: Count = 1
-    wait_ms: Wait = 0.0
+    wait_ms: NonNegativeMs = 0.0
     then: Literal["on", "reset", "half-open"] = "on"
     times: PositiveCount = 1
     leaves_s: Seconds = 3.0
     parts: list[Name] = []  # of a split: comma-separated names of each part
     cut: bool = False
-    loss: Share = 0.0
-    doubled: Share = 0.0
-    overtaken: Share = 0.0
-    spoilt: Share = 0.0
+    loss: Fraction = 0.0
+    doubled: Fraction = 0.0
+    overtaken: Fraction = 0.0
+    spoilt: Fraction = 0.0
     crawl: Count = 0  # bytes per second of a throttled stream; 0: unlimited
     key: bool = False  # the stranger has the cluster's key
 
