--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -798,13 +798,13 @@
     def do_list_unreachable(self, event, on):
         """Make discovery agents unreachable."""
         for agent in self.agents_of(on):
-            agent.reach(False)
-        return lambda: [agent.reach(True) for agent in self.agents_of(on)]
+            agent.set_reachable(False)
+        return lambda: [agent.set_reachable(True) for agent in self.agents_of(on)]
 
     def do_list_torn(self, event, on):
         """Break the connections of discovery agents."""
         for agent in self.agents_of(on):
-            agent.tear_off()
+            agent.reset_watches()
 
     def do_list_restarted(self, event, on):
         """Restart discovery agents, which count versions from 1 again."""
