--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -337,7 +337,7 @@
         )
         if word == b"UP":
             self.up = True
-            self.record.handshake(now - self.opened_ms)
+            self.record.add_handshake(now - self.opened_ms)
             self.end_timer = self.clock.after(
                 self.crowd.expovariate(1.0) * self.crowd.life, self._end_session
             )
@@ -356,7 +356,7 @@
         elif word == b"BYE":
             self._finish("lived")
         elif self.sent_ms is not None and word != b"LOAD":
-            self.record.message(
+            self.record.add_message(
                 self.clock.now() - self.sent_ms, self.crowd.listener.message_target_ms
             )
             self.sent_ms = None
