--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -1,7 +1,8 @@
-"""A stand-in for a server: an order gateway with cores, a queue, a warm-up, and a point where it falls over.
+"""Simulated server: an order gateway with cores, a queue, a warm-up and an overload limit.
 
-What it does with a connection is fed bytes and knows no socket (`Link`). Its work waits for one of its cores;
-what it holds slows all of it. Loads are shares of a warm gateway's capacity.
+The protocol machine of a connection (`GatewayConnection`) is independent of sockets. Work
+waits for one of the cores; established sessions slow all of it. Loads are shares of the
+capacity of a warm gateway.
 """
 
 from collections import deque
@@ -11,11 +12,50 @@
 from wheathill.net.open_request import OpenRequest
 from wheathill.net.protocol_machine import ProtocolMachine
 
+# The wait before a message is offered again to a full queue.
+QUEUE_FULL_RETRY_MS = 50.0
+# The wait between two steps of migrating sessions during a drain.
+MIGRATION_INTERVAL_MS = 250.0
+
 
 class Gateway:
-    """One server, over all its starts. `host` carries it, `store` is called by every set-up, `dedup` tells,
-    for each referenced listener, its window in ms and the memory that the gateway's group shares: id -> when
-    it ran. `session_loads`: session -> its load beside the mean, as its client has drawn it."""
+    """One server over all its process starts.
+
+    Args:
+        name: the name of the server.
+        host: the host to listen on.
+        limits: size and time limits of the connections.
+        record: the record of the run.
+        chance: random source of the durations of work.
+        store: the session store, which is called for every set-up.
+        dedup: for each keyed listener, the window in ms and the table shared by the
+            deduplication scope: session id -> when it ran.
+        cores: how many pieces of work run at a time.
+        speed: factor on the speed of a core.
+        queue: the most pieces of work that may wait for a core.
+        setup_ms: the mean core time of a session set-up.
+        line_ms: the mean core time of a message.
+        probe_ms: the mean core time of a probe.
+        holds: the sessions at full load, when warm.
+        warm_from: the share of the capacity at the start of the process.
+        warm_s: the duration of the warm-up; 0 for none.
+        falls_over: a cold gateway crashes at this multiple of the set-ups that it can
+            bear; 0 for never.
+        fall_window_ms: the window in which these set-ups are counted.
+        falls_at: the load at which a further set-up crashes the gateway.
+        report_ms: the minimum interval between two load reports.
+        fields: the fields of a load report, in order.
+        keeps_ms: how long a closed session may be continued through another proxy.
+        session_loads: session -> its load relative to the mean, drawn by its client.
+        tells_load: whether the gateway sends the load of each session.
+
+    Attributes:
+        slower: factor on the duration of work, and on the load.
+        costlier: factor on the load of each session.
+        tells: factor on the load in the reports; 1 if they are true.
+        erring: whether the gateway answers every set-up with an error.
+        fallen: called with the name of the gateway when it has crashed.
+    """
 
     def __init__(
         self,
@@ -51,7 +91,7 @@
         self.expovariate = chance.expovariate
         self.cores, self.speed, self.queue = cores, speed, queue
         self.setup_ms, self.line_ms, self.probe_ms = setup_ms, line_ms, probe_ms
-        self.holds = holds  # connections at full load, when warm
+        self.holds = holds
         self.warm_from, self.warm = warm_from, warm_s * 1000
         self.falls_over, self.fall_window, self.falls_at = (
             falls_over,
@@ -63,32 +103,35 @@
         self.session_loads, self.tells_load = session_loads, tells_load
         self.slower = 1.0
         self.costlier = 1.0
-        self.tells = 1.0  # its reports tell so many times its load
+        self.tells = 1.0
         self.erring = False
-        self.fallen = None  # called with its name when it has fallen over
+        self.fallen = None
         self.begin(None)
 
     def begin(self, started):
-        """A new process; `started` in ms of the clock, None for long ago."""
+        """Start a new process at time `started`; None for one that has long been warm."""
         self.started = started
         self.draining = False
         self.busy = 0
-        self.work = 0.0  # ms of core time done, for the report
+        self.work = 0.0  # ms of core time, for the report
         self.waiting = deque()
-        self.links = {}  # connections that are up -> the load of each, by mean 1
-        self.held_load = 0.0  # of all that are up
-        self.kept = {}  # session -> until when, for packets that come through another proxy
-        self.dialled = deque()  # when, of set-ups while cold
-        self.reported = None  # (when, figures, work done by then)
-        self.host.listen(self.take)
-
-    def take(self, wire, peer):
-        return self.host.tap(Link(self, self.limits, self.clock), wire, peer)
+        self.links = {}  # established connection -> load relative to the mean
+        self.held_load = 0.0  # sum over the established connections
+        # Session -> until when it may be continued through another proxy.
+        self.kept = {}
+        self.cold_setups = deque()  # their times
+        self.reported = None  # (time, report, work until then)
+        self.host.listen(self._accept)
+
+    def _accept(self, wire, peer):
+        return self.host.tap(
+            GatewayConnection(self, self.limits, self.clock), wire, peer
+        )
 
     # Capacity
 
     def readiness(self):
-        """The share of its capacity that it has by now."""
+        """Return the share of the capacity that is available during the warm-up."""
         if self.started is None:
             return 1.0
         age = self.clock.now() - self.started
@@ -100,6 +143,7 @@
 
     @property
     def load(self):
+        """The load of the established sessions, as a share of the current capacity."""
         return (
             self.held_load
             * self.costlier
@@ -107,62 +151,74 @@
             / (self.holds * self.readiness())
         )
 
-    def fall(self, why):
+    def crash(self, why):
+        """Kill the process."""
         self.record.note("fell over", server=self.name, why=why, held=len(self.links))
         self.host.kill()
         self.fallen(self.name)
 
-    def offered(self):
-        """Counts a set-up; too many in a window push a cold gateway over, and it stays down."""
+    def crashes_on_setup(self):
+        """Count a set-up, and return whether it crashes the gateway.
+
+        Too many set-ups within a window crash a cold gateway, which then stays down.
+        """
         now = self.clock.now()
         if self.readiness() >= 1.0:
             return False
-        self.dialled.append(now)
-        while self.dialled[0] <= now - self.fall_window:
-            self.dialled.popleft()
-        bears = self.holds * self.readiness() / self.warm * self.fall_window
-        if self.falls_over and len(self.dialled) > max(3.0, self.falls_over * bears):
-            self.fall("cold, offered more than it bears")
+        self.cold_setups.append(now)
+        while self.cold_setups[0] <= now - self.fall_window:
+            self.cold_setups.popleft()
+        bearable_setups = self.holds * self.readiness() / self.warm * self.fall_window
+        if self.falls_over and len(self.cold_setups) > max(
+            3.0, self.falls_over * bearable_setups
+        ):
+            self.crash("cold, offered more than it bears")
             return True
         return False
 
     # Work
 
-    def job(self, ms, call):
-        """One piece of work of about `ms` on one core, then `call`; False if there is no room for it."""
+    def run_work(self, core_ms, callback):
+        """Do work of about `core_ms` on one core, then call `callback`.
+
+        Returns:
+            False if the queue is full.
+        """
         if self.busy < self.cores:
-            self.start(ms, call)
+            self._start_work(core_ms, callback)
         elif len(self.waiting) < self.queue:
-            self.waiting.append((ms, call))
+            self.waiting.append((core_ms, callback))
         else:
             return False
         return True
 
-    def start(self, ms, call):
+    def _start_work(self, core_ms, callback):
         self.busy += 1
-        # Held connections take their part of every core: near full, work stretches.
+        # Established sessions use part of every core, so work takes longer near full load.
         stretch = 1.0 / (1.0 - min(0.9, self.load * 0.9))
         slowness = self.slower / self.speed / self.readiness() * stretch
-        took = ms * (0.5 + 0.5 * self.expovariate(1.0)) * slowness
-        self.clock.after(took, self.done, took, call)
+        duration_ms = core_ms * (0.5 + 0.5 * self.expovariate(1.0)) * slowness
+        self.clock.after(duration_ms, self._complete_work, duration_ms, callback)
 
-    def done(self, took, call):
+    def _complete_work(self, duration_ms, callback):
         self.busy -= 1
-        self.work += took
+        self.work += duration_ms
         if self.waiting:
-            self.start(*self.waiting.popleft())
-        call()
+            self._start_work(*self.waiting.popleft())
+        callback()
 
     def report(self):
-        """Made anew at most every so often, so it ages."""
+        """Return the load report; it is renewed at most once per interval, so it may be old."""
         now = self.clock.now()
         if self.reported is None or now - self.reported[0] >= self.report_every:
-            before, _, work = self.reported or (
+            previous_ms, _, previous_work = self.reported or (
                 now - self.report_every,
                 None,
                 self.work,
             )
-            used = (self.work - work) / (max(1.0, now - before) * self.cores)
+            used = (self.work - previous_work) / (
+                max(1.0, now - previous_ms) * self.cores
+            )
             load = self.load * self.tells
             figures = {
                 "inflight": len(self.links),
@@ -175,22 +231,29 @@
             self.reported = now, text.encode(), self.work
         return self.reported[1]
 
-    # What scripts do to it
+    # Script events
 
-    def drain(self, leave_after):
-        """Finishes what it has; after `leave_after` ms it sends away what is left, a few at a time."""
+    def drain(self, migrate_after_ms):
+        """Accept no new sessions; migrate the remaining ones, some at a time, after a delay."""
         self.draining = True
-        self.clock.after(leave_after, self.send_away)
+        self.clock.after(migrate_after_ms, self._migrate_some)
 
-    def send_away(self):
+    def _migrate_some(self):
         for link in list(self.links)[: max(1, len(self.links) // 4)]:
-            link.leave(b"MOVE")
+            link.close_session(b"MOVE")
         if self.links:
-            self.clock.after(250.0, self.send_away)
+            self.clock.after(MIGRATION_INTERVAL_MS, self._migrate_some)
 
 
-class Link(ProtocolMachine):
-    """One connection to a gateway: a session's, or a prober's."""
+class GatewayConnection(ProtocolMachine):
+    """One connection to a gateway, for a session or for a probe.
+
+    Attributes:
+        head: the request, once received.
+        up: whether the session is established.
+        over: whether the session has ended.
+        first: when the first byte was received.
+    """
 
     def __init__(self, gateway, limits, clock):
         super().__init__(gateway, limits, clock)
@@ -198,9 +261,10 @@
         self.head = None
         self.up = False
         self.over = False
-        self.first = None  # when the first byte came
+        self.first = None
 
     def received(self, data):
+        """Process each line."""
         if self.over:
             return
         if self.first is None:
@@ -213,16 +277,16 @@
         try:
             while not self.over and (line := self.lines.next_line()) is not None:
                 if self.up:
-                    self.line()
+                    self._process_message()
                 elif line in (b"STATS", b"PING"):
-                    self.probe(line)
+                    self._answer_probe(line)
                 else:
-                    self.open(line)
+                    self._open(line)
         except ProtocolError:
             self.gateway.record.note("syntax", server=self.gateway.name)
-            self.end(b"SYNTAX")
+            self._send_final_answer(b"SYNTAX")
 
-    def probe(self, line):
+    def _answer_probe(self, line):
         gateway = self.gateway
         gateway.record.counts["probes"] += 1
         answer = (
@@ -230,63 +294,67 @@
             if line == b"STATS"
             else (b"PONG", CRLF)
         )
-        if not gateway.job(gateway.probe_ms, lambda: self.connection.send(*answer)):
+        if not gateway.run_work(
+            gateway.probe_ms, lambda: self.connection.send(*answer)
+        ):
             self.connection.send(b"BUSY", CRLF)
 
-    def open(self, line):
+    def _open(self, line):
         gateway = self.gateway
         self.head = head = OpenRequest(line)
         gateway.record.note("dial", server=gateway.name, sess=head.id, first=self.first)
         if head.flag("mid"):
-            return self.go_on()
-        if gateway.offered():
+            return self._continue_session()
+        if gateway.crashes_on_setup():
             return
         if gateway.draining:
-            return self.end(b"BUSY")
+            return self._send_final_answer(b"BUSY")
         if gateway.erring:
-            return self.end(b"ERR")
+            return self._send_final_answer(b"ERR")
         if gateway.load >= gateway.falls_at:
-            return gateway.fall("more connections than it bears")
-        if not gateway.job(gateway.setup_ms, self.set_up):
-            self.end(b"BUSY")
+            return gateway.crash("more connections than it bears")
+        if not gateway.run_work(gateway.setup_ms, self._call_store):
+            self._send_final_answer(b"BUSY")
 
-    def set_up(self):
-        """Its turn: who has gone meanwhile is dropped unread."""
+    def _call_store(self):
+        """Call the store, unless the session has ended while the set-up waited for a core."""
         if not self.over:
             host, life = self.gateway.host, self.connection.life
-            self.gateway.store.call(lambda well: host.gate(life, self.stored, well))
+            self.gateway.store.call(
+                lambda succeeded: host.gate(life, self._on_store_result, succeeded)
+            )
 
-    def stored(self, well):
-        if well:
-            # It runs even for a client that has gone while the store was asked.
-            self.run()
+    def _on_store_result(self, succeeded):
+        if succeeded:
+            # The request takes effect even if the client left during the store call.
+            self._run()
         if not self.over:
-            if well:
-                self.answer_up()
+            if succeeded:
+                self._answer_up()
             else:
-                self.end(b"ERR")
+                self._send_final_answer(b"ERR")
 
-    def run(self):
+    def _run(self):
         gateway, now = self.gateway, self.clock.now()
-        window, memory = gateway.dedup.get(self.head.values.get("c"), (0.0, {}))
-        copy = self.head.id in memory and now - memory[self.head.id] < window
+        window, run_times = gateway.dedup.get(self.head.values.get("c"), (0.0, {}))
+        copy = self.head.id in run_times and now - run_times[self.head.id] < window
         if not copy:
-            memory[self.head.id] = now
+            run_times[self.head.id] = now
         gateway.record.note("ran", server=gateway.name, sess=self.head.id, copy=copy)
 
-    def go_on(self):
-        """A connection whose packets come through another proxy now."""
+    def _continue_session(self):
+        """Continue a session whose packets now arrive through another proxy."""
         until = self.gateway.kept.pop(self.head.id, 0.0)
         if self.clock.now() < until:
-            self.answer_up()
+            self._answer_up()
         else:
             self.gateway.record.note(
                 "not held", server=self.gateway.name, sess=self.head.id
             )
-            self.note_over("not held")
+            self._note_over("not held")
             self.connection.abort(reset=True)
 
-    def answer_up(self):
+    def _answer_up(self):
         gateway = self.gateway
         self.up = True
         load = gateway.session_loads[self.head.id]
@@ -298,59 +366,62 @@
         )
         self.connection.send(b"UP ", receipt.encode(), CRLF)
         if gateway.tells_load:
-            # In microseconds of core time a second, as the bench's servers tell it.
+            # In microseconds of core time per second, as the servers of the bench send it.
             self.connection.send(
                 b"LOAD %d"
                 % round(load * 1e6 * gateway.cores * gateway.speed / gateway.holds),
                 CRLF,
             )
 
-    def line(self):
-        if not self.gateway.job(self.gateway.line_ms, self.echo):
-            self.gateway.clock.after(50.0, self.line)
+    def _process_message(self):
+        if not self.gateway.run_work(self.gateway.line_ms, self._answer_message):
+            self.gateway.clock.after(QUEUE_FULL_RETRY_MS, self._process_message)
 
-    def echo(self):
+    def _answer_message(self):
         if self.up and not self.over:
             self.connection.send(b"DONE", CRLF)
 
-    def end(self, word):
-        self.note_over("answered " + word.decode())
+    def _send_final_answer(self, word):
+        self._note_over("answered " + word.decode())
         self.connection.send(word, CRLF)
         self.connection.close_gracefully()
 
-    def leave(self, word):
-        """An open connection that this gateway ends by itself."""
+    def close_session(self, word):
+        """End an established session from this side."""
         self.connection.send(word, CRLF)
-        self.note_over("sent away")
+        self._note_over("sent away")
         self.connection.close_gracefully()
 
-    def note_over(self, how):
+    def _note_over(self, how):
         if not self.over:
             self.over = True
             self.gateway.held_load -= self.gateway.links.pop(self, 0.0)
             if not self.gateway.links:
-                self.gateway.held_load = 0.0  # sums of fractions leave a rest
+                self.gateway.held_load = 0.0  # drop the rounding error of the sum
             if self.head is not None:
                 self.gateway.record.note(
                     "dial over", server=self.gateway.name, sess=self.head.id, how=how
                 )
 
     def last_byte_left(self):
-        pass  # a proxy's time does not count from here
+        """Ignore it: the proxy's time does not count from here."""
 
-    def keep(self):
-        """Its packets may come through another proxy yet."""
+    def _keep(self):
+        """Keep the session for a while: its packets may arrive through another proxy."""
         if self.up and not self.over and self.gateway.keeps:
             self.gateway.kept[self.head.id] = self.clock.now() + self.gateway.keeps
 
     def ended(self):
-        self.keep()
-        self.note_over("closed")
+        """Handle the end of the stream."""
+        self._keep()
+        self._note_over("closed")
         self.connection.close_gracefully()
 
     def lost(self, reset):
-        self.keep()
-        self.note_over("reset" if reset else "closed")
+        """Handle the loss of the connection."""
+        self._keep()
+        self._note_over("reset" if reset else "closed")
 
     def fault(self):
+        """Handle an exception as a reset connection."""
         self.lost(True)
