--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -511,9 +511,9 @@
     for gateway in scene.gateways.values():
         assert gateway.reported is None
         assert gateway.held_load == pytest.approx(
-            sum(scene.session_loads[link.head.id] for link in gateway.links)
+            sum(scene.session_loads[link.head.id] for link in gateway.connections)
         )
-        assert not any("h" in link.head.values for link in gateway.links)
+        assert not any("h" in link.head.values for link in gateway.connections)
     loads = sorted(scene.session_loads.values())
     assert (
         loads[-1] > 10 * loads[len(loads) // 2] and 0.8 < sum(loads) / len(loads) < 1.25
--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -110,7 +110,7 @@
             self.clients.append(client)
             self.clock.after(self.uniform(0.0, within), client.begin)
 
-    def herd(self, share, within):
+    def drop_and_return(self, share, within):
         """Drop the connections of a share of the clients, which return within `within` ms."""
         for client in self.clients[: round(len(self.clients) * share)]:
             client.drop()
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -50,11 +50,11 @@
         tells_load: whether the gateway sends the load of each session.
 
     Attributes:
-        slower: factor on the duration of work, and on the load.
-        costlier: factor on the load of each session.
-        tells: factor on the load in the reports; 1 if they are true.
-        erring: whether the gateway answers every set-up with an error.
-        fallen: called with the name of the gateway when it has crashed.
+        slowdown: factor on the duration of work, and on the load.
+        session_cost: factor on the load of each session.
+        report_factor: factor on the load in the reports; 1 if they are true.
+        is_failing: whether the gateway answers every set-up with an error.
+        on_crash: called with the name of the gateway when it has crashed.
     """
 
     def __init__(
@@ -101,11 +101,11 @@
         self.report_every, self.fields = report_ms, fields
         self.keeps = keeps_ms
         self.session_loads, self.tells_load = session_loads, tells_load
-        self.slower = 1.0
-        self.costlier = 1.0
-        self.tells = 1.0
-        self.erring = False
-        self.fallen = None
+        self.slowdown = 1.0
+        self.session_cost = 1.0
+        self.report_factor = 1.0
+        self.is_failing = False
+        self.on_crash = None
         self.begin(None)
 
     def begin(self, started):
@@ -115,7 +115,7 @@
         self.busy = 0
         self.work = 0.0  # ms of core time, for the report
         self.waiting = deque()
-        self.links = {}  # established connection -> load relative to the mean
+        self.connections = {}  # established connection -> load relative to the mean
         self.held_load = 0.0  # sum over the established connections
         # Session -> until when it may be continued through another proxy.
         self.kept = {}
@@ -146,16 +146,18 @@
         """The load of the established sessions, as a share of the current capacity."""
         return (
             self.held_load
-            * self.costlier
-            * self.slower
+            * self.session_cost
+            * self.slowdown
             / (self.holds * self.readiness())
         )
 
     def crash(self, why):
         """Kill the process."""
-        self.record.note("fell over", server=self.name, why=why, held=len(self.links))
+        self.record.note(
+            "fell over", server=self.name, why=why, held=len(self.connections)
+        )
         self.host.kill()
-        self.fallen(self.name)
+        self.on_crash(self.name)
 
     def crashes_on_setup(self):
         """Count a set-up, and return whether it crashes the gateway.
@@ -196,7 +198,7 @@
         self.busy += 1
         # Established sessions use part of every core, so work takes longer near full load.
         stretch = 1.0 / (1.0 - min(0.9, self.load * 0.9))
-        slowness = self.slower / self.speed / self.readiness() * stretch
+        slowness = self.slowdown / self.speed / self.readiness() * stretch
         duration_ms = core_ms * (0.5 + 0.5 * self.expovariate(1.0)) * slowness
         self.clock.after(duration_ms, self._complete_work, duration_ms, callback)
 
@@ -219,12 +221,12 @@
             used = (self.work - previous_work) / (
                 max(1.0, now - previous_ms) * self.cores
             )
-            load = self.load * self.tells
+            load = self.load * self.report_factor
             figures = {
-                "inflight": len(self.links),
-                "active": len(self.links),
+                "inflight": len(self.connections),
+                "active": len(self.connections),
                 "waiting": len(self.waiting),
-                "cpu": round(min(1.0, self.tells * used + 0.9 * load), 3),
+                "cpu": round(min(1.0, self.report_factor * used + 0.9 * load), 3),
                 "x0": round(load, 3),
             }
             text = ",".join(f"{name}={figures[name]}" for name in self.fields)
@@ -239,9 +241,9 @@
         self.clock.after(migrate_after_ms, self._migrate_some)
 
     def _migrate_some(self):
-        for link in list(self.links)[: max(1, len(self.links) // 4)]:
+        for link in list(self.connections)[: max(1, len(self.connections) // 4)]:
             link.close_session(b"MOVE")
-        if self.links:
+        if self.connections:
             self.clock.after(MIGRATION_INTERVAL_MS, self._migrate_some)
 
 
@@ -309,7 +311,7 @@
             return
         if gateway.draining:
             return self._send_final_answer(b"BUSY")
-        if gateway.erring:
+        if gateway.is_failing:
             return self._send_final_answer(b"ERR")
         if gateway.load >= gateway.falls_at:
             return gateway.crash("more connections than it bears")
@@ -358,7 +360,7 @@
         gateway = self.gateway
         self.up = True
         load = gateway.session_loads[self.head.id]
-        gateway.links[self] = load
+        gateway.connections[self] = load
         gateway.held_load += load
         receipt = f"{gateway.name}/{self.head.id}"
         gateway.record.note(
@@ -395,8 +397,8 @@
     def _note_over(self, how):
         if not self.over:
             self.over = True
-            self.gateway.held_load -= self.gateway.links.pop(self, 0.0)
-            if not self.gateway.links:
+            self.gateway.held_load -= self.gateway.connections.pop(self, 0.0)
+            if not self.gateway.connections:
                 self.gateway.held_load = 0.0  # drop the rounding error of the sum
             if self.head is not None:
                 self.gateway.record.note(
--- a/wheathill/lab/cast/store.py
+++ b/wheathill/lab/cast/store.py
@@ -13,7 +13,7 @@
         at_once: the calls that are served concurrently.
         call_ms: the mean duration of a call.
         queue: the most calls that may wait.
-        slower: factor on the duration of calls, 1 for normal speed.
+        slowdown: factor on the duration of calls, 1 for normal speed.
         busy: the calls that are being served.
         waiting: callbacks of the calls in the queue.
     """
@@ -25,7 +25,7 @@
         self.at_once = at_once
         self.call_ms = call_ms
         self.queue = queue
-        self.slower = 1.0
+        self.slowdown = 1.0
         self.busy = 0
         self.waiting = deque()
 
@@ -45,7 +45,7 @@
     def _serve(self, on_result):
         self.busy += 1
         self.record.counts["store calls"] += 1
-        duration_ms = self.call_ms * self.slower * (0.5 + 0.5 * self.expovariate(1.0))
+        duration_ms = self.call_ms * self.slowdown * (0.5 + 0.5 * self.expovariate(1.0))
         self.clock.after(duration_ms, self._complete, on_result)
 
     def _complete(self, on_result):
--- a/wheathill/lab/judging/baselines.py
+++ b/wheathill/lab/judging/baselines.py
@@ -115,7 +115,10 @@
         gateway = gateways[server.name]
         host = gateway.host
         is_healthy = (
-            host.alive and not host.silent and not host.paused and not gateway.erring
+            host.alive
+            and not host.silent
+            and not host.paused
+            and not gateway.is_failing
         )
         pending_load = (gateway.busy + len(gateway.waiting)) / gateway.holds
         return (
--- a/wheathill/lab/scripts/faults.py
+++ b/wheathill/lab/scripts/faults.py
@@ -79,11 +79,11 @@
 
     def effect_of_slow(self, event, on):
         """Count 1 if the gateway is slowed down."""
-        return lambda: int(self.gateways[on].slower != 1.0)
+        return lambda: int(self.gateways[on].slowdown != 1.0)
 
     def effect_of_store_slower(self, event, on):
         """Count 1 if the store is slowed down."""
-        return lambda: int(self.store.slower != 1.0)
+        return lambda: int(self.store.slowdown != 1.0)
 
     def effect_of_list_unreachable(self, event, on):
         """Count the discovery agents that are down."""
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -152,7 +152,7 @@
                 session_loads=self.session_loads,
                 tells_load=group.tells_load,
             )
-            gateway.fallen = self.schedule_death_notice
+            gateway.on_crash = self.schedule_death_notice
             self.gateway_placements[name] = group, zone, cell
             self.registry.set(
                 name,
@@ -361,7 +361,9 @@
         for name, gateway in self.gateways.items():
             alive = gateway.host.alive and not gateway.host.silent
             self.record.figure(f"load {name}", gateway.load if alive else 0.0)
-            self.record.figure(f"sessions {name}", len(gateway.links) if alive else 0)
+            self.record.figure(
+                f"sessions {name}", len(gateway.connections) if alive else 0
+            )
 
     def breaches(self):
         """Return what the judges found."""
@@ -533,7 +535,7 @@
             if (
                 kind == "up"
                 and fields["server"] == match["on"]
-                and len(self.gateways[match["on"]].links) >= int(match["count"])
+                and len(self.gateways[match["on"]].connections) >= int(match["count"])
             ):
                 return match["on"], self.sessions[fields["sess"]]
         elif match := SESSIONS_REQUESTED.fullmatch(event.when):
@@ -639,15 +641,15 @@
 
     def do_erring(self, event, on):
         """Let a gateway answer with errors."""
-        return self.change_field(self.gateways[on], "erring", True)
+        return self.change_field(self.gateways[on], "is_failing", True)
 
     def do_slow(self, event, on):
         """Slow a gateway down by `factor`."""
-        return self.change_field(self.gateways[on], "slower", event.factor)
+        return self.change_field(self.gateways[on], "slowdown", event.factor)
 
     def do_untrue(self, event, on):
         """Let a gateway report `factor` times its load."""
-        return self.change_field(self.gateways[on], "tells", event.factor)
+        return self.change_field(self.gateways[on], "report_factor", event.factor)
 
     def do_flap(self, event, on):
         """Kill and restart a gateway in periods of `within_s`, of which it is down for `share`.
@@ -685,7 +687,7 @@
     def do_costly(self, event, on):
         """Make the work of every gateway `factor` times as expensive."""
         undo = [
-            self.change_field(gateway, "costlier", event.factor)
+            self.change_field(gateway, "session_cost", event.factor)
             for gateway in self.gateways.values()
         ]
         return lambda: [each() for each in undo]
@@ -713,12 +715,12 @@
 
     def do_store_slower(self, event, on):
         """Slow the store down by `factor`."""
-        return self.change_field(self.store, "slower", event.factor)
+        return self.change_field(self.store, "slowdown", event.factor)
 
     def do_herd(self, event, on):
         """Drop the connections of `share` of all clients, which return within `within_s`."""
         for _, group in self.client_groups:
-            group.herd(event.share, event.within_s * 1000)
+            group.drop_and_return(event.share, event.within_s * 1000)
 
     def do_proxy_kill(self, event, on):
         """Kill a proxy and restart it later."""
