--- a/wheathill/lab/cast/clients.py
+++ b/wheathill/lab/cast/clients.py
@@ -1,6 +1,6 @@
 """Simulated clients: each opens a session, sends messages on it and returns later.
 
-How patiently they retry and return depends on their crowd.
+How patiently they retry and return depends on their population.
 """
 
 import math
@@ -15,7 +15,7 @@
 CLOSE_TIMEOUT_MS = 2000.0  # from the end of sending to the abort
 
 
-class Crowd:
+class ClientPopulation:
     """Clients of one kind: they share a listener, a tenant and their behaviour.
 
     Times are in milliseconds.
@@ -29,7 +29,7 @@
         listener: the listener as in the script.
         runs: whether the proxy of a name runs.
         session_loads: session -> its load relative to the mean; entries are added.
-        name: the name of the crowd, which the names of its clients start with.
+        name: the name of the population, which the names of its clients start with.
         zone: the zone of the clients.
         desk: the tenant of the clients, if any.
         groups: the groups that the clients are spread over; 0 for none.
@@ -128,8 +128,8 @@
         next_start: the timer of the next connection, if any.
     """
 
-    def __init__(self, crowd, name, group):
-        self.crowd = crowd
+    def __init__(self, population, name, group):
+        self.population = population
         self.name = name
         self.group = group
         self.connection = None
@@ -146,11 +146,11 @@
             self._connect(again=again)
 
     def _connect(self, repeat=False, again=False, mid=None):
-        crowd = self.crowd
+        population = self.population
         self.next_start = None
-        if crowd.stopping or self.connection is not None:
+        if population.stopping or self.connection is not None:
             return
-        picked = crowd.front.pick(crowd.zone)
+        picked = population.front.pick(population.zone)
         if picked is None:
             self._connect_later(NO_PROXY_RETRY_MS, repeat, again, mid)
             return
@@ -165,7 +165,7 @@
     def _connect_later(self, delay_ms, repeat=False, again=False, mid=None):
         if self.next_start is not None:
             self.next_start.cancel()
-        self.next_start = self.crowd.clock.after(
+        self.next_start = self.population.clock.after(
             delay_ms, self._connect, repeat, again, mid
         )
 
@@ -185,34 +185,40 @@
             retry_after_ms: the retry time that a rejection has named, if any.
             mid: the session to continue through another proxy, if any.
         """
-        crowd = self.crowd
+        population = self.population
         self.connection = None
-        if crowd.stopping:
+        if population.stopping:
             return
         if how == "lived":
             self.intention += 1
             self.attempts = 0
-            self._connect_later(crowd.expovariate(1.0) * crowd.rest)
+            self._connect_later(population.expovariate(1.0) * population.rest)
         elif how in ("moved", "cut"):
-            if crowd.returns:
+            if population.returns:
                 self.intention += 1
                 self.attempts = 0
                 self._connect_later(
-                    crowd.uniform(0.0, MAX_RETURN_DELAY_MS), again=True, mid=mid
+                    population.uniform(0.0, MAX_RETURN_DELAY_MS), again=True, mid=mid
                 )
         elif how in ("refused", "failed", "gave up"):
-            if crowd.retry == "never" or self.attempts >= crowd.tries:
+            if population.retry == "never" or self.attempts >= population.tries:
                 self.intention += 1
                 self.attempts = 0
-                self._connect_later(crowd.expovariate(1.0) * crowd.rest + crowd.wait)
-            elif retry_after_ms is not None and crowd.random() < crowd.honours:
                 self._connect_later(
-                    retry_after_ms * crowd.uniform(1.0, 1.2), repeat=True
+                    population.expovariate(1.0) * population.rest + population.wait
                 )
-            elif crowd.retry == "at once":
+            elif (
+                retry_after_ms is not None and population.random() < population.honours
+            ):
+                self._connect_later(
+                    retry_after_ms * population.uniform(1.0, 1.2), repeat=True
+                )
+            elif population.retry == "at once":
                 self._connect_later(IMMEDIATE_RETRY_MS, repeat=True)
             else:
-                self._connect_later(crowd.wait * crowd.uniform(0.5, 1.5), repeat=True)
+                self._connect_later(
+                    population.wait * population.uniform(0.5, 1.5), repeat=True
+                )
 
 
 class ClientConnection(ProtocolMachine):
@@ -233,9 +239,13 @@
     """
 
     def __init__(self, client, name, proxy, repeat, again, mid):
-        crowd = client.crowd
-        super().__init__(client, crowd.limits, crowd.clock)
-        self.client, self.crowd, self.record = client, crowd, crowd.record
+        population = client.population
+        super().__init__(client, population.limits, population.clock)
+        self.client, self.population, self.record = (
+            client,
+            population,
+            population.record,
+        )
         self.name, self.proxy = name, proxy
         self.repeat, self.again, self.mid = repeat, again, mid
         self.opened_ms = None
@@ -247,15 +257,18 @@
 
     def start(self, address):
         """Connect to the proxy."""
-        self.crowd.host.dial(self, address, (self.proxy, self.crowd.zone))
-        self.set_timer(self.crowd.gives_up, self._give_up)
+        self.population.host.dial(self, address, (self.proxy, self.population.zone))
+        self.set_timer(self.population.gives_up, self._give_up)
 
     def connected(self):
         """Send the request."""
-        crowd = self.crowd
-        values = [f"c={crowd.listener.name}", f"d={crowd.listener.dial_timeout_ms:.0f}"]
+        population = self.population
+        values = [
+            f"c={population.listener.name}",
+            f"d={population.listener.dial_timeout_ms:.0f}",
+        ]
         for key, value in (
-            ("t", crowd.desk),
+            ("t", population.desk),
             ("g", self.client.group),
             ("r", self.repeat and "1"),
             ("again", self.again and "1"),
@@ -266,18 +279,18 @@
         self.opened_ms = self.clock.now()
         # The request does not carry the load: only the server knows it.
         if not self.mid:
-            sigma = crowd.load_sigma
-            crowd.session_loads[self.name] = (
-                math.exp(crowd.normal(-sigma * sigma / 2, sigma)) if sigma else 1.0
+            sigma = population.load_sigma
+            population.session_loads[self.name] = (
+                math.exp(population.normal(-sigma * sigma / 2, sigma)) if sigma else 1.0
             )
         self.record.note(
             "open",
             sess=self.name,
             proxy=self.proxy,
-            listener=crowd.listener.name,
-            crowd=crowd.name,
-            desk=crowd.desk,
-            deadline=crowd.listener.dial_timeout_ms,
+            listener=population.listener.name,
+            crowd=population.name,
+            desk=population.desk,
+            deadline=population.listener.dial_timeout_ms,
             mid=self.mid,
             effect=f"{self.client.name}/{self.client.intention}",
         )
@@ -290,11 +303,11 @@
             ",".join(values).encode(),
             CRLF,
         )
-        if crowd.leaves and crowd.random() < crowd.leaves:
+        if population.leaves and population.random() < population.leaves:
             self.clock.after(
-                crowd.uniform(0.0, MAX_LEAVE_DELAY_MS),
+                population.uniform(0.0, MAX_LEAVE_DELAY_MS),
                 self._change_mind,
-                crowd.random() < 0.5,
+                population.random() < 0.5,
             )
 
     def last_byte_left(self):
@@ -339,10 +352,12 @@
             self.up = True
             self.record.handshake(now - self.opened_ms)
             self.end_timer = self.clock.after(
-                self.crowd.expovariate(1.0) * self.crowd.life, self._end_session
+                self.population.expovariate(1.0) * self.population.life,
+                self._end_session,
             )
             self.set_timer(
-                self.crowd.expovariate(1.0) * self.crowd.think, self._send_message
+                self.population.expovariate(1.0) * self.population.think,
+                self._send_message,
             )
         elif word == b"BUSY":
             self._finish("refused", float(text) if text else None)
@@ -357,21 +372,23 @@
             self._finish("lived")
         elif self.sent_ms is not None and word != b"LOAD":
             self.record.message(
-                self.clock.now() - self.sent_ms, self.crowd.listener.message_target_ms
+                self.clock.now() - self.sent_ms,
+                self.population.listener.message_target_ms,
             )
             self.sent_ms = None
             self.set_timer(
-                self.crowd.expovariate(1.0) * self.crowd.think, self._send_message
+                self.population.expovariate(1.0) * self.population.think,
+                self._send_message,
             )
 
     def _send_message(self):
         self.sent_ms = self.clock.now()
         self.connection.send(b"SAY", CRLF)
-        self.set_timer(self.crowd.silence, self._on_unanswered)
+        self.set_timer(self.population.silence, self._on_unanswered)
 
     def _on_unanswered(self):
         """Reset a session on which neither an answer nor an end has arrived."""
-        self.record.note("unanswered", sess=self.name, waited=self.crowd.silence)
+        self.record.note("unanswered", sess=self.name, waited=self.population.silence)
         self.leave("unanswered")
         self.client.on_connection_over("cut")
 
@@ -440,7 +457,9 @@
         # The front sends the packets through another proxy only if this one is gone.
         mid = (
             self.name
-            if self.up and self.crowd.mid_flow and not self.crowd.runs(self.proxy)
+            if self.up
+            and self.population.mid_flow
+            and not self.population.runs(self.proxy)
             else None
         )
         self.client.on_connection_over("cut" if self.up else "failed", mid=mid)
--- a/wheathill/lab/cast/gateway.py
+++ b/wheathill/lab/cast/gateway.py
@@ -28,8 +28,8 @@
         record: the record of the run.
         chance: random source of the durations of work.
         store: the session store, which is called for every set-up.
-        dedup: for each keyed listener, the window in ms and the table shared by the
-            deduplication scope: session id -> when it ran.
+        dedup: for each listener with `repeat = "referenced"`, the window in ms and the
+            table shared by the deduplication scope: session id -> when it ran.
         cores: how many pieces of work run at a time.
         speed: factor on the speed of a core.
         queue: the most pieces of work that may wait for a core.
--- a/wheathill/lab/scripts/scene.py
+++ b/wheathill/lab/scripts/scene.py
@@ -11,7 +11,7 @@
 from wheathill.config.limits import ProxyLimits
 from wheathill.config.operator_platform import platform_values
 from wheathill.lab.cast.callers import Callers
-from wheathill.lab.cast.clients import Crowd
+from wheathill.lab.cast.clients import ClientPopulation
 from wheathill.lab.cast.discovery import Agent, Registry
 from wheathill.lab.cast.front import Front
 from wheathill.lab.cast.gateway import Gateway
@@ -243,7 +243,7 @@
             self.client_groups.append(
                 (
                     settings,
-                    Crowd(
+                    ClientPopulation(
                         self.client_host,
                         self.limits,
                         self.random_source(settings.name),
